--- a/src/burst/joined.rs
+++ b/src/burst/joined.rs
@@ -56,8 +56,8 @@
     let brief = knowledge.brief()?;
     let figures = brief.engine.as_ref();
     let told = figures.and_then(|engine| engine.models.first().cloned());
-    let model = told.or_else(|| knowledge.belief.borrow().held_model(None))?;
-    let wanted = knowledge.belief.borrow().wanted(&model);
+    let model = told.or_else(|| knowledge.catalog.borrow().held_model(None))?;
+    let wanted = knowledge.catalog.borrow().wanted(&model);
     Some(Target {
         version: wanted.map_or(FIRST_VERSION, |wanted| wanted.version),
         named: wanted.map_or(Time::default(), |wanted| wanted.since),
@@ -68,15 +68,15 @@
 /// The oldest version that is served on to peers while `target` is the newest, where a version is due
 /// `bound` after it was named.
 pub fn oldest(knowledge: &Knowledge, target: &Target, bound: Duration) -> u64 {
-    let belief = knowledge.belief.borrow();
-    belief.oldest_allowed(&target.model, bound, knowledge.now())
+    let catalog = knowledge.catalog.borrow();
+    catalog.oldest_allowed(&target.model, bound, knowledge.now())
 }
 
 /// The members of the burst around the replicas of `service`: the processes beside them, which
 /// listen at `port`, and the entries as relays.
 pub fn members(knowledge: &Knowledge, service: Option<&str>, port: u16) -> Vec<Listed> {
-    let belief = knowledge.belief.borrow();
-    let records = belief.replicas().values().map(|listed| &listed.record);
+    let catalog = knowledge.catalog.borrow();
+    let records = catalog.replicas().values().map(|listed| &listed.record);
     let fellows = records.filter(|record| Some(&*record.service) == service);
     let mut members: Vec<Listed> = fellows
         .map(|record| {
--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,7 @@
 //! whole or not at all, keeps the last good fleet of a customer whose newest value is invalid, and
 //! refuses whatever would bring an older revision back.
 
-pub mod belief;
+pub mod catalog;
 pub mod evacuation;
 pub mod residency;
 pub mod routing;
--- a/src/config/belief.rs
+++ b/src/config/catalog.rs
@@ -184,7 +184,7 @@
 
 /// Beliefs.
 #[derive(Debug, Default)]
-pub struct Belief {
+pub struct Catalog {
     routing: Option<(u64, Rc<Routing>)>,
     versions: BTreeMap<Arc<str>, Vec<Wanted>>,
     evacuations: Evacuations,
@@ -197,7 +197,7 @@
     trusts_removals: bool,
 }
 
-impl Belief {
+impl Catalog {
     /// Nothing is believed yet; with `trusts_removals` no removal is ever doubted.
     pub fn new(trusts_removals: bool) -> Self {
         Self {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -28,7 +28,7 @@
 use crate::burst::host::{Calls, Host, Instruments, renew_when_silent};
 use crate::burst::joined::{self, Joined, Origins};
 use crate::clock::Time;
-use crate::config::belief::Belief;
+use crate::config::catalog::Catalog;
 use crate::config::residency::Regions;
 use crate::daemon;
 use crate::exchange::{self, path::Paths};
@@ -343,8 +343,8 @@
 
     /// How callers' connections are treated, by the limits in force.
     fn timing(&self) -> Timing {
-        let belief = self.knowledge.belief.borrow();
-        let limits = belief
+        let catalog = self.knowledge.catalog.borrow();
+        let limits = catalog
             .routing()
             .map(|routing| routing.document.limits)
             .unwrap_or_default();
@@ -357,8 +357,8 @@
 
     /// Where the processes beside replicas listen.
     fn sidecars(&self) -> Vec<SocketAddr> {
-        let belief = self.knowledge.belief.borrow();
-        let mut hosts: Vec<IpAddr> = belief
+        let catalog = self.knowledge.catalog.borrow();
+        let mut hosts: Vec<IpAddr> = catalog
             .replicas()
             .values()
             .filter(|listed| !listed.record.models.is_empty())
@@ -406,8 +406,8 @@
             return;
         };
         let service = {
-            let belief = knowledge.belief.borrow();
-            let mut services = belief.routing().into_iter().flat_map(|routing| {
+            let catalog = knowledge.catalog.borrow();
+            let mut services = catalog.routing().into_iter().flat_map(|routing| {
                 let services = routing.document.services.iter();
                 services.filter(|service| service.engine.is_some())
             });
@@ -446,7 +446,7 @@
             if look.is_multiple_of(LOOKS_LOGGED) {
                 self.log_under_way();
             }
-            let swept = self.knowledge.belief.borrow_mut().sweep(now);
+            let swept = self.knowledge.catalog.borrow_mut().sweep(now);
             if swept {
                 self.knowledge.changed.send_modify(|count| *count += 1);
             }
@@ -464,12 +464,12 @@
     fn refresh_pool(&self) {
         let changes = *self.knowledge.changed.borrow();
         if self.pool_at.replace(changes) != changes {
-            let belief = self.knowledge.belief.borrow();
-            let list = belief.replicas();
+            let catalog = self.knowledge.catalog.borrow();
+            let list = catalog.replicas();
             let rollout = self.knowledge.rollout(self.setting.rollout);
-            let waves = self.waves(&belief, rollout.waves);
-            let due = |record: &Record| self.due(&belief, rollout, &waves, record);
-            let evacuated = belief.evacuations().asked().cloned().collect();
+            let waves = self.waves(&catalog, rollout.waves);
+            let due = |record: &Record| self.due(&catalog, rollout, &waves, record);
+            let evacuated = catalog.evacuations().asked().cloned().collect();
             let mut pool = self.pool.borrow_mut();
             pool.update(list, due);
             pool.evacuate(evacuated);
@@ -484,9 +484,9 @@
 
     /// The waves in which replicas change to the wanted version, worked out once for each service in
     /// each hall.
-    fn waves(&self, belief: &Belief, waves: u32) -> Waves {
+    fn waves(&self, catalog: &Catalog, waves: u32) -> Waves {
         let mut hosts: BTreeMap<(Arc<str>, Arc<str>), Vec<String>> = BTreeMap::new();
-        for listed in belief.replicas().values() {
+        for listed in catalog.replicas().values() {
             let record = &listed.record;
             let group = (record.service.clone(), record.hall.clone());
             let host = record.address.ip().to_string();
@@ -494,7 +494,7 @@
         }
         let placed = hosts.into_iter().filter_map(|(group, hosts)| {
             let model = self.knowledge.model_of(&group.0)?;
-            let label = joined::label(&model, belief.wanted(&model)?.version);
+            let label = joined::label(&model, catalog.wanted(&model)?.version);
             let hosts = hosts.iter().map(String::as_str);
             Some((group, rollout::waves_of(label, hosts, waves)))
         });
@@ -504,7 +504,7 @@
     /// The change of version that a replica has before it, as its own process will carry it out.
     fn due(
         &self,
-        belief: &Belief,
+        catalog: &Catalog,
         rollout: rollout::Setting,
         waves: &Waves,
         record: &Record,
@@ -514,7 +514,7 @@
         let wave = *waves.get(&group)?.get(&host)?;
         let model = self.knowledge.model_of(&record.service)?;
         Some(Due {
-            named: belief.named(&model).to_vec(),
+            named: catalog.named(&model).to_vec(),
             begins: rollout::begins(rollout, wave).saturating_sub(rollout.notice),
             bound: rollout.bound.saturating_sub(START_MARGIN),
         })
@@ -522,8 +522,8 @@
 
     /// Whether callers' requests can be served.
     pub fn ready(&self) -> bool {
-        let belief = self.knowledge.belief.borrow();
-        !self.porter.stopping() && belief.routing().is_some() && belief.lists_replicas()
+        let catalog = self.knowledge.catalog.borrow();
+        !self.porter.stopping() && catalog.routing().is_some() && catalog.lists_replicas()
     }
 
     /// Announces that the process stops: the balancer hears that it is not ready, and every answer
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -354,8 +354,8 @@
         let engine = service.and_then(|service| service.engine.as_ref());
         // Replicas that hold models are engines, whatever could be read of their service.
         let engines = || {
-            let belief = gateway.knowledge.belief.borrow();
-            engine.is_some() || belief.held_model(Some(&self.job.service)).is_some()
+            let catalog = gateway.knowledge.catalog.borrow();
+            engine.is_some() || catalog.held_model(Some(&self.job.service)).is_some()
         };
         let model = model.filter(|_| engines());
         let entries = gateway.knowledge.peers.borrow().bound() as u32;
@@ -413,9 +413,9 @@
 
     fn oldest_version(&self, model: &str, now: Time) -> u64 {
         let rollout = self.gateway.setting.rollout;
-        let belief = self.gateway.knowledge.belief.borrow();
+        let catalog = self.gateway.knowledge.catalog.borrow();
         let bound = rollout.bound.saturating_sub(rollout.margin);
-        belief.oldest_allowed(model, bound, now)
+        catalog.oldest_allowed(model, bound, now)
     }
 
     /// Sends the request to the chosen replica.
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -36,7 +36,7 @@
     request: &mut Request,
     trace: &mut Trace,
 ) -> Result<Job, Refusal> {
-    let routing = gateway.knowledge.belief.borrow().routing().cloned();
+    let routing = gateway.knowledge.catalog.borrow().routing().cloned();
     let ask = gateway.dialect.ask(request.head());
     if let Ok(ask) = &ask {
         trace.id.clone_from(&ask.id);
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -93,8 +93,8 @@
         let gateway = &self.gateway;
         let took = self.elapsed();
         gateway.instruments.request(self.outcome, took);
-        let belief = gateway.knowledge.belief.borrow();
-        let version = belief
+        let catalog = gateway.knowledge.catalog.borrow();
+        let version = catalog
             .routing()
             .map_or(0, |routing| routing.document.version);
         log::info!(
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -28,7 +28,7 @@
 use traffic::Traffic;
 
 use crate::clock::{Clock, Time};
-use crate::config::belief::{Belief, Dated, Effect, Fact, Marks};
+use crate::config::catalog::{Catalog, Dated, Effect, Fact, Marks};
 use crate::config::residency::Regions;
 use crate::exchange::{self, path::Paths};
 use crate::log::Repeats;
@@ -100,7 +100,7 @@
     /// What they are, by purpose.
     pub traffic: Traffic,
     /// Beliefs about the platform.
-    pub belief: RefCell<Belief>,
+    pub catalog: RefCell<Catalog>,
     /// Entries.
     pub peers: RefCell<Peers>,
     /// The newest configuration in brief, where the whole is not kept.
@@ -151,7 +151,7 @@
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             client: exchange::Client::sharing(paths),
             traffic: Traffic::default(),
-            belief: RefCell::new(Belief::new(!policy.doubt)),
+            catalog: RefCell::new(Catalog::new(!policy.doubt)),
             policy,
             peers: RefCell::new(Peers::new(own)),
             brief: RefCell::default(),
@@ -204,13 +204,13 @@
     /// Whether this entry lacks the configuration or the list of replicas. It needs both to serve
     /// requests.
     pub fn lacks_initial_state(&self) -> bool {
-        let belief = self.belief.borrow();
-        belief.routing().is_none() || !belief.lists_replicas()
+        let catalog = self.catalog.borrow();
+        catalog.routing().is_none() || !catalog.lists_replicas()
     }
 
     /// Whether this entry has never had the list of replicas and a process with `marks` has it.
     fn lacks_list(&self, marks: Marks) -> bool {
-        marks.replicas > 0 && !self.belief.borrow().lists_replicas()
+        marks.replicas > 0 && !self.catalog.borrow().lists_replicas()
     }
 
     /// Bytes of an answer of the store came.
@@ -254,7 +254,7 @@
 
     /// Whether another process with these marks knows something newer.
     pub fn lacks(&self, marks: Marks) -> bool {
-        marks.any_newer_than(self.belief.borrow().marks())
+        marks.any_newer_than(self.catalog.borrow().marks())
     }
 
     /// The place of a process in `hall` as a source of draws.
@@ -297,26 +297,26 @@
 
     /// Whether the configuration is known up to `revision`.
     fn knows_routing(&self, revision: u64) -> bool {
-        self.belief.borrow().marks().routing >= revision
+        self.catalog.borrow().marks().routing >= revision
     }
 
     /// The revision up to which a topic is known.
     pub fn revision(&self, topic: Topic) -> u64 {
-        let belief = self.belief.borrow();
+        let catalog = self.catalog.borrow();
         match topic {
             Topic::Operator => {
                 // An evacuation may be told while a configuration of before is still drawn: who watches
                 // from it on would miss that one. What is seen twice changes nothing.
-                let marks = belief.marks();
+                let marks = catalog.marks();
                 // Without a configuration, read from the start: a version received from another
                 // process may have a later revision than the configuration, and a watch from that
                 // revision would miss it.
-                if belief.routing().is_none() {
+                if catalog.routing().is_none() {
                     return 0;
                 }
                 marks.routing.max(marks.versions)
             }
-            Topic::Replicas => belief.listed_at(),
+            Topic::Replicas => catalog.listed_at(),
         }
     }
 
@@ -347,7 +347,7 @@
         let revision = dated.revision;
         let text = describe(&dated.fact);
         let (now, shaky) = (self.now(), self.shaky());
-        let effect = self.belief.borrow_mut().learn(dated, now, shaky);
+        let effect = self.catalog.borrow_mut().learn(dated, now, shaky);
         if effect != Effect::None {
             log::info!(revision, origin, shaky; "learned: {text}");
         }
@@ -388,7 +388,7 @@
             changed |= self.learn(dated, "store") != Effect::None;
         }
         if topic == Topic::Replicas {
-            self.belief.borrow_mut().reached(batch.at);
+            self.catalog.borrow_mut().reached(batch.at);
         }
         changed
     }
@@ -400,7 +400,10 @@
             _ => None,
         });
         let halls: Vec<Arc<str>> = halls.collect();
-        let effect = self.belief.borrow_mut().learn_evacuations(&halls, batch.at);
+        let effect = self
+            .catalog
+            .borrow_mut()
+            .learn_evacuations(&halls, batch.at);
         if effect != Effect::None {
             log::info!(revision = batch.at; "learned: evacuations that are over");
         }
@@ -426,8 +429,11 @@
     fn take_list(&self, records: Vec<(u64, Record)>, at: u64, shaky: bool, origin: &str) -> Effect {
         let count = records.len();
         let now = self.now();
-        let first_list = !self.belief.borrow().lists_replicas();
-        let effect = self.belief.borrow_mut().learn_list(records, at, now, shaky);
+        let first_list = !self.catalog.borrow().lists_replicas();
+        let effect = self
+            .catalog
+            .borrow_mut()
+            .learn_list(records, at, now, shaky);
         if first_list && !self.lacks_initial_state() {
             self.draws.borrow_mut().learned();
         }
@@ -446,23 +452,23 @@
 
     /// The model that `service` serves, by the engine's figures, or by what its replicas hold.
     pub fn model_of(&self, service: &str) -> Option<Arc<str>> {
-        let belief = self.belief.borrow();
-        let configured = belief.routing().and_then(|routing| {
+        let catalog = self.catalog.borrow();
+        let configured = catalog.routing().and_then(|routing| {
             let engine = routing.service(service)?.engine.as_ref()?;
             engine.models.first().cloned()
         });
-        configured.or_else(|| belief.held_model(Some(service)))
+        configured.or_else(|| catalog.held_model(Some(service)))
     }
 
     /// The configuration in brief, from the whole if that is known.
     pub fn brief(&self) -> Option<Brief> {
-        let belief = self.belief.borrow();
-        let Some(routing) = belief.routing() else {
+        let catalog = self.catalog.borrow();
+        let Some(routing) = catalog.routing() else {
             return self.brief.borrow().clone();
         };
         let services = routing.document.services.iter();
         Some(Brief {
-            revision: belief.marks().routing,
+            revision: catalog.marks().routing,
             origin: routing.origin(),
             origin_mbps: routing.origin_mbps(),
             engine: services.clone().find_map(|service| service.engine.clone()),
--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -21,7 +21,7 @@
 use super::Knowledge;
 use super::gossip::{self, Error};
 use crate::clock::Time;
-use crate::config::belief::Marks;
+use crate::config::catalog::Marks;
 use crate::wire::sync::{FRAME_PATH, News, SYNC_PATH, Sync};
 
 /// Maximum number of branches into which an entry splits the receivers of a message.
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -18,7 +18,7 @@
 use super::readers::Readers;
 use super::rounds::{Round, RoundInput, RoundPlanner};
 use super::traffic::Purpose;
-use crate::config::belief::Marks;
+use crate::config::catalog::Marks;
 use crate::exchange::{Note, Options, Request};
 use crate::patience::{self, Progress};
 use crate::place;
--- a/src/knowledge/hub.rs
+++ b/src/knowledge/hub.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::config::belief::Marks;
+use crate::config::catalog::Marks;
 
 /// Time between two frames that tell everything. Who gets a request is asked before it is sent
 /// there, so that a frame only has to say whom to ask.
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -10,7 +10,7 @@
 use super::readers::Readers;
 use super::rounds::PeerExchange;
 use crate::clock::Time;
-use crate::config::belief::{Belief, Changes, Dated, DatedRecord, Effect, Fact, Marks, Wanted};
+use crate::config::catalog::{Catalog, Changes, Dated, DatedRecord, Effect, Fact, Marks, Wanted};
 use crate::member::peer::Told;
 use crate::wire::pack;
 use crate::wire::sync::{DatedDocument, List, Named, News, PackedList, Sync};
@@ -75,7 +75,7 @@
         let (written, removed) = (changes.records.len(), changes.gone.len());
         let shaky = changes.shaky || self.shaky();
         let now = self.now();
-        let effect = self.belief.borrow_mut().learn_changes(changes, now, shaky);
+        let effect = self.catalog.borrow_mut().learn_changes(changes, now, shaky);
         if effect != Effect::None {
             log::info!(revision, origin, written, removed, shaky; "learned: changes of replicas");
         }
@@ -120,7 +120,10 @@
             since: now,
         };
         let model = named.model.clone();
-        let effect = self.belief.borrow_mut().learn_aged(model, wanted, age, now);
+        let effect = self
+            .catalog
+            .borrow_mut()
+            .learn_aged(model, wanted, age, now);
         if effect != Effect::None {
             log::info!(
                 model = &*named.model, version = named.version, age_ms = named.age_ms;
@@ -149,7 +152,7 @@
             from: self.identity.address,
             hall: self.identity.hall.clone(),
             entry: self.identity.entry,
-            marks: self.belief.borrow().marks(),
+            marks: self.catalog.borrow().marks(),
             store_age_ms: self.store_age_ms(now),
             peers: match exchange {
                 _ if !self.identity.entry => Vec::new(),
@@ -160,7 +163,7 @@
             wants_peers: exchange != PeerExchange::Skip,
             wants_routing: false,
             wants_list: false,
-            draws_list: !self.belief.borrow().lists_replicas(),
+            draws_list: !self.catalog.borrow().lists_replicas(),
             takes_changes: true,
             takes_packed_peers: true,
             takes_packed_digest: true,
@@ -171,9 +174,9 @@
     /// The news since `marks` without the configuration, if there is any.
     pub fn news_since(&self, marks: Marks) -> Option<News> {
         let has_news = {
-            let belief = self.belief.borrow();
-            let own = belief.marks().without_routing();
-            own.any_newer_than(marks) || names_young(&belief, self.now())
+            let catalog = self.catalog.borrow();
+            let own = catalog.marks().without_routing();
+            own.any_newer_than(marks) || names_young(&catalog, self.now())
         };
         has_news.then(|| {
             let sync = Sync {
@@ -216,8 +219,8 @@
         if sync.entry {
             self.hear(sync.from, &sync.hall, sync.store_age_ms);
         }
-        let belief = self.belief.borrow();
-        let marks = belief.marks();
+        let catalog = self.catalog.borrow();
+        let marks = catalog.marks();
         let told = if sync.wants_peers {
             entries(now)
         } else {
@@ -226,7 +229,7 @@
         let newer_routing = marks.routing > sync.marks.routing;
         let newer_list = marks.replicas > sync.marks.replicas;
         let changes = (newer_list && sync.takes_changes)
-            .then(|| belief.changes_since(sync.marks.replicas))
+            .then(|| catalog.changes_since(sync.marks.replicas))
             .flatten();
         let changes = changes.map(|changes| Changes {
             shaky: self.shaky(),
@@ -252,19 +255,19 @@
             routing: (newer_routing && sync.wants_routing)
                 .then(|| self.document())
                 .flatten(),
-            versions: if marks.versions > sync.marks.versions || names_young(&belief, now) {
+            versions: if marks.versions > sync.marks.versions || names_young(&catalog, now) {
                 self.named(now)
             } else {
                 Vec::new()
             },
             evacuations: if marks.evacuations > sync.marks.evacuations {
-                belief.evacuations().tell()
+                catalog.evacuations().tell()
             } else {
                 Vec::new()
             },
             // A process that begins contacts several others, so it gets the list only from the one it
             // draws it from.
-            replicas: (needs_whole_list && !sync.draws_list).then(|| list(&belief, self.shaky())),
+            replicas: (needs_whole_list && !sync.draws_list).then(|| list(&catalog, self.shaky())),
             list: (needs_whole_list && sync.draws_list && sync.wants_list)
                 .then(|| self.packed_list())
                 .flatten(),
@@ -287,9 +290,9 @@
 
     /// The configuration as others draw it.
     fn document(&self) -> Option<DatedDocument> {
-        let belief = self.belief.borrow();
-        let routing = belief.routing()?;
-        let revision = belief.marks().routing;
+        let catalog = self.catalog.borrow();
+        let routing = catalog.routing()?;
+        let revision = catalog.marks().routing;
         let mut cache = self.packed.borrow_mut();
         match cache.get_or_pack(revision, || &*routing.document) {
             Ok(packed) => Some(DatedDocument { revision, packed }),
@@ -302,10 +305,10 @@
 
     /// The packed list of replicas, for processes that have none yet.
     fn packed_list(&self) -> Option<PackedList> {
-        let belief = self.belief.borrow();
-        let at = belief.marks().replicas;
+        let catalog = self.catalog.borrow();
+        let at = catalog.marks().replicas;
         let mut cache = self.packed_list.borrow_mut();
-        match cache.get_or_pack(at, || present_records(&belief)) {
+        match cache.get_or_pack(at, || present_records(&catalog)) {
             Ok(packed) => Some(PackedList {
                 at,
                 shaky: self.shaky(),
@@ -319,8 +322,8 @@
     }
 
     fn named(&self, now: Time) -> Vec<Named> {
-        let belief = self.belief.borrow();
-        let versions = belief.versions();
+        let catalog = self.catalog.borrow();
+        let versions = catalog.versions();
         versions
             .map(|(model, wanted)| Named {
                 model: model.clone(),
@@ -348,21 +351,21 @@
 
 /// Whether a version was named lately. Then a process that knows the newest may still lack the one before,
 /// which the store tells nobody any more, or have heard of them later than this one.
-fn names_young(belief: &Belief, now: Time) -> bool {
-    let mut named = belief.versions();
+fn names_young(catalog: &Catalog, now: Time) -> bool {
+    let mut named = catalog.versions();
     named.any(|(_, wanted)| now.since(wanted.since) < VERSIONS_TOLD)
 }
 
-fn list(belief: &Belief, shaky: bool) -> List {
+fn list(catalog: &Catalog, shaky: bool) -> List {
     List {
-        at: belief.marks().replicas,
+        at: catalog.marks().replicas,
         shaky,
-        records: present_records(belief),
+        records: present_records(catalog),
     }
 }
 
-fn present_records(belief: &Belief) -> Vec<DatedRecord> {
-    let present = belief.replicas().values();
+fn present_records(catalog: &Catalog) -> Vec<DatedRecord> {
+    let present = catalog.replicas().values();
     let present = present.filter(|listed| listed.gone.is_none());
     let dated = present.map(|listed| DatedRecord {
         revision: listed.revision,
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -6,7 +6,7 @@
 
 use super::{Key, Pool};
 use crate::clock::Time;
-use crate::config::belief::Listed;
+use crate::config::catalog::Listed;
 use crate::member::replica::Record;
 use crate::route::replica::{Due, Load, Replica};
 
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -13,7 +13,7 @@
 use crate::audit::Deed;
 use crate::burst::joined::{self, Target};
 use crate::clock::Time;
-use crate::config::belief::first_lacking;
+use crate::config::catalog::first_lacking;
 use crate::config::routing::over_link;
 use crate::member::{Listed, Role};
 use crate::version::rollout::{self, Step};
@@ -154,10 +154,10 @@
         let now = self.knowledge.now();
         let outlook = self.joined.get(label)?.outlook(now);
         let times = self.times()?;
-        let belief = self.knowledge.belief.borrow();
-        let named = belief.named(&newest.model);
+        let catalog = self.knowledge.catalog.borrow();
+        let named = catalog.named(&newest.model);
         let known = self.stopgap.borrow().as_ref().map(|target| target.version);
-        let hold = belief.held_versions(&newest.model);
+        let hold = catalog.held_versions(&newest.model);
         // One that is coming already is not left for another.
         let chosen = known.filter(|version| {
             let lacking = first_lacking(named, *version);
@@ -201,8 +201,8 @@
     /// The processes beside the replicas of the own service, and the entries.
     fn members(&self) -> Vec<Listed> {
         let service = {
-            let belief = self.knowledge.belief.borrow();
-            let mut records = belief.replicas().values().map(|listed| &listed.record);
+            let catalog = self.knowledge.catalog.borrow();
+            let mut records = catalog.replicas().values().map(|listed| &listed.record);
             let own = records.find(|record| record.address == self.setting.replica);
             own.map(|record| record.service.clone())
         };
--- a/src/source.rs
+++ b/src/source.rs
@@ -4,7 +4,7 @@
 
 use futures_util::future::LocalBoxFuture;
 
-use crate::config::belief::Dated;
+use crate::config::catalog::Dated;
 use crate::patience::Progress;
 
 /// What is read or watched as one.
--- a/src/version/stopgap.rs
+++ b/src/version/stopgap.rs
@@ -10,7 +10,7 @@
 
 use super::TAKING_IN;
 use crate::clock::Time;
-use crate::config::belief::{Wanted, first_lacking};
+use crate::config::catalog::{Wanted, first_lacking};
 
 /// How long a replica is to serve a version that it takes for a time: to give it up again takes about a
 /// second of its work (what runs is finished, 0.3 s to take the next one in).
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::belief::{Changes, DatedRecord, Marks};
+use crate::config::catalog::{Changes, DatedRecord, Marks};
 use crate::config::evacuation::Evacuation;
 use crate::config::routing::{Engine, over_link};
 use crate::member::peer::Told;
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::{Clock, Time};
-use pumicelatch::config::belief::{Belief, DOUBT, Dated, Effect, Fact, Wanted, first_lacking};
+use pumicelatch::config::catalog::{Catalog, DOUBT, Dated, Effect, Fact, Wanted, first_lacking};
 use pumicelatch::config::residency::Residency;
 use pumicelatch::config::routing::{
     Access, Customer, Document, Gaps, Kind, Limits, Route, Routing, Share,
@@ -68,12 +68,12 @@
     }
 }
 
-fn learn(belief: &mut Belief, revision: u64, fact: Fact, now: Time) -> Effect {
-    belief.learn(Dated { revision, fact }, now, false)
+fn learn(catalog: &mut Catalog, revision: u64, fact: Fact, now: Time) -> Effect {
+    catalog.learn(Dated { revision, fact }, now, false)
 }
 
-fn usable(belief: &Belief, id: &str) -> bool {
-    let listed = belief.replicas().get(id);
+fn usable(catalog: &Catalog, id: &str) -> bool {
+    let listed = catalog.replicas().get(id);
     listed.is_some_and(|listed| listed.gone.is_none() || listed.doubted)
 }
 
@@ -128,14 +128,14 @@
 #[test]
 fn an_older_configuration_never_comes_back() {
     fn property(steps: Vec<(u8, u8)>) -> bool {
-        let mut belief = Belief::default();
+        let mut catalog = Catalog::default();
         let mut highest = (0, 0);
         for (revision, version) in steps {
             let (revision, version) = (u64::from(revision), u64::from(version));
             let fact = Fact::Routing(Arc::new(document(version)));
-            learn(&mut belief, revision, fact, Time::default());
-            let known = belief.routing().map_or(0, |known| known.document.version);
-            let marks = belief.marks().routing;
+            learn(&mut catalog, revision, fact, Time::default());
+            let known = catalog.routing().map_or(0, |known| known.document.version);
+            let marks = catalog.marks().routing;
             if known < highest.0 || marks < highest.1 {
                 return false;
             }
@@ -148,32 +148,32 @@
 
 #[test]
 fn a_removed_replica_does_not_come_back_with_an_old_entry() {
-    let mut belief = Belief::default();
+    let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
-    learn(&mut belief, 5, Fact::Replica(record("i-1")), now);
-    assert!(usable(&belief, "i-1"));
-    learn(&mut belief, 9, Fact::ReplicaGone("i-1".into()), now);
-    assert!(!usable(&belief, "i-1"));
-    belief.sweep(now);
-    learn(&mut belief, 7, Fact::Replica(record("i-1")), now);
-    assert!(!usable(&belief, "i-1"));
-    learn(&mut belief, 11, Fact::Replica(record("i-1")), now);
-    assert!(usable(&belief, "i-1"));
+    learn(&mut catalog, 5, Fact::Replica(record("i-1")), now);
+    assert!(usable(&catalog, "i-1"));
+    learn(&mut catalog, 9, Fact::ReplicaGone("i-1".into()), now);
+    assert!(!usable(&catalog, "i-1"));
+    catalog.sweep(now);
+    learn(&mut catalog, 7, Fact::Replica(record("i-1")), now);
+    assert!(!usable(&catalog, "i-1"));
+    learn(&mut catalog, 11, Fact::Replica(record("i-1")), now);
+    assert!(usable(&catalog, "i-1"));
 }
 
 #[test]
 fn a_removal_just_after_the_store_was_lost_is_doubted_for_a_while() {
-    let mut belief = Belief::default();
+    let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
-    learn(&mut belief, 5, Fact::Replica(record("i-1")), now);
+    learn(&mut catalog, 5, Fact::Replica(record("i-1")), now);
     let gone = Dated {
         revision: 6,
         fact: Fact::ReplicaGone("i-1".into()),
     };
-    belief.learn(gone, now, true);
-    assert!(usable(&belief, "i-1"));
-    assert!(belief.sweep(now + DOUBT));
-    assert!(!usable(&belief, "i-1"));
+    catalog.learn(gone, now, true);
+    assert!(usable(&catalog, "i-1"));
+    assert!(catalog.sweep(now + DOUBT));
+    assert!(!usable(&catalog, "i-1"));
     assert!(
         DOUBT < Duration::from_millis(1_500),
         "it ends before a leaving replica is due"
@@ -182,41 +182,41 @@
 
 #[test]
 fn replicas_that_vanish_together_are_doubted_and_one_alone_is_not() {
-    let mut belief = Belief::default();
+    let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
     for index in 0..12 {
         let id = format!("i-{index}");
-        learn(&mut belief, 5, Fact::Replica(record(&id)), now);
+        learn(&mut catalog, 5, Fact::Replica(record(&id)), now);
     }
-    learn(&mut belief, 6, Fact::ReplicaGone("i-0".into()), now);
-    assert!(!usable(&belief, "i-0"));
+    learn(&mut catalog, 6, Fact::ReplicaGone("i-0".into()), now);
+    assert!(!usable(&catalog, "i-0"));
     for index in 1..5 {
         let id: Arc<str> = format!("i-{index}").into();
-        learn(&mut belief, 7, Fact::ReplicaGone(id), now);
+        learn(&mut catalog, 7, Fact::ReplicaGone(id), now);
     }
-    assert!((1..5).all(|index| usable(&belief, &format!("i-{index}"))));
+    assert!((1..5).all(|index| usable(&catalog, &format!("i-{index}"))));
 }
 
 #[test]
 fn every_named_version_keeps_its_own_bound() {
-    let mut belief = Belief::default();
+    let mut catalog = Catalog::default();
     let bound = Duration::from_secs(8);
-    let name = |belief: &mut Belief, version, at: u64| {
+    let name = |catalog: &mut Catalog, version, at: u64| {
         let fact = Fact::Version {
             model: "m".into(),
             version,
         };
-        learn(belief, version, fact, Time::from_millis(at));
+        learn(catalog, version, fact, Time::from_millis(at));
     };
-    name(&mut belief, 2, 18_000);
-    name(&mut belief, 3, 20_000);
-    let allowed = |at: u64| belief.oldest_allowed("m", bound, Time::from_millis(at));
+    name(&mut catalog, 2, 18_000);
+    name(&mut catalog, 3, 20_000);
+    let allowed = |at: u64| catalog.oldest_allowed("m", bound, Time::from_millis(at));
     assert_eq!(allowed(25_999), 0);
     assert_eq!(allowed(26_000), 2);
     assert_eq!(allowed(28_000), 3);
-    let first = first_lacking(belief.named("m"), 1).unwrap();
+    let first = first_lacking(catalog.named("m"), 1).unwrap();
     assert_eq!((first.version, first.since), (2, Time::from_millis(18_000)));
-    assert_eq!(first_lacking(belief.named("m"), 3), None);
+    assert_eq!(first_lacking(catalog.named("m"), 3), None);
 }
 
 #[test]
@@ -225,15 +225,15 @@
         if versions.is_empty() {
             return TestResult::discard();
         }
-        let mut belief = Belief::default();
+        let mut catalog = Catalog::default();
         for &version in &versions {
             let fact = Fact::Version {
                 model: "m".into(),
                 version: u64::from(version),
             };
-            learn(&mut belief, u64::from(version), fact, Time::default());
+            learn(&mut catalog, u64::from(version), fact, Time::default());
         }
-        let named = belief.named("m");
+        let named = catalog.named("m");
         let ordered = named
             .windows(2)
             .all(|pair| pair[0].version < pair[1].version);
@@ -277,17 +277,17 @@
     assert_eq!(peers.alive(now).count(), 1);
     assert_eq!(peers.added(), 1);
 
-    let mut belief = Belief::default();
+    let mut catalog = Catalog::default();
     let wanted = Wanted {
         version: 2,
         revision: 5,
         since: now,
     };
     let age = Duration::from_secs(10);
-    belief.learn_aged("m".into(), wanted, age, now);
+    catalog.learn_aged("m".into(), wanted, age, now);
     let bound = Duration::from_secs(8);
     assert_eq!(
-        belief.oldest_allowed("m", bound, now),
+        catalog.oldest_allowed("m", bound, now),
         2,
         "its bound is over"
     );
@@ -295,13 +295,13 @@
 
 #[test]
 fn a_document_without_a_version_is_ordered_by_its_revision_alone() {
-    let mut belief = Belief::default();
+    let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
     let mut learn = |revision, version: u64| {
         let mut document = document(version);
         document.gaps.version = version == 0;
         let fact = Fact::Routing(Arc::new(document));
-        belief.learn(Dated { revision, fact }, now, false)
+        catalog.learn(Dated { revision, fact }, now, false)
     };
     assert_eq!(learn(5, 7), Effect::Routing);
     assert_eq!(learn(6, 7), Effect::None);
@@ -311,7 +311,7 @@
 }
 
 /// What one process knows after some changes, and what another learns of it.
-fn follower(first: &Belief, second: &mut Belief) {
+fn follower(first: &Catalog, second: &mut Catalog) {
     let since = second.marks().replicas;
     match first.changes_since(since) {
         Some(changes) => second.learn_changes(changes, Time::default(), false),
@@ -329,7 +329,7 @@
 fn whoever_is_told_changes_alone_knows_the_same_list() {
     fn property(steps: Vec<(u8, bool, bool)>) -> bool {
         let now = Time::default();
-        let (mut first, mut second) = (Belief::new(true), Belief::new(true));
+        let (mut first, mut second) = (Catalog::new(true), Catalog::new(true));
         first.learn_list(vec![(1, record("i-0"))], 1, now, false);
         for (step, (id, goes, told)) in steps.into_iter().enumerate() {
             let id = format!("i-{}", id % 6);
@@ -344,8 +344,8 @@
             learn(&mut first, step as u64 + 2, fact, now);
             if told {
                 follower(&first, &mut second);
-                let present = |belief: &Belief| -> Vec<Record> {
-                    let listed = belief.replicas().values();
+                let present = |catalog: &Catalog| -> Vec<Record> {
+                    let listed = catalog.replicas().values();
                     let listed = listed.filter(|listed| listed.gone.is_none());
                     listed.map(|listed| listed.record.clone()).collect()
                 };
@@ -362,7 +362,7 @@
 #[test]
 fn changes_before_the_own_start_are_not_told_alone() {
     let now = Time::default();
-    let mut late = Belief::new(true);
+    let mut late = Catalog::new(true);
     late.learn_list(vec![(30, record("i-2"))], 50, now, false);
     assert!(
         late.changes_since(40).is_none(),
@@ -372,7 +372,7 @@
     let changes = late.changes_since(50).unwrap();
     assert!(changes.records.len() == 1 && changes.gone.is_empty());
     // One that lacks more than the changes tell does not take them for the whole.
-    let mut other = Belief::new(true);
+    let mut other = Catalog::new(true);
     other.learn_list(vec![(10, record("i-1"))], 10, now, false);
     assert_eq!(other.learn_changes(changes, now, false), Effect::None);
     assert!(!usable(&other, "i-3"));
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::{Listed, Wanted};
+use pumicelatch::config::catalog::{Listed, Wanted};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::gateway::event::Cutter;
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::{Dated, Fact, Marks};
+use pumicelatch::config::catalog::{Dated, Fact, Marks};
 use pumicelatch::config::routing::{Document, Kind};
 use pumicelatch::knowledge::draws::{Draws, Place};
 use pumicelatch::knowledge::halls::{Ask, Halls, PERIOD};
@@ -388,8 +388,8 @@
         knowledge.trouble();
         let gone = batch(6, Fact::ReplicaGone("i-1".into()));
         knowledge.take_batch(Topic::Replicas, false, gone);
-        let belief = knowledge.belief.borrow();
-        belief.replicas()["i-1"].doubted
+        let catalog = knowledge.catalog.borrow();
+        catalog.replicas()["i-1"].doubted
     };
     assert!(removal_is_doubted(false));
     assert!(!removal_is_doubted(true));
@@ -432,8 +432,8 @@
 fn an_entry_that_the_store_turns_away_hears_of_evacuations_and_their_end() {
     let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
     let asked = |knowledge: &Knowledge| {
-        let belief = knowledge.belief.borrow();
-        belief.evacuations().asked().cloned().collect::<Vec<_>>()
+        let catalog = knowledge.catalog.borrow();
+        catalog.evacuations().asked().cloned().collect::<Vec<_>>()
     };
     let tell = || {
         let news = reader.news_for(&other.sync(false), false);
@@ -511,7 +511,7 @@
     let drawn = reader.news_for(&draws, false);
     assert!(size(&drawn) * 3 < size(&whole), "{}", size(&drawn));
     other.take_news(entry(1, 1), drawn);
-    assert_eq!(other.belief.borrow().replicas().len(), 90);
+    assert_eq!(other.catalog.borrow().replicas().len(), 90);
     assert_eq!(other.sync(false).marks, reader.sync(false).marks);
     // An entry that read the list while it was empty does not draw it again.
     let early = entry_knowing_nothing(3);
@@ -521,7 +521,7 @@
     };
     early.take_batch(Topic::Replicas, true, empty);
     early.take_news(entry(1, 1), reader.news_for(&early.sync(false), false));
-    assert_eq!(early.belief.borrow().replicas().len(), 90);
+    assert_eq!(early.catalog.borrow().replicas().len(), 90);
     // After the first list, only changes are sent.
     let gone = batch(91, Fact::ReplicaGone("i-7".into()));
     reader.take_batch(Topic::Replicas, false, gone);
@@ -647,7 +647,7 @@
     let news = reader.news_since(before).unwrap();
     assert!(news.routing.is_none());
     other.take_news(entry(1, 1), news);
-    assert_eq!(other.belief.borrow().evacuations().asked().count(), 1);
+    assert_eq!(other.catalog.borrow().evacuations().asked().count(), 1);
 }
 
 /// Guards against answers to other halls that repeat the field names for each replica.
@@ -762,7 +762,7 @@
     };
     sender.take_batch(Topic::Operator, false, batch(9, version));
     receiver.take_news(entry(1, 1), sender.news_for(&receiver.sync(false), false));
-    assert_eq!(receiver.belief.borrow().versions().count(), 1);
+    assert_eq!(receiver.catalog.borrow().versions().count(), 1);
     assert_eq!(receiver.revision(Topic::Operator), 0);
     let document = Arc::new(Document {
         version: 1,
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::{Belief, Dated, Effect, Fact};
+use pumicelatch::config::catalog::{Catalog, Dated, Effect, Fact};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::member::replica::{Held, Record};
@@ -58,7 +58,7 @@
 
 /// An entry's picture: what it believes of the list, and its pool.
 struct Entry {
-    belief: Belief,
+    catalog: Catalog,
     pool: Pool,
     engine: Engine,
     regions: Regions,
@@ -67,7 +67,7 @@
 impl Entry {
     fn new() -> Self {
         Self {
-            belief: Belief::new(true),
+            catalog: Catalog::new(true),
             pool: Pool::new("hall".into(), Policy::default()),
             engine: Engine {
                 guessed: false,
@@ -79,8 +79,8 @@
 
     fn learn(&mut self, revision: u64, record: Record) -> Effect {
         let fact = Fact::Replica(record);
-        let effect = self.belief.learn(Dated { revision, fact }, NOW, false);
-        self.pool.update(self.belief.replicas(), |_| None);
+        let effect = self.catalog.learn(Dated { revision, fact }, NOW, false);
+        self.pool.update(self.catalog.replicas(), |_| None);
         effect
     }
 
@@ -186,7 +186,7 @@
         let mut entry = Entry::new();
         let mut told = false;
         for news in &order {
-            let listed = entry.belief.replicas().contains_key("i-1");
+            let listed = entry.catalog.replicas().contains_key("i-1");
             // A report about a replica that is not listed yet is no news of it.
             told |= news.tells_second() && (listed || *news == ListedSecond);
             news.arrives(&mut entry);
@@ -198,7 +198,7 @@
                 );
             }
         }
-        let listed = &entry.belief.replicas()["i-1"];
+        let listed = &entry.catalog.replicas()["i-1"];
         assert_eq!(
             (listed.record.born, listed.gone),
             (SECOND, None),
@@ -221,12 +221,12 @@
 fn the_order_of_lists_makes_no_difference_to_what_is_told_on() {
     let (early, late) = (record(FIRST, holding(1)), record(SECOND, Vec::new()));
     let learnt = |order: [(u64, &Record); 2]| {
-        let mut belief = Belief::new(true);
+        let mut catalog = Catalog::new(true);
         for (revision, record) in order {
             let fact = Fact::Replica(record.clone());
-            belief.learn(Dated { revision, fact }, NOW, false);
+            catalog.learn(Dated { revision, fact }, NOW, false);
         }
-        belief.replicas()["i-1"].record.clone()
+        catalog.replicas()["i-1"].record.clone()
     };
     for (first, second) in [(10, 12), (12, 10)] {
         assert_eq!(learnt([(first, &early), (second, &late)]), late);
--- a/tests/named.rs
+++ b/tests/named.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use pumicelatch::config::belief::{Dated, Fact, Wanted};
+use pumicelatch::config::catalog::{Dated, Fact, Wanted};
 use pumicelatch::knowledge::{Identity, Knowledge};
 use pumicelatch::policy::Policy;
 use pumicelatch::source::{Batch, Topic};
@@ -62,8 +62,8 @@
 /// How long it has known each version.
 fn ages(knowledge: &Knowledge) -> Vec<(u64, Duration)> {
     let now = knowledge.now();
-    let belief = knowledge.belief.borrow();
-    let named = belief.named(MODEL).iter();
+    let catalog = knowledge.catalog.borrow();
+    let named = catalog.named(MODEL).iter();
     named
         .map(|Wanted { version, since, .. }| (*version, now.since(*since)))
         .collect()
@@ -97,7 +97,7 @@
     let versions: Vec<u64> = ages(&late).iter().map(|(version, _)| *version).collect();
     assert_eq!(versions, [2, 3]);
     let oldest = late
-        .belief
+        .catalog
         .borrow()
         .oldest_allowed(MODEL, LATER, late.now());
     assert_eq!(oldest, 2, "nothing may start on version 1 any more");
--- a/tests/notice.rs
+++ b/tests/notice.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::Listed;
+use pumicelatch::config::catalog::Listed;
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::member::replica::Record;
 use pumicelatch::policy::Policy;
--- a/tests/stopgap.rs
+++ b/tests/stopgap.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::Wanted;
+use pumicelatch::config::catalog::Wanted;
 use pumicelatch::version::stopgap::{self, Outlook, Times};
 
 const NOW: Time = Time::from_millis(50_000);
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::{Belief, Dated, Effect, Fact};
+use pumicelatch::config::catalog::{Catalog, Dated, Effect, Fact};
 use pumicelatch::config::evacuation::{Evacuation, Evacuations};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::member::replica::{Held, Record};
@@ -46,7 +46,7 @@
 
 /// An entry of the hall north-a, with two replicas in each of three halls of two regions.
 struct Entry {
-    belief: Belief,
+    catalog: Catalog,
     pool: Pool,
     regions: Regions,
     cold_per_s: f64,
@@ -55,7 +55,7 @@
 impl Entry {
     fn new() -> Self {
         let mut entry = Self {
-            belief: Belief::new(true),
+            catalog: Catalog::new(true),
             pool: Pool::new("north-a".into(), Policy::default()),
             regions: [
                 ("north-a", "north"),
@@ -80,9 +80,9 @@
     }
 
     fn learn(&mut self, revision: u64, fact: Fact, now: Time) -> Effect {
-        let effect = self.belief.learn(Dated { revision, fact }, now, false);
-        self.pool.update(self.belief.replicas(), |_| None);
-        let halls: BTreeSet<Arc<str>> = self.belief.evacuations().asked().cloned().collect();
+        let effect = self.catalog.learn(Dated { revision, fact }, now, false);
+        self.pool.update(self.catalog.replicas(), |_| None);
+        let halls: BTreeSet<Arc<str>> = self.catalog.evacuations().asked().cloned().collect();
         self.pool.evacuate(halls);
         self.pool.tell_cold(now);
         effect
