--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -58,7 +58,7 @@
 
 /// A fact and the revision that set it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Dated {
+pub struct Revisioned {
     /// The revision.
     pub revision: u64,
     /// The fact.
@@ -140,7 +140,7 @@
 
 /// A replica's entry and its revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DatedRecord {
+pub struct RevisionedRecord {
     /// The revision.
     pub revision: u64,
     /// The entry.
@@ -168,7 +168,7 @@
     pub shaky: bool,
     /// Entries that were written.
     #[serde(default)]
-    pub records: Vec<DatedRecord>,
+    pub records: Vec<RevisionedRecord>,
     /// Entries that went.
     #[serde(default)]
     pub gone: Vec<Removal>,
@@ -297,7 +297,7 @@
     }
 
     /// Takes one fact. `shaky` tells that the store was out of reach shortly before.
-    pub fn learn(&mut self, dated: Dated, now: Time, shaky: bool) -> Effect {
+    pub fn learn(&mut self, dated: Revisioned, now: Time, shaky: bool) -> Effect {
         let revision = dated.revision;
         match dated.fact {
             Fact::Routing(document) => self.learn_routing(revision, document),
@@ -477,7 +477,7 @@
             at: self.replicas_changed,
             shaky: false,
             records: present
-                .map(|listed| DatedRecord {
+                .map(|listed| RevisionedRecord {
                     revision: listed.revision,
                     record: listed.record.clone(),
                 })
@@ -498,7 +498,7 @@
         }
         let shaky = shaky || changes.shaky;
         let mut effect = Effect::None;
-        for DatedRecord { revision, record } in changes.records {
+        for RevisionedRecord { revision, record } in changes.records {
             if self.learn_replica(revision, record) != Effect::None {
                 effect = Effect::Replicas;
             }
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -28,7 +28,7 @@
 use traffic::Traffic;
 
 use crate::clock::{Clock, Time};
-use crate::config::catalog::{Catalog, Dated, Effect, Fact, Marks};
+use crate::config::catalog::{Catalog, Effect, Fact, Marks, Revisioned};
 use crate::config::residency::Regions;
 use crate::exchange::{self, path::Paths};
 use crate::log::Repeats;
@@ -343,7 +343,7 @@
         }
     }
 
-    fn learn(&self, dated: Dated, origin: &str) -> Effect {
+    fn learn(&self, dated: Revisioned, origin: &str) -> Effect {
         let revision = dated.revision;
         let text = describe(&dated.fact);
         let (now, shaky) = (self.now(), self.shaky());
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -10,10 +10,12 @@
 use super::readers::Readers;
 use super::rounds::PeerExchange;
 use crate::clock::Time;
-use crate::config::catalog::{Catalog, Changes, Dated, DatedRecord, Effect, Fact, Marks, Wanted};
+use crate::config::catalog::{
+    Catalog, Changes, Effect, Fact, Marks, Revisioned, RevisionedRecord, Wanted,
+};
 use crate::member::peer::Told;
 use crate::wire::pack;
-use crate::wire::sync::{DatedDocument, List, Named, News, PackedList, Sync};
+use crate::wire::sync::{List, Named, News, PackedList, RevisionedDocument, Sync};
 
 /// How long after its naming a version is told to those who know it, with its age: longer than any
 /// bound that is counted from there.
@@ -46,7 +48,7 @@
                 hall: told.hall,
                 asked: told.asked,
             };
-            self.learn(Dated { revision, fact }, &from.to_string());
+            self.learn(Revisioned { revision, fact }, &from.to_string());
         }
         if let Some(list) = news.replicas {
             self.take_whole_list(from, list);
@@ -100,12 +102,12 @@
         }
     }
 
-    fn take_document(&self, from: SocketAddr, dated: DatedDocument) {
+    fn take_document(&self, from: SocketAddr, dated: RevisionedDocument) {
         let revision = dated.revision;
         match pack::unpack(&dated.packed) {
             Ok(document) => {
                 let fact = Fact::Routing(Arc::new(document));
-                self.learn(Dated { revision, fact }, &from.to_string());
+                self.learn(Revisioned { revision, fact }, &from.to_string());
             }
             Err(error) => log::warn!(from:% = from, revision; "configuration: {error}"),
         }
@@ -289,13 +291,13 @@
     }
 
     /// The configuration as others draw it.
-    fn document(&self) -> Option<DatedDocument> {
+    fn document(&self) -> Option<RevisionedDocument> {
         let catalog = self.catalog.borrow();
         let routing = catalog.routing()?;
         let revision = catalog.marks().routing;
         let mut cache = self.packed.borrow_mut();
         match cache.get_or_pack(revision, || &*routing.document) {
-            Ok(packed) => Some(DatedDocument { revision, packed }),
+            Ok(packed) => Some(RevisionedDocument { revision, packed }),
             Err(error) => {
                 log::error!(revision; "configuration: {error}");
                 None
@@ -364,10 +366,10 @@
     }
 }
 
-fn present_records(catalog: &Catalog) -> Vec<DatedRecord> {
+fn present_records(catalog: &Catalog) -> Vec<RevisionedRecord> {
     let present = catalog.replicas().values();
     let present = present.filter(|listed| listed.gone.is_none());
-    let dated = present.map(|listed| DatedRecord {
+    let dated = present.map(|listed| RevisionedRecord {
         revision: listed.revision,
         record: listed.record.clone(),
     });
--- a/src/source.rs
+++ b/src/source.rs
@@ -4,7 +4,7 @@
 
 use futures_util::future::LocalBoxFuture;
 
-use crate::config::catalog::Dated;
+use crate::config::catalog::Revisioned;
 use crate::patience::Progress;
 
 /// What is read or watched as one.
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Batch {
     /// The facts.
-    pub facts: Vec<Dated>,
+    pub facts: Vec<Revisioned>,
     /// The store's revision.
     pub at: u64,
     /// Bytes of the answers that brought the facts.
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::catalog::{Changes, DatedRecord, Marks};
+use crate::config::catalog::{Changes, Marks, RevisionedRecord};
 use crate::config::evacuation::Evacuation;
 use crate::config::routing::{Engine, over_link};
 use crate::member::peer::Told;
@@ -193,7 +193,7 @@
 
 /// A routing configuration and its revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DatedDocument {
+pub struct RevisionedDocument {
     /// The revision.
     pub revision: u64,
     /// The configuration, a [`crate::config::routing::Document`], packed.
@@ -210,7 +210,7 @@
     #[serde(default)]
     pub shaky: bool,
     /// The entries.
-    pub records: Vec<DatedRecord>,
+    pub records: Vec<RevisionedRecord>,
 }
 
 /// A list of replicas in packed form.
@@ -221,7 +221,7 @@
     /// Whether the store was out of reach shortly before.
     #[serde(default)]
     pub shaky: bool,
-    /// The packed sequence of [`DatedRecord`]s.
+    /// The packed sequence of [`RevisionedRecord`]s.
     #[serde(with = "serde_bytes")]
     pub packed: Vec<u8>,
 }
@@ -280,7 +280,7 @@
     pub packed_peers: Option<serde_bytes::ByteBuf>,
     /// Newer routing, if that was asked for.
     #[serde(default)]
-    pub routing: Option<DatedDocument>,
+    pub routing: Option<RevisionedDocument>,
     /// Newer wanted versions.
     #[serde(default)]
     pub versions: Vec<Named>,
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use pumicelatch::clock::{Clock, Time};
-use pumicelatch::config::catalog::{Catalog, DOUBT, Dated, Effect, Fact, Wanted, first_lacking};
+use pumicelatch::config::catalog::{
+    Catalog, DOUBT, Effect, Fact, Revisioned, Wanted, first_lacking,
+};
 use pumicelatch::config::residency::Residency;
 use pumicelatch::config::routing::{
     Access, Customer, Document, Gaps, Kind, Limits, Route, Routing, Share,
@@ -69,7 +71,7 @@
 }
 
 fn learn(catalog: &mut Catalog, revision: u64, fact: Fact, now: Time) -> Effect {
-    catalog.learn(Dated { revision, fact }, now, false)
+    catalog.learn(Revisioned { revision, fact }, now, false)
 }
 
 fn usable(catalog: &Catalog, id: &str) -> bool {
@@ -166,7 +168,7 @@
     let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
     learn(&mut catalog, 5, Fact::Replica(record("i-1")), now);
-    let gone = Dated {
+    let gone = Revisioned {
         revision: 6,
         fact: Fact::ReplicaGone("i-1".into()),
     };
@@ -301,7 +303,7 @@
         let mut document = document(version);
         document.gaps.version = version == 0;
         let fact = Fact::Routing(Arc::new(document));
-        catalog.learn(Dated { revision, fact }, now, false)
+        catalog.learn(Revisioned { revision, fact }, now, false)
     };
     assert_eq!(learn(5, 7), Effect::Routing);
     assert_eq!(learn(6, 7), Effect::None);
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::catalog::{Dated, Fact, Marks};
+use pumicelatch::config::catalog::{Fact, Marks, Revisioned};
 use pumicelatch::config::routing::{Document, Kind};
 use pumicelatch::knowledge::draws::{Draws, Place};
 use pumicelatch::knowledge::halls::{Ask, Halls, PERIOD};
@@ -412,7 +412,7 @@
 /// A batch from the store that holds only `fact`, written at revision `at`.
 fn batch(at: u64, fact: Fact) -> Batch {
     Batch {
-        facts: vec![Dated { revision: at, fact }],
+        facts: vec![Revisioned { revision: at, fact }],
         at,
         ..Batch::default()
     }
@@ -448,7 +448,7 @@
         hall: hall(2),
         asked: true,
     };
-    let dated = Dated {
+    let dated = Revisioned {
         revision: 6,
         fact: evacuation,
     };
@@ -484,7 +484,7 @@
 #[test]
 fn an_entry_that_begins_gets_the_list_when_it_draws_it_and_not_with_each_heartbeat() {
     let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
-    let facts = (1..=90).map(|index| Dated {
+    let facts = (1..=90).map(|index| Revisioned {
         revision: index.into(),
         fact: Fact::Replica(record(index)),
     });
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::catalog::{Catalog, Dated, Effect, Fact};
+use pumicelatch::config::catalog::{Catalog, Effect, Fact, Revisioned};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::member::replica::{Held, Record};
@@ -79,7 +79,9 @@
 
     fn learn(&mut self, revision: u64, record: Record) -> Effect {
         let fact = Fact::Replica(record);
-        let effect = self.catalog.learn(Dated { revision, fact }, NOW, false);
+        let effect = self
+            .catalog
+            .learn(Revisioned { revision, fact }, NOW, false);
         self.pool.update(self.catalog.replicas(), |_| None);
         effect
     }
@@ -224,7 +226,7 @@
         let mut catalog = Catalog::new(true);
         for (revision, record) in order {
             let fact = Fact::Replica(record.clone());
-            catalog.learn(Dated { revision, fact }, NOW, false);
+            catalog.learn(Revisioned { revision, fact }, NOW, false);
         }
         catalog.replicas()["i-1"].record.clone()
     };
--- a/tests/named.rs
+++ b/tests/named.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use pumicelatch::config::catalog::{Dated, Fact, Wanted};
+use pumicelatch::config::catalog::{Fact, Revisioned, Wanted};
 use pumicelatch::knowledge::{Identity, Knowledge};
 use pumicelatch::policy::Policy;
 use pumicelatch::source::{Batch, Topic};
@@ -43,7 +43,7 @@
         version,
     };
     let batch = Batch {
-        facts: vec![Dated {
+        facts: vec![Revisioned {
             revision: version,
             fact,
         }],
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::catalog::{Catalog, Dated, Effect, Fact};
+use pumicelatch::config::catalog::{Catalog, Effect, Fact, Revisioned};
 use pumicelatch::config::evacuation::{Evacuation, Evacuations};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::member::replica::{Held, Record};
@@ -80,7 +80,9 @@
     }
 
     fn learn(&mut self, revision: u64, fact: Fact, now: Time) -> Effect {
-        let effect = self.catalog.learn(Dated { revision, fact }, now, false);
+        let effect = self
+            .catalog
+            .learn(Revisioned { revision, fact }, now, false);
         self.pool.update(self.catalog.replicas(), |_| None);
         let halls: BTreeSet<Arc<str>> = self.catalog.evacuations().asked().cloned().collect();
         self.pool.evacuate(halls);
