--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -111,7 +111,7 @@
 
 /// How fresh a process's facts are, for comparing with another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Marks {
+pub struct Revisions {
     /// Revision of the routing configuration, 0 if none is known.
     pub routing: u64,
     /// Highest revision of the wanted versions.
@@ -123,7 +123,7 @@
     pub evacuations: u64,
 }
 
-impl Marks {
+impl Revisions {
     /// Whether at least one of these revisions is higher than its counterpart in `other`.
     pub fn any_newer_than(&self, other: Self) -> bool {
         self.routing > other.routing
@@ -273,8 +273,8 @@
     }
 
     /// How fresh everything is.
-    pub fn marks(&self) -> Marks {
-        Marks {
+    pub fn revisions(&self) -> Revisions {
+        Revisions {
             routing: self.routing.as_ref().map_or(0, |(revision, _)| *revision),
             versions: self
                 .versions()
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -121,8 +121,8 @@
 /// Answers a heartbeat; `from_hub` says whether it came in a frame to the whole hall.
 fn take_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
-    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.lacks(sync.marks) {
-        let fetch = gossip::fetch_news(knowledge.clone(), sync.from, sync.marks, from_hub);
+    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.lacks(sync.revisions) {
+        let fetch = gossip::fetch_news(knowledge.clone(), sync.from, sync.revisions, from_hub);
         actix_rt::spawn(fetch);
     }
     http::pack(StatusCode::OK, &knowledge.news_for(sync, !sync.entry))
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -103,7 +103,7 @@
     fn tell_hall(&self, extent: Extent, now: Time) {
         let knowledge = &self.knowledge;
         let sync = knowledge.sync(extent == Extent::Whole { entries: true });
-        let header = self.hub.borrow_mut().next_header(sync.marks);
+        let header = self.hub.borrow_mut().next_header(sync.revisions);
         let frame = Frame {
             digests: self.digests(extent, now),
             news: knowledge.news_since(header.baseline),
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -28,7 +28,7 @@
 use traffic::Traffic;
 
 use crate::clock::{Clock, Time};
-use crate::config::catalog::{Catalog, Effect, Fact, Marks, Revisioned};
+use crate::config::catalog::{Catalog, Effect, Fact, Revisioned, Revisions};
 use crate::config::residency::Regions;
 use crate::exchange::{self, path::Paths};
 use crate::log::Repeats;
@@ -209,8 +209,8 @@
     }
 
     /// Whether this entry has never had the list of replicas and a process with `marks` has it.
-    fn lacks_list(&self, marks: Marks) -> bool {
-        marks.replicas > 0 && !self.catalog.borrow().lists_replicas()
+    fn lacks_list(&self, revisions: Revisions) -> bool {
+        revisions.replicas > 0 && !self.catalog.borrow().lists_replicas()
     }
 
     /// Bytes of an answer of the store came.
@@ -253,8 +253,8 @@
     }
 
     /// Whether another process with these marks knows something newer.
-    pub fn lacks(&self, marks: Marks) -> bool {
-        marks.any_newer_than(self.catalog.borrow().marks())
+    pub fn lacks(&self, revisions: Revisions) -> bool {
+        revisions.any_newer_than(self.catalog.borrow().revisions())
     }
 
     /// The place of a process in `hall` as a source of draws.
@@ -280,8 +280,9 @@
 
     /// Whether this process is an entry that lacks the configuration or the list of replicas of a
     /// process with `marks`.
-    fn needs_draw(&self, marks: Marks) -> bool {
-        self.identity.entry && (!self.knows_routing(marks.routing) || self.lacks_list(marks))
+    fn needs_draw(&self, revisions: Revisions) -> bool {
+        self.identity.entry
+            && (!self.knows_routing(revisions.routing) || self.lacks_list(revisions))
     }
 
     /// Whether to start a draw from `peer` at `place` now. If so, the caller has to call
@@ -297,7 +298,7 @@
 
     /// Whether the configuration is known up to `revision`.
     fn knows_routing(&self, revision: u64) -> bool {
-        self.catalog.borrow().marks().routing >= revision
+        self.catalog.borrow().revisions().routing >= revision
     }
 
     /// The revision up to which a topic is known.
@@ -307,14 +308,14 @@
             Topic::Operator => {
                 // An evacuation may be told while a configuration of before is still drawn: who watches
                 // from it on would miss that one. What is seen twice changes nothing.
-                let marks = catalog.marks();
+                let revisions = catalog.revisions();
                 // Without a configuration, read from the start: a version received from another
                 // process may have a later revision than the configuration, and a watch from that
                 // revision would miss it.
                 if catalog.routing().is_none() {
                     return 0;
                 }
-                marks.routing.max(marks.versions)
+                revisions.routing.max(revisions.versions)
             }
             Topic::Replicas => catalog.listed_at(),
         }
@@ -468,7 +469,7 @@
         };
         let services = routing.document.services.iter();
         Some(Brief {
-            revision: catalog.marks().routing,
+            revision: catalog.revisions().routing,
             origin: routing.origin(),
             origin_mbps: routing.origin_mbps(),
             engine: services.clone().find_map(|service| service.engine.clone()),
--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -21,7 +21,7 @@
 use super::Knowledge;
 use super::gossip::{self, Error};
 use crate::clock::Time;
-use crate::config::catalog::Marks;
+use crate::config::catalog::Revisions;
 use crate::wire::sync::{FRAME_PATH, News, SYNC_PATH, Sync};
 
 /// Maximum number of branches into which an entry splits the receivers of a message.
@@ -187,10 +187,10 @@
 
 /// Fetches the news announced by another entry and forwards the notice.
 pub async fn forward_news(knowledge: Rc<Knowledge>, notice: ForwardedSync) {
-    let marks = notice.sync.marks;
-    let fetch = gossip::fetch_news(knowledge.clone(), notice.sync.from, marks, false);
+    let revisions = notice.sync.revisions;
+    let fetch = gossip::fetch_news(knowledge.clone(), notice.sync.from, revisions, false);
     actix_rt::spawn(fetch);
-    if timeout(FETCH_TIMEOUT, wait_until_known(&knowledge, marks))
+    if timeout(FETCH_TIMEOUT, wait_until_known(&knowledge, revisions))
         .await
         .is_err()
     {
@@ -199,9 +199,9 @@
     send(&knowledge, &Message::News, notice.receivers);
 }
 
-async fn wait_until_known(knowledge: &Knowledge, marks: Marks) {
+async fn wait_until_known(knowledge: &Knowledge, revisions: Revisions) {
     let mut changed = knowledge.changed.subscribe();
-    while knowledge.lacks(marks) {
+    while knowledge.lacks(revisions) {
         let _ = changed.changed().await;
     }
 }
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -18,7 +18,7 @@
 use super::readers::Readers;
 use super::rounds::{Round, RoundInput, RoundPlanner};
 use super::traffic::Purpose;
-use crate::config::catalog::Marks;
+use crate::config::catalog::Revisions;
 use crate::exchange::{Note, Options, Request};
 use crate::patience::{self, Progress};
 use crate::place;
@@ -91,11 +91,11 @@
 
 /// Takes what `peer` answered, and draws the configuration from it if that is newer there.
 pub fn take(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: News) {
-    let (hall, marks, entry) = (news.hall.clone(), news.marks, news.entry);
+    let (hall, revisions, entry) = (news.hall.clone(), news.revisions, news.entry);
     let digest = news.poison;
     knowledge.take_news(peer, news);
     if entry {
-        draw(knowledge, peer, marks, || knowledge.place_of(&hall));
+        draw(knowledge, peer, revisions, || knowledge.place_of(&hall));
     }
     let both = entry && knowledge.identity.entry;
     if both && digest != knowledge.poison.borrow().digest(knowledge.now()) {
@@ -219,8 +219,13 @@
 
 /// Draws the configuration, and the list of replicas if this entry has none yet, from `peer`, if
 /// `marks` show that the peer has them and [`Knowledge::begins_draw`] selects it at its `place`.
-fn draw(knowledge: &Rc<Knowledge>, peer: SocketAddr, marks: Marks, place: impl FnOnce() -> Place) {
-    if !knowledge.needs_draw(marks) {
+fn draw(
+    knowledge: &Rc<Knowledge>,
+    peer: SocketAddr,
+    revisions: Revisions,
+    place: impl FnOnce() -> Place,
+) {
+    if !knowledge.needs_draw(revisions) {
         return;
     }
     let place = place();
@@ -236,7 +241,7 @@
             ..knowledge.sync(false)
         };
         let began = knowledge.now();
-        let needed = || knowledge.needs_draw(marks);
+        let needed = || knowledge.needs_draw(revisions);
         let drawn = draw_while(&knowledge, peer, &sync, needed).await;
         knowledge.drew(peer);
         let ms = knowledge.now().since(began).as_millis() as u64;
@@ -344,12 +349,17 @@
 /// Fetches news from `peer` of the own hall, whose `marks` are newer than those of this process.
 /// With `is_hub`, the peer sends frames to the whole hall, and the configuration is drawn from it
 /// only after a delay.
-pub async fn fetch_news(knowledge: Rc<Knowledge>, peer: SocketAddr, marks: Marks, is_hub: bool) {
-    draw(&knowledge, peer, marks, || {
+pub async fn fetch_news(
+    knowledge: Rc<Knowledge>,
+    peer: SocketAddr,
+    revisions: Revisions,
+    is_hub: bool,
+) {
+    draw(&knowledge, peer, revisions, || {
         knowledge.place_in_own_hall(is_hub)
     });
     // A draw brings all the rest too, but later.
-    if !knowledge.lacks(marks.without_routing()) {
+    if !knowledge.lacks(revisions.without_routing()) {
         return;
     }
     // Several tell of the same news.
--- a/src/knowledge/hub.rs
+++ b/src/knowledge/hub.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::config::catalog::Marks;
+use crate::config::catalog::Revisions;
 
 /// Time between two frames that tell everything. Who gets a request is asked before it is sent
 /// there, so that a frame only has to say whom to ask.
@@ -55,7 +55,7 @@
     /// Sequence number of the frame within the incarnation.
     pub number: u64,
     /// Marks as of the frame before the previous one, so that missing one frame loses no news.
-    pub baseline: Marks,
+    pub baseline: Revisions,
 }
 
 /// The latest frame received.
@@ -72,7 +72,7 @@
     incarnation: u64,
     number: u64,
     /// Marks of the last two frames sent, oldest first.
-    sent_marks: [Marks; 2],
+    sent_marks: [Revisions; 2],
     last_frame: Option<LastFrame>,
     began: Time,
     told: Option<Time>,
@@ -88,7 +88,7 @@
         Self {
             incarnation,
             number: 0,
-            sent_marks: [Marks::default(); 2],
+            sent_marks: [Revisions::default(); 2],
             last_frame: None,
             began,
             told: None,
@@ -127,10 +127,10 @@
     }
 
     /// Returns the header of the next frame to send; `marks` are the sender's current ones.
-    pub fn next_header(&mut self, marks: Marks) -> FrameHeader {
+    pub fn next_header(&mut self, revisions: Revisions) -> FrameHeader {
         self.number += 1;
         let baseline = self.sent_marks[0];
-        self.sent_marks = [self.sent_marks[1], marks];
+        self.sent_marks = [self.sent_marks[1], revisions];
         FrameHeader {
             incarnation: self.incarnation,
             number: self.number,
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -11,7 +11,7 @@
 use super::rounds::PeerExchange;
 use crate::clock::Time;
 use crate::config::catalog::{
-    Catalog, Changes, Effect, Fact, Marks, Revisioned, RevisionedRecord, Wanted,
+    Catalog, Changes, Effect, Fact, Revisioned, RevisionedRecord, Revisions, Wanted,
 };
 use crate::member::peer::Told;
 use crate::wire::pack;
@@ -154,7 +154,7 @@
             from: self.identity.address,
             hall: self.identity.hall.clone(),
             entry: self.identity.entry,
-            marks: self.catalog.borrow().marks(),
+            revisions: self.catalog.borrow().revisions(),
             store_age_ms: self.store_age_ms(now),
             peers: match exchange {
                 _ if !self.identity.entry => Vec::new(),
@@ -174,16 +174,16 @@
     }
 
     /// The news since `marks` without the configuration, if there is any.
-    pub fn news_since(&self, marks: Marks) -> Option<News> {
+    pub fn news_since(&self, revisions: Revisions) -> Option<News> {
         let has_news = {
             let catalog = self.catalog.borrow();
-            let own = catalog.marks().without_routing();
-            own.any_newer_than(marks) || names_young(&catalog, self.now())
+            let own = catalog.revisions().without_routing();
+            own.any_newer_than(revisions) || names_young(&catalog, self.now())
         };
         has_news.then(|| {
             let sync = Sync {
                 entry: false,
-                marks,
+                revisions,
                 ..self.sync(false)
             };
             self.news_for(&sync, false)
@@ -222,16 +222,16 @@
             self.hear(sync.from, &sync.hall, sync.store_age_ms);
         }
         let catalog = self.catalog.borrow();
-        let marks = catalog.marks();
+        let revisions = catalog.revisions();
         let told = if sync.wants_peers {
             entries(now)
         } else {
             Vec::new()
         };
-        let newer_routing = marks.routing > sync.marks.routing;
-        let newer_list = marks.replicas > sync.marks.replicas;
+        let newer_routing = revisions.routing > sync.revisions.routing;
+        let newer_list = revisions.replicas > sync.revisions.replicas;
         let changes = (newer_list && sync.takes_changes)
-            .then(|| catalog.changes_since(sync.marks.replicas))
+            .then(|| catalog.changes_since(sync.revisions.replicas))
             .flatten();
         let changes = changes.map(|changes| Changes {
             shaky: self.shaky(),
@@ -246,7 +246,7 @@
         News {
             hall: self.identity.hall.clone(),
             entry: self.identity.entry,
-            marks,
+            revisions,
             store_age_ms: self.store_age_ms(now),
             peers: if packed_peers.is_none() {
                 told
@@ -257,12 +257,13 @@
             routing: (newer_routing && sync.wants_routing)
                 .then(|| self.document())
                 .flatten(),
-            versions: if marks.versions > sync.marks.versions || names_young(&catalog, now) {
+            versions: if revisions.versions > sync.revisions.versions || names_young(&catalog, now)
+            {
                 self.named(now)
             } else {
                 Vec::new()
             },
-            evacuations: if marks.evacuations > sync.marks.evacuations {
+            evacuations: if revisions.evacuations > sync.revisions.evacuations {
                 catalog.evacuations().tell()
             } else {
                 Vec::new()
@@ -294,7 +295,7 @@
     fn document(&self) -> Option<RevisionedDocument> {
         let catalog = self.catalog.borrow();
         let routing = catalog.routing()?;
-        let revision = catalog.marks().routing;
+        let revision = catalog.revisions().routing;
         let mut cache = self.packed.borrow_mut();
         match cache.get_or_pack(revision, || &*routing.document) {
             Ok(packed) => Some(RevisionedDocument { revision, packed }),
@@ -308,7 +309,7 @@
     /// The packed list of replicas, for processes that have none yet.
     fn packed_list(&self) -> Option<PackedList> {
         let catalog = self.catalog.borrow();
-        let at = catalog.marks().replicas;
+        let at = catalog.revisions().replicas;
         let mut cache = self.packed_list.borrow_mut();
         match cache.get_or_pack(at, || present_records(&catalog)) {
             Ok(packed) => Some(PackedList {
@@ -360,7 +361,7 @@
 
 fn list(catalog: &Catalog, shaky: bool) -> List {
     List {
-        at: catalog.marks().replicas,
+        at: catalog.revisions().replicas,
         shaky,
         records: present_records(catalog),
     }
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::catalog::{Changes, Marks, RevisionedRecord};
+use crate::config::catalog::{Changes, RevisionedRecord, Revisions};
 use crate::config::evacuation::Evacuation;
 use crate::config::routing::{Engine, over_link};
 use crate::member::peer::Told;
@@ -31,8 +31,8 @@
     #[serde(default)]
     pub entry: bool,
     /// How fresh its beliefs are.
-    #[serde(default)]
-    pub marks: Marks,
+    #[serde(default, rename = "marks")]
+    pub revisions: Revisions,
     /// Milliseconds since the platform's store answered it, if it ever did.
     #[serde(default)]
     pub store_age_ms: Option<u64>,
@@ -267,8 +267,8 @@
     #[serde(default)]
     pub entry: bool,
     /// How fresh its beliefs are.
-    #[serde(default)]
-    pub marks: Marks,
+    #[serde(default, rename = "marks")]
+    pub revisions: Revisions,
     /// Milliseconds since the platform's store answered it, if it ever did.
     #[serde(default)]
     pub store_age_ms: Option<u64>,
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -137,11 +137,11 @@
             let fact = Fact::Routing(Arc::new(document(version)));
             learn(&mut catalog, revision, fact, Time::default());
             let known = catalog.routing().map_or(0, |known| known.document.version);
-            let marks = catalog.marks().routing;
-            if known < highest.0 || marks < highest.1 {
+            let revisions = catalog.revisions().routing;
+            if known < highest.0 || revisions < highest.1 {
                 return false;
             }
-            highest = (known, marks);
+            highest = (known, revisions);
         }
         true
     }
@@ -314,14 +314,14 @@
 
 /// What one process knows after some changes, and what another learns of it.
 fn follower(first: &Catalog, second: &mut Catalog) {
-    let since = second.marks().replicas;
+    let since = second.revisions().replicas;
     match first.changes_since(since) {
         Some(changes) => second.learn_changes(changes, Time::default(), false),
         None => {
             let listed = first.replicas().values();
             let listed = listed.filter(|listed| listed.gone.is_none());
             let records = listed.map(|listed| (listed.revision, listed.record.clone()));
-            let at = first.marks().replicas;
+            let at = first.revisions().replicas;
             second.learn_list(records.collect(), at, Time::default(), false)
         }
     };
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::catalog::{Fact, Marks, Revisioned};
+use pumicelatch::config::catalog::{Fact, Revisioned, Revisions};
 use pumicelatch::config::routing::{Document, Kind};
 use pumicelatch::knowledge::draws::{Draws, Place};
 use pumicelatch::knowledge::halls::{Ask, Halls, PERIOD};
@@ -320,7 +320,7 @@
     };
     let sync = rmp_serde::to_vec_named(&other).unwrap();
     let sync: Sync = rmp_serde::from_slice(&sync).unwrap();
-    assert_eq!(sync.marks, Marks::default());
+    assert_eq!(sync.revisions, Revisions::default());
     let news: News = rmp_serde::from_slice(&encode(&serde_json::json!({}))).unwrap();
     assert!(news.routing.is_none() && news.peers.is_empty());
     let document = serde_json::json!({"routes": [{"host": "a.example", "prefix": "/x/"}],
@@ -453,7 +453,7 @@
         fact: evacuation,
     };
     reader.take_batch(Topic::Operator, false, batch(6, vec![dated]));
-    assert!(other.lacks(reader.sync(false).marks));
+    assert!(other.lacks(reader.sync(false).revisions));
     tell();
     assert_eq!(asked(&other), [hall(2)]);
     // A configuration of before may still be on its way: it is not skipped in the store.
@@ -512,7 +512,7 @@
     assert!(size(&drawn) * 3 < size(&whole), "{}", size(&drawn));
     other.take_news(entry(1, 1), drawn);
     assert_eq!(other.catalog.borrow().replicas().len(), 90);
-    assert_eq!(other.sync(false).marks, reader.sync(false).marks);
+    assert_eq!(other.sync(false).revisions, reader.sync(false).revisions);
     // An entry that read the list while it was empty does not draw it again.
     let early = entry_knowing_nothing(3);
     let empty = Batch {
@@ -601,13 +601,13 @@
 #[test]
 fn frames_hold_the_news_since_the_last_frame_but_one() {
     let mut hub = Hub::new(1, NOW);
-    let marks = |replicas| Marks {
+    let revisions = |replicas| Revisions {
         replicas,
-        ..Marks::default()
+        ..Revisions::default()
     };
     let baselines: Vec<u64> = [4, 6, 6, 9, 9]
         .into_iter()
-        .map(|replicas| hub.next_header(marks(replicas)).baseline.replicas)
+        .map(|replicas| hub.next_header(revisions(replicas)).baseline.replicas)
         .collect();
     assert_eq!(baselines, [0, 0, 4, 6, 6]);
 }
@@ -631,7 +631,7 @@
             ..Batch::default()
         },
     );
-    let before = reader.sync(false).marks;
+    let before = reader.sync(false).revisions;
     assert!(reader.news_since(before).is_none());
     let document = Arc::new(Document {
         version: 1,
