--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -67,7 +67,7 @@
 
 /// A version that was named for a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredVersion {
     /// The version.
     pub version: u64,
     /// The revision that named it.
@@ -77,7 +77,7 @@
 }
 
 /// The oldest of `named` that a replica lacks which holds `held`: its bound comes first.
-pub fn first_lacking(named: &[Wanted], held: u64) -> Option<Wanted> {
+pub fn first_missing(named: &[DesiredVersion], held: u64) -> Option<DesiredVersion> {
     named.iter().find(|wanted| wanted.version > held).copied()
 }
 
@@ -186,7 +186,7 @@
 #[derive(Debug, Default)]
 pub struct Catalog {
     routing: Option<(u64, Rc<Routing>)>,
-    versions: BTreeMap<Arc<str>, Vec<Wanted>>,
+    versions: BTreeMap<Arc<str>, Vec<DesiredVersion>>,
     evacuations: Evacuations,
     replicas: BTreeMap<Arc<str>, Listed>,
     replicas_at: u64,
@@ -212,17 +212,17 @@
     }
 
     /// The newest version that was named for a model.
-    pub fn wanted(&self, model: &str) -> Option<Wanted> {
+    pub fn wanted(&self, model: &str) -> Option<DesiredVersion> {
         self.versions.get(model)?.last().copied()
     }
 
     /// The versions that were named for a model, oldest first.
-    pub fn named(&self, model: &str) -> &[Wanted] {
+    pub fn named(&self, model: &str) -> &[DesiredVersion] {
         self.versions.get(model).map_or(&[], Vec::as_slice)
     }
 
     /// All named versions, the oldest of each model first.
-    pub fn versions(&self) -> impl Iterator<Item = (&Arc<str>, Wanted)> {
+    pub fn versions(&self) -> impl Iterator<Item = (&Arc<str>, DesiredVersion)> {
         let models = self.versions.iter();
         models.flat_map(|(model, named)| named.iter().map(move |wanted| (model, *wanted)))
     }
@@ -339,7 +339,7 @@
         {
             return Effect::None;
         }
-        let wanted = Wanted {
+        let wanted = DesiredVersion {
             version,
             revision,
             since,
@@ -521,7 +521,7 @@
     pub fn learn_aged(
         &mut self,
         model: Arc<str>,
-        wanted: Wanted,
+        wanted: DesiredVersion,
         age: Duration,
         now: Time,
     ) -> Effect {
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -11,7 +11,7 @@
 use super::rounds::PeerExchange;
 use crate::clock::Time;
 use crate::config::catalog::{
-    Catalog, Changes, Effect, Fact, Revisioned, RevisionedRecord, Revisions, Wanted,
+    Catalog, Changes, DesiredVersion, Effect, Fact, Revisioned, RevisionedRecord, Revisions,
 };
 use crate::member::peer::Told;
 use crate::wire::pack;
@@ -116,7 +116,7 @@
     fn take_named(&self, named: Named) {
         let now = self.now();
         let age = Duration::from_millis(named.age_ms);
-        let wanted = Wanted {
+        let wanted = DesiredVersion {
             version: named.version,
             revision: named.revision,
             since: now,
--- a/src/route/replica.rs
+++ b/src/route/replica.rs
@@ -9,7 +9,7 @@
 use super::health::Health;
 use super::notice::{Notice, Wish};
 use crate::clock::Time;
-use crate::config::catalog::{self, Wanted};
+use crate::config::catalog::{self, DesiredVersion};
 use crate::member::replica::{self, Held, Record};
 use crate::version::TAKING_IN;
 
@@ -207,7 +207,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Due {
     /// The versions, oldest first.
-    pub named: Vec<Wanted>,
+    pub named: Vec<DesiredVersion>,
     /// Time from a version's naming until the replica takes nothing new any more.
     pub begins: Duration,
     /// Time from a version's naming until nothing may start on an older one any more.
@@ -286,7 +286,7 @@
     /// The change of version that it has before it: the oldest that it lacks sets the times.
     pub(super) fn change(&self, model: &str, now: Time) -> Option<Change> {
         let due = self.due.as_ref()?;
-        let since = catalog::first_lacking(&due.named, self.version(model, now)?)?.since;
+        let since = catalog::first_missing(&due.named, self.version(model, now)?)?.since;
         Some(Change {
             at: since + due.begins,
             bound: since + due.bound,
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -23,7 +23,7 @@
 use crate::burst::joined::{self, Joined, Origins, Target, label};
 use crate::burst::{self};
 use crate::clock::Time;
-use crate::config::catalog::first_lacking;
+use crate::config::catalog::first_missing;
 use crate::daemon;
 use crate::exchange::{self, path::Paths};
 use crate::gateway::control::message;
@@ -329,7 +329,7 @@
         let state = self.state.borrow();
         let held = state.as_ref().and_then(|state| state.held(&target.model));
         let catalog = self.knowledge.catalog.borrow();
-        let lacking = held.and_then(|held| first_lacking(catalog.named(&target.model), held));
+        let lacking = held.and_then(|held| first_missing(catalog.named(&target.model), held));
         Some(Target {
             named: lacking.map_or(target.named, |wanted| wanted.since),
             ..target
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -13,7 +13,7 @@
 use crate::audit::Deed;
 use crate::burst::joined::{self, Target};
 use crate::clock::Time;
-use crate::config::catalog::first_lacking;
+use crate::config::catalog::first_missing;
 use crate::config::routing::over_link;
 use crate::member::{Listed, Role};
 use crate::version::rollout::{self, Step};
@@ -160,7 +160,7 @@
         let hold = catalog.held_versions(&newest.model);
         // One that is coming already is not left for another.
         let chosen = known.filter(|version| {
-            let lacking = first_lacking(named, *version);
+            let lacking = first_missing(named, *version);
             let ends = lacking.map_or(now, |lacking| lacking.since + times.bound);
             ends > now + SERVES_AFTER
         });
--- a/src/version/stopgap.rs
+++ b/src/version/stopgap.rs
@@ -10,7 +10,7 @@
 
 use super::TAKING_IN;
 use crate::clock::Time;
-use crate::config::catalog::{Wanted, first_lacking};
+use crate::config::catalog::{DesiredVersion, first_missing};
 
 /// How long a replica is to serve a version that it takes for a time: to give it up again takes about a
 /// second of its work (what runs is finished, 0.3 s to take the next one in).
@@ -64,7 +64,7 @@
 
 /// The version that an empty replica takes meanwhile, of those that others `hold`, if one pays.
 pub fn choose(
-    named: &[Wanted],
+    named: &[DesiredVersion],
     hold: &BTreeSet<u64>,
     outlook: Outlook,
     times: Times,
@@ -78,7 +78,7 @@
     let newest = named.last()?.version;
     let older = hold.range(..newest).rev().copied();
     let mut allowed = older.filter(|version| {
-        let ends = first_lacking(named, *version).map(|lacking| lacking.since + times.bound);
+        let ends = first_missing(named, *version).map(|lacking| lacking.since + times.bound);
         ends.is_some_and(|ends| pays(ends.since(now)))
     });
     allowed.next()
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -6,7 +6,7 @@
 
 use pumicelatch::clock::{Clock, Time};
 use pumicelatch::config::catalog::{
-    Catalog, DOUBT, Effect, Fact, Revisioned, Wanted, first_lacking,
+    Catalog, DOUBT, DesiredVersion, Effect, Fact, Revisioned, first_missing,
 };
 use pumicelatch::config::residency::Residency;
 use pumicelatch::config::routing::{
@@ -216,9 +216,9 @@
     assert_eq!(allowed(25_999), 0);
     assert_eq!(allowed(26_000), 2);
     assert_eq!(allowed(28_000), 3);
-    let first = first_lacking(catalog.named("m"), 1).unwrap();
+    let first = first_missing(catalog.named("m"), 1).unwrap();
     assert_eq!((first.version, first.since), (2, Time::from_millis(18_000)));
-    assert_eq!(first_lacking(catalog.named("m"), 3), None);
+    assert_eq!(first_missing(catalog.named("m"), 3), None);
 }
 
 #[test]
@@ -280,7 +280,7 @@
     assert_eq!(peers.added(), 1);
 
     let mut catalog = Catalog::default();
-    let wanted = Wanted {
+    let wanted = DesiredVersion {
         version: 2,
         revision: 5,
         since: now,
--- a/tests/named.rs
+++ b/tests/named.rs
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-use pumicelatch::config::catalog::{Fact, Revisioned, Wanted};
+use pumicelatch::config::catalog::{DesiredVersion, Fact, Revisioned};
 use pumicelatch::knowledge::{Identity, Knowledge};
 use pumicelatch::policy::Policy;
 use pumicelatch::source::{Batch, Topic};
@@ -65,7 +65,7 @@
     let catalog = knowledge.catalog.borrow();
     let named = catalog.named(MODEL).iter();
     named
-        .map(|Wanted { version, since, .. }| (*version, now.since(*since)))
+        .map(|DesiredVersion { version, since, .. }| (*version, now.since(*since)))
         .collect()
 }
 
--- a/tests/stopgap.rs
+++ b/tests/stopgap.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::catalog::Wanted;
+use pumicelatch::config::catalog::DesiredVersion;
 use pumicelatch::version::stopgap::{self, Outlook, Times};
 
 const NOW: Time = Time::from_millis(50_000);
@@ -21,8 +21,8 @@
     bound: Duration::from_millis(12_400),
 };
 
-fn named(versions: &[(u64, u64)]) -> Vec<Wanted> {
-    let wanted = |&(version, ago)| Wanted {
+fn named(versions: &[(u64, u64)]) -> Vec<DesiredVersion> {
+    let wanted = |&(version, ago)| DesiredVersion {
         version,
         revision: version,
         since: NOW - millis(ago),
@@ -47,7 +47,7 @@
     }
 }
 
-fn chosen(named: &[Wanted], hold: &[u64], outlook: Outlook) -> Option<u64> {
+fn chosen(named: &[DesiredVersion], hold: &[u64], outlook: Outlook) -> Option<u64> {
     let hold: BTreeSet<u64> = hold.iter().copied().collect();
     stopgap::choose(named, &hold, outlook, TIMES, NOW)
 }
