--- a/src/burst/joined.rs
+++ b/src/burst/joined.rs
@@ -56,7 +56,7 @@
     let brief = knowledge.brief()?;
     let figures = brief.engine.as_ref();
     let told = figures.and_then(|engine| engine.models.first().cloned());
-    let model = told.or_else(|| knowledge.catalog.borrow().held_model(None))?;
+    let model = told.or_else(|| knowledge.catalog.borrow().loaded_model(None))?;
     let wanted = knowledge.catalog.borrow().wanted(&model);
     Some(Target {
         version: wanted.map_or(FIRST_VERSION, |wanted| wanted.version),
--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -17,7 +17,7 @@
 
 /// How long a removal is doubted that comes just after the store was out of reach: leases run out
 /// while it is, and a live replica writes itself again with its next heartbeat.
-pub const DOUBT: Duration = Duration::from_millis(1_250);
+pub const REMOVAL_GRACE: Duration = Duration::from_millis(1_250);
 
 /// A version whose bound turns out to end so much earlier is news: less is the way of a message.
 const DATED_BACK_MIN: Duration = Duration::from_millis(50);
@@ -83,7 +83,7 @@
 
 /// A listed replica.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct ListedReplica {
     /// What it says of itself.
     pub record: Record,
     /// The revision of that.
@@ -188,7 +188,7 @@
     routing: Option<(u64, Rc<Routing>)>,
     versions: BTreeMap<Arc<str>, Vec<DesiredVersion>>,
     evacuations: Evacuations,
-    replicas: BTreeMap<Arc<str>, Listed>,
+    replicas: BTreeMap<Arc<str>, ListedReplica>,
     replicas_at: u64,
     replicas_changed: u64,
     removals: BTreeMap<Arc<str>, u64>,
@@ -241,12 +241,12 @@
     }
 
     /// All replicas that are listed, and those whose removal is young.
-    pub fn replicas(&self) -> &BTreeMap<Arc<str>, Listed> {
+    pub fn replicas(&self) -> &BTreeMap<Arc<str>, ListedReplica> {
         &self.replicas
     }
 
     /// A model that replicas hold, those of `service` if one is given.
-    pub fn held_model(&self, service: Option<&str>) -> Option<Arc<str>> {
+    pub fn loaded_model(&self, service: Option<&str>) -> Option<Arc<str>> {
         let records = self.replicas.values().map(|listed| &listed.record);
         let mut fellows =
             records.filter(|record| service.is_none_or(|service| &*record.service == service));
@@ -254,7 +254,7 @@
     }
 
     /// Versions of `model` that listed replicas hold.
-    pub fn held_versions(&self, model: &str) -> BTreeSet<u64> {
+    pub fn loaded_versions(&self, model: &str) -> BTreeSet<u64> {
         let present = self.replicas.values();
         let present = present.filter(|listed| listed.gone.is_none());
         present
@@ -263,12 +263,12 @@
     }
 
     /// The revision up to which the list of replicas is known.
-    pub fn listed_at(&self) -> u64 {
+    pub fn list_revision(&self) -> u64 {
         self.replicas_at
     }
 
     /// Whether the list of replicas was ever read.
-    pub fn lists_replicas(&self) -> bool {
+    pub fn has_replica_list(&self) -> bool {
         self.replicas_at > 0
     }
 
@@ -292,8 +292,8 @@
     }
 
     /// All evacuations that were asked for at `revision` were those of `halls`.
-    pub fn learn_evacuations(&mut self, halls: &[Arc<str>], revision: u64) -> Effect {
-        evacuated(self.evacuations.learn_all(halls, revision))
+    pub fn apply_evacuations(&mut self, halls: &[Arc<str>], revision: u64) -> Effect {
+        evacuated(self.evacuations.apply_list(halls, revision))
     }
 
     /// Takes one fact. `shaky` tells that the store was out of reach shortly before.
@@ -376,7 +376,7 @@
         }
         self.replicas.insert(
             record.id.clone(),
-            Listed {
+            ListedReplica {
                 record,
                 revision,
                 gone: None,
@@ -416,20 +416,26 @@
             all.filter(|listed| &*listed.record.service == service && !listed.record.leaving)
         };
         let vanished = replicas()
-            .filter(|listed| listed.gone.is_some_and(|gone| now.since(gone) < DOUBT))
+            .filter(|listed| {
+                listed
+                    .gone
+                    .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE)
+            })
             .count();
         vanished >= VANISHED_MIN && vanished * 3 >= replicas().count()
     }
 
     fn doubt_all(&mut self, service: &str, now: Time) {
         for listed in self.replicas.values_mut() {
-            let young = listed.gone.is_some_and(|gone| now.since(gone) < DOUBT);
+            let young = listed
+                .gone
+                .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE);
             listed.doubted |= young && &*listed.record.service == service;
         }
     }
 
     /// Takes a whole list as of `revision`: what is known and not in it has gone.
-    pub fn learn_list(
+    pub fn apply_list(
         &mut self,
         records: Vec<(u64, Record)>,
         revision: u64,
@@ -439,7 +445,7 @@
         if revision < self.replicas_at {
             return Effect::None;
         }
-        if !self.lists_replicas() {
+        if !self.has_replica_list() {
             self.removals_from = revision;
         }
         let mut effect = Effect::None;
@@ -465,7 +471,7 @@
 
     /// What changed in the list after `since`, unless removals of that time are forgotten.
     pub fn changes_since(&self, since: u64) -> Option<Changes> {
-        if !self.lists_replicas() || since < self.removals_from {
+        if !self.has_replica_list() || since < self.removals_from {
             return None;
         }
         let present = self.replicas.values();
@@ -492,8 +498,8 @@
     }
 
     /// Takes what changed in the list, if all before that is known.
-    pub fn learn_changes(&mut self, changes: Changes, now: Time, shaky: bool) -> Effect {
-        if !self.lists_replicas() || self.replicas_changed.max(self.replicas_at) < changes.since {
+    pub fn apply_changes(&mut self, changes: Changes, now: Time, shaky: bool) -> Effect {
+        if !self.has_replica_list() || self.replicas_changed.max(self.replicas_at) < changes.since {
             return Effect::None;
         }
         let shaky = shaky || changes.shaky;
@@ -518,7 +524,7 @@
     }
 
     /// Takes a wanted version that another process has known for `age`.
-    pub fn learn_aged(
+    pub fn apply_aged(
         &mut self,
         model: Arc<str>,
         wanted: DesiredVersion,
@@ -544,7 +550,7 @@
         let before = self.replicas.len();
         self.replicas.retain(|_, listed| match listed.gone {
             None => true,
-            Some(gone) => listed.doubted && now.since(gone) < DOUBT,
+            Some(gone) => listed.doubted && now.since(gone) < REMOVAL_GRACE,
         });
         while self.removals.len() > REMOVALS_MAX {
             let oldest = self.removals.iter().min_by_key(|(_, revision)| **revision);
--- a/src/config/evacuation.rs
+++ b/src/config/evacuation.rs
@@ -36,7 +36,7 @@
     }
 
     /// All that lay in the store at `revision` were those of `present`: the others are over.
-    pub fn learn_all(&mut self, present: &[Arc<str>], revision: u64) -> bool {
+    pub fn apply_list(&mut self, present: &[Arc<str>], revision: u64) -> bool {
         let asked = self.halls.values().filter(|known| known.asked);
         let over: Vec<Arc<str>> = asked
             .map(|known| known.hall.clone())
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -523,7 +523,7 @@
     /// Whether callers' requests can be served.
     pub fn ready(&self) -> bool {
         let catalog = self.knowledge.catalog.borrow();
-        !self.porter.stopping() && catalog.routing().is_some() && catalog.lists_replicas()
+        !self.porter.stopping() && catalog.routing().is_some() && catalog.has_replica_list()
     }
 
     /// Announces that the process stops: the balancer hears that it is not ready, and every answer
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -355,7 +355,7 @@
         // Replicas that hold models are engines, whatever could be read of their service.
         let engines = || {
             let catalog = gateway.knowledge.catalog.borrow();
-            engine.is_some() || catalog.held_model(Some(&self.job.service)).is_some()
+            engine.is_some() || catalog.loaded_model(Some(&self.job.service)).is_some()
         };
         let model = model.filter(|_| engines());
         let entries = gateway.knowledge.peers.borrow().bound() as u32;
--- a/src/gateway/greet.rs
+++ b/src/gateway/greet.rs
@@ -28,7 +28,7 @@
 
 /// Greets until everyone has reported, or for the first rounds.
 pub async fn run(gateway: Rc<Gateway>) {
-    while !gateway.knowledge.catalog.borrow().lists_replicas() {
+    while !gateway.knowledge.catalog.borrow().has_replica_list() {
         sleep(LOOK).await;
     }
     for _ in 0..ROUNDS {
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -205,12 +205,12 @@
     /// requests.
     pub fn lacks_initial_state(&self) -> bool {
         let catalog = self.catalog.borrow();
-        catalog.routing().is_none() || !catalog.lists_replicas()
+        catalog.routing().is_none() || !catalog.has_replica_list()
     }
 
     /// Whether this entry has never had the list of replicas and a process with `marks` has it.
     fn lacks_list(&self, revisions: Revisions) -> bool {
-        revisions.replicas > 0 && !self.catalog.borrow().lists_replicas()
+        revisions.replicas > 0 && !self.catalog.borrow().has_replica_list()
     }
 
     /// Bytes of an answer of the store came.
@@ -317,7 +317,7 @@
                 }
                 revisions.routing.max(revisions.versions)
             }
-            Topic::Replicas => catalog.listed_at(),
+            Topic::Replicas => catalog.list_revision(),
         }
     }
 
@@ -404,7 +404,7 @@
         let effect = self
             .catalog
             .borrow_mut()
-            .learn_evacuations(&halls, batch.at);
+            .apply_evacuations(&halls, batch.at);
         if effect != Effect::None {
             log::info!(revision = batch.at; "learned: evacuations that are over");
         }
@@ -430,11 +430,11 @@
     fn take_list(&self, records: Vec<(u64, Record)>, at: u64, shaky: bool, origin: &str) -> Effect {
         let count = records.len();
         let now = self.now();
-        let first_list = !self.catalog.borrow().lists_replicas();
+        let first_list = !self.catalog.borrow().has_replica_list();
         let effect = self
             .catalog
             .borrow_mut()
-            .learn_list(records, at, now, shaky);
+            .apply_list(records, at, now, shaky);
         if first_list && !self.lacks_initial_state() {
             self.draws.borrow_mut().learned();
         }
@@ -458,7 +458,7 @@
             let engine = routing.service(service)?.engine.as_ref()?;
             engine.models.first().cloned()
         });
-        configured.or_else(|| catalog.held_model(Some(service)))
+        configured.or_else(|| catalog.loaded_model(Some(service)))
     }
 
     /// The configuration in brief, from the whole if that is known.
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -77,7 +77,7 @@
         let (written, removed) = (changes.records.len(), changes.gone.len());
         let shaky = changes.shaky || self.shaky();
         let now = self.now();
-        let effect = self.catalog.borrow_mut().learn_changes(changes, now, shaky);
+        let effect = self.catalog.borrow_mut().apply_changes(changes, now, shaky);
         if effect != Effect::None {
             log::info!(revision, origin, written, removed, shaky; "learned: changes of replicas");
         }
@@ -125,7 +125,7 @@
         let effect = self
             .catalog
             .borrow_mut()
-            .learn_aged(model, wanted, age, now);
+            .apply_aged(model, wanted, age, now);
         if effect != Effect::None {
             log::info!(
                 model = &*named.model, version = named.version, age_ms = named.age_ms;
@@ -165,7 +165,7 @@
             wants_peers: exchange != PeerExchange::Skip,
             wants_routing: false,
             wants_list: false,
-            draws_list: !self.catalog.borrow().lists_replicas(),
+            draws_list: !self.catalog.borrow().has_replica_list(),
             takes_changes: true,
             takes_packed_peers: true,
             takes_packed_digest: true,
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -6,7 +6,7 @@
 
 use super::{Key, Pool};
 use crate::clock::Time;
-use crate::config::catalog::Listed;
+use crate::config::catalog::ListedReplica;
 use crate::member::replica::Record;
 use crate::route::replica::{Due, Load, Replica};
 
@@ -14,7 +14,7 @@
     /// Takes the list as it stands now, and what change of version each replica has before it.
     pub fn update(
         &mut self,
-        list: &BTreeMap<Arc<str>, Listed>,
+        list: &BTreeMap<Arc<str>, ListedReplica>,
         due: impl Fn(&Record) -> Option<Due>,
     ) {
         let tell_lives: BTreeSet<&str> = list
@@ -22,7 +22,7 @@
             .filter(|listed| listed.record.born > 0)
             .map(|listed| &*listed.record.service)
             .collect();
-        let usable = |listed: &Listed| {
+        let usable = |listed: &ListedReplica| {
             // Where replicas tell when they started, an entry without that is by another writer.
             let tells = listed.record.born > 0 || !tell_lives.contains(&*listed.record.service);
             tells && (listed.gone.is_none() || listed.doubted)
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -357,7 +357,7 @@
         address: sidecar.setting.replica,
         load: sidecar.load(),
         sync: Sync {
-            wants_list: !sidecar.knowledge.catalog.borrow().lists_replicas(),
+            wants_list: !sidecar.knowledge.catalog.borrow().has_replica_list(),
             ..sidecar.knowledge.sync(asks)
         },
     };
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -157,7 +157,7 @@
         let catalog = self.knowledge.catalog.borrow();
         let named = catalog.named(&newest.model);
         let known = self.stopgap.borrow().as_ref().map(|target| target.version);
-        let hold = catalog.held_versions(&newest.model);
+        let hold = catalog.loaded_versions(&newest.model);
         // One that is coming already is not left for another.
         let chosen = known.filter(|version| {
             let lacking = first_missing(named, *version);
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -6,7 +6,7 @@
 
 use pumicelatch::clock::{Clock, Time};
 use pumicelatch::config::catalog::{
-    Catalog, DOUBT, DesiredVersion, Effect, Fact, Revisioned, first_missing,
+    Catalog, DesiredVersion, Effect, Fact, REMOVAL_GRACE, Revisioned, first_missing,
 };
 use pumicelatch::config::residency::Residency;
 use pumicelatch::config::routing::{
@@ -174,10 +174,10 @@
     };
     catalog.learn(gone, now, true);
     assert!(usable(&catalog, "i-1"));
-    assert!(catalog.sweep(now + DOUBT));
+    assert!(catalog.sweep(now + REMOVAL_GRACE));
     assert!(!usable(&catalog, "i-1"));
     assert!(
-        DOUBT < Duration::from_millis(1_500),
+        REMOVAL_GRACE < Duration::from_millis(1_500),
         "it ends before a leaving replica is due"
     );
 }
@@ -286,7 +286,7 @@
         since: now,
     };
     let age = Duration::from_secs(10);
-    catalog.learn_aged("m".into(), wanted, age, now);
+    catalog.apply_aged("m".into(), wanted, age, now);
     let bound = Duration::from_secs(8);
     assert_eq!(
         catalog.oldest_allowed("m", bound, now),
@@ -316,13 +316,13 @@
 fn follower(first: &Catalog, second: &mut Catalog) {
     let since = second.revisions().replicas;
     match first.changes_since(since) {
-        Some(changes) => second.learn_changes(changes, Time::default(), false),
+        Some(changes) => second.apply_changes(changes, Time::default(), false),
         None => {
             let listed = first.replicas().values();
             let listed = listed.filter(|listed| listed.gone.is_none());
             let records = listed.map(|listed| (listed.revision, listed.record.clone()));
             let at = first.revisions().replicas;
-            second.learn_list(records.collect(), at, Time::default(), false)
+            second.apply_list(records.collect(), at, Time::default(), false)
         }
     };
 }
@@ -332,7 +332,7 @@
     fn property(steps: Vec<(u8, bool, bool)>) -> bool {
         let now = Time::default();
         let (mut first, mut second) = (Catalog::new(true), Catalog::new(true));
-        first.learn_list(vec![(1, record("i-0"))], 1, now, false);
+        first.apply_list(vec![(1, record("i-0"))], 1, now, false);
         for (step, (id, goes, told)) in steps.into_iter().enumerate() {
             let id = format!("i-{}", id % 6);
             let fact = if goes {
@@ -365,7 +365,7 @@
 fn changes_before_the_own_start_are_not_told_alone() {
     let now = Time::default();
     let mut late = Catalog::new(true);
-    late.learn_list(vec![(30, record("i-2"))], 50, now, false);
+    late.apply_list(vec![(30, record("i-2"))], 50, now, false);
     assert!(
         late.changes_since(40).is_none(),
         "what went before is not known"
@@ -375,7 +375,7 @@
     assert!(changes.records.len() == 1 && changes.gone.is_empty());
     // One that lacks more than the changes tell does not take them for the whole.
     let mut other = Catalog::new(true);
-    other.learn_list(vec![(10, record("i-1"))], 10, now, false);
-    assert_eq!(other.learn_changes(changes, now, false), Effect::None);
+    other.apply_list(vec![(10, record("i-1"))], 10, now, false);
+    assert_eq!(other.apply_changes(changes, now, false), Effect::None);
     assert!(!usable(&other, "i-3"));
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use pumicelatch::clock::Time;
-use pumicelatch::config::catalog::{DesiredVersion, Listed};
+use pumicelatch::config::catalog::{DesiredVersion, ListedReplica};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::gateway::event::Cutter;
@@ -69,8 +69,8 @@
     }
 }
 
-fn listed(record: Record) -> Listed {
-    Listed {
+fn listed(record: Record) -> ListedReplica {
+    ListedReplica {
         record,
         revision: 1,
         gone: None,
@@ -80,7 +80,7 @@
 
 fn pool_of(records: Vec<Record>, due: Option<Due>) -> Pool {
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = records
+    let list: BTreeMap<Arc<str>, ListedReplica> = records
         .into_iter()
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
@@ -361,7 +361,7 @@
         bound: Duration::from_millis(7_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = [record(1, 1), record(2, 1)]
+    let list: BTreeMap<Arc<str>, ListedReplica> = [record(1, 1), record(2, 1)]
         .into_iter()
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
@@ -388,7 +388,7 @@
         bound: Duration::from_millis(9_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = (1..=5)
+    let list: BTreeMap<Arc<str>, ListedReplica> = (1..=5)
         .map(|host| record(host, 1))
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
--- a/tests/notice.rs
+++ b/tests/notice.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::catalog::Listed;
+use pumicelatch::config::catalog::ListedReplica;
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::member::replica::Record;
 use pumicelatch::policy::Policy;
@@ -50,10 +50,10 @@
 }
 
 fn list(pool: &mut Pool, records: &[Record]) {
-    let list: BTreeMap<Arc<str>, Listed> = records
+    let list: BTreeMap<Arc<str>, ListedReplica> = records
         .iter()
         .map(|record| {
-            let listed = Listed {
+            let listed = ListedReplica {
                 record: record.clone(),
                 revision: 1,
                 gone: None,
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -213,9 +213,9 @@
 fn a_store_that_forgot_its_history_ends_evacuations_that_are_not_there_any_more() {
     let mut known = Evacuations::default();
     assert!(known.learn(told(10, true)));
-    assert!(!known.learn_all(&["north-a".into()], 30));
-    assert!(!known.learn_all(&[], 9), "a read of before says nothing");
-    assert!(known.learn_all(&[], 30));
+    assert!(!known.apply_list(&["north-a".into()], 30));
+    assert!(!known.apply_list(&[], 9), "a read of before says nothing");
+    assert!(known.apply_list(&[], 30));
     assert_eq!(known.asked().count(), 0);
     assert!(!known.learn(told(10, true)), "late news of it");
 }
