--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -50,7 +50,7 @@
 use crate::stop::{self, Porter};
 use crate::version::rollout;
 use crate::weight::Store;
-use crate::wire::sync::Brief;
+use crate::wire::sync::Summary;
 
 pub mod attempt;
 pub mod call;
@@ -400,7 +400,7 @@
         }
         let knowledge = &self.knowledge;
         let brief = knowledge.brief();
-        let origin_chunk = brief.as_ref().and_then(Brief::chunk);
+        let origin_chunk = brief.as_ref().and_then(Summary::chunk);
         let origin = brief.and_then(|brief| brief.origin);
         let (Some(target), Some(origin)) = (joined::newest(knowledge), origin) else {
             return;
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -14,7 +14,7 @@
 use crate::knowledge::readers::Readers;
 use crate::knowledge::rounds::PeerExchange;
 use crate::wire::pack;
-use crate::wire::sync::{Digest, Frame, HALL_PATH, HallNews, Reported, Sync};
+use crate::wire::sync::{Frame, HALL_PATH, HallStatus, HallUpdate, ReplicaStatus, Sync};
 
 /// How often it is looked whether anyone is to be told or asked.
 const LOOK: Duration = Duration::from_millis(100);
@@ -40,7 +40,7 @@
     } else {
         PeerExchange::Skip
     });
-    let answer = gossip::ask::<_, HallNews>(knowledge, ask.entry, HALL_PATH, &sync).await;
+    let answer = gossip::ask::<_, HallUpdate>(knowledge, ask.entry, HALL_PATH, &sync).await;
     gateway.halls.borrow_mut().answered(&ask.hall);
     match answer {
         Ok(answer) => {
@@ -64,8 +64,8 @@
 
 /// Returns the [`FAR_MAX`] least loaded replicas. Those that take no requests sort last: they mostly
 /// have nothing in progress and would otherwise displace replicas that can serve.
-fn least_loaded(mut reports: Vec<Reported>) -> Vec<Reported> {
-    let key = |reported: &Reported| (!reported.load.takes_requests(), reported.load.present());
+fn least_loaded(mut reports: Vec<ReplicaStatus>) -> Vec<ReplicaStatus> {
+    let key = |reported: &ReplicaStatus| (!reported.load.takes_requests(), reported.load.present());
     reports.sort_by_key(key);
     reports.truncate(FAR_MAX);
     reports
@@ -120,16 +120,16 @@
         }
     }
 
-    fn digests(&self, extent: Extent, now: Time) -> Vec<Digest> {
+    fn digests(&self, extent: Extent, now: Time) -> Vec<HallStatus> {
         let own = &self.knowledge.identity.hall;
         match extent {
-            Extent::Since(since) => vec![Digest {
+            Extent::Since(since) => vec![HallStatus {
                 hall: own.clone(),
                 replicas: self.pool.borrow().reports_since(own, since, now),
             }],
             Extent::Whole { .. } => {
                 let halls = self.pool.borrow().halls();
-                let digests = halls.into_iter().map(|hall| Digest {
+                let digests = halls.into_iter().map(|hall| HallStatus {
                     replicas: self.reports(&hall, now),
                     hall,
                 });
@@ -139,7 +139,7 @@
     }
 
     /// How the replicas of a hall do: all of the own hall's, the best of another's.
-    fn reports(&self, hall: &str, now: Time) -> Vec<Reported> {
+    fn reports(&self, hall: &str, now: Time) -> Vec<ReplicaStatus> {
         let reports = self.pool.borrow().reports(hall, now);
         if *hall == *self.knowledge.identity.hall {
             return reports;
@@ -148,12 +148,16 @@
     }
 
     /// Answers how this hall's replicas do.
-    pub(super) fn hall_news(&self, sync: &Sync) -> HallNews {
+    pub(super) fn hall_news(&self, sync: &Sync) -> HallUpdate {
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
         let replicas = least_loaded(self.pool.borrow().reports(&hall, now));
         let news = self.knowledge.news_for_hall(sync);
-        HallNews::new(Digest { hall, replicas }, news, sync.takes_packed_digest)
+        HallUpdate::new(
+            HallStatus { hall, replicas },
+            news,
+            sync.takes_packed_digest,
+        )
     }
 
     /// Applies a frame from another entry of the hall unless it is outdated. Returns its heartbeat
@@ -175,7 +179,7 @@
     }
 
     /// Takes how the replicas of a hall do.
-    fn take_digest(&self, digest: &Digest) {
+    fn take_digest(&self, digest: &HallStatus) {
         self.refresh_pool();
         let now = self.knowledge.now();
         let mut pool = self.pool.borrow_mut();
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -40,7 +40,7 @@
 use crate::source::{Batch, Damaged, Topic};
 use crate::version::rollout;
 use crate::wire::pack;
-use crate::wire::sync::Brief;
+use crate::wire::sync::Summary;
 
 pub mod draws;
 pub mod fanout;
@@ -104,7 +104,7 @@
     /// Entries.
     pub peers: RefCell<Peers>,
     /// The newest configuration in brief, where the whole is not kept.
-    pub brief: RefCell<Option<Brief>>,
+    pub brief: RefCell<Option<Summary>>,
     /// Addresses of processes to begin with.
     pub seeds: RefCell<Vec<SocketAddr>>,
     /// The regions of data halls.
@@ -462,13 +462,13 @@
     }
 
     /// The configuration in brief, from the whole if that is known.
-    pub fn brief(&self) -> Option<Brief> {
+    pub fn brief(&self) -> Option<Summary> {
         let catalog = self.catalog.borrow();
         let Some(routing) = catalog.routing() else {
             return self.brief.borrow().clone();
         };
         let services = routing.document.services.iter();
-        Some(Brief {
+        Some(Summary {
             revision: catalog.revisions().routing,
             origin: routing.origin(),
             origin_mbps: routing.origin_mbps(),
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -15,7 +15,9 @@
 };
 use crate::member::peer::Told;
 use crate::wire::pack;
-use crate::wire::sync::{List, Named, News, PackedList, RevisionedDocument, Sync};
+use crate::wire::sync::{
+    News, PackedReplicaList, PublishedVersion, ReplicaList, RevisionedDocument, Sync,
+};
 
 /// How long after its naming a version is told to those who know it, with its age: longer than any
 /// bound that is counted from there.
@@ -85,17 +87,17 @@
     }
 
     /// Applies the whole list of replicas, received from `from`.
-    fn take_whole_list(&self, from: SocketAddr, list: List) {
+    fn take_whole_list(&self, from: SocketAddr, list: ReplicaList) {
         let records = list.records.into_iter();
         let records = records.map(|dated| (dated.revision, dated.record));
         let shaky = list.shaky || self.shaky();
         self.take_list(records.collect(), list.at, shaky, &from.to_string());
     }
 
-    fn take_packed_list(&self, from: SocketAddr, list: PackedList) {
-        let PackedList { at, shaky, packed } = list;
+    fn take_packed_list(&self, from: SocketAddr, list: PackedReplicaList) {
+        let PackedReplicaList { at, shaky, packed } = list;
         match pack::unpack(&packed) {
-            Ok(records) => self.take_whole_list(from, List { at, shaky, records }),
+            Ok(records) => self.take_whole_list(from, ReplicaList { at, shaky, records }),
             Err(error) => {
                 log::warn!(from:% = from, revision = at; "cannot unpack the list of replicas: {error}");
             }
@@ -113,7 +115,7 @@
         }
     }
 
-    fn take_named(&self, named: Named) {
+    fn take_named(&self, named: PublishedVersion) {
         let now = self.now();
         let age = Duration::from_millis(named.age_ms);
         let wanted = DesiredVersion {
@@ -307,12 +309,12 @@
     }
 
     /// The packed list of replicas, for processes that have none yet.
-    fn packed_list(&self) -> Option<PackedList> {
+    fn packed_list(&self) -> Option<PackedReplicaList> {
         let catalog = self.catalog.borrow();
         let at = catalog.revisions().replicas;
         let mut cache = self.packed_list.borrow_mut();
         match cache.get_or_pack(at, || present_records(&catalog)) {
-            Ok(packed) => Some(PackedList {
+            Ok(packed) => Some(PackedReplicaList {
                 at,
                 shaky: self.shaky(),
                 packed,
@@ -324,11 +326,11 @@
         }
     }
 
-    fn named(&self, now: Time) -> Vec<Named> {
+    fn named(&self, now: Time) -> Vec<PublishedVersion> {
         let catalog = self.catalog.borrow();
         let versions = catalog.versions();
         versions
-            .map(|(model, wanted)| Named {
+            .map(|(model, wanted)| PublishedVersion {
                 model: model.clone(),
                 version: wanted.version,
                 revision: wanted.revision,
@@ -359,8 +361,8 @@
     named.any(|(_, wanted)| now.since(wanted.since) < VERSIONS_TOLD)
 }
 
-fn list(catalog: &Catalog, shaky: bool) -> List {
-    List {
+fn list(catalog: &Catalog, shaky: bool) -> ReplicaList {
+    ReplicaList {
         at: catalog.revisions().replicas,
         shaky,
         records: present_records(catalog),
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -22,7 +22,7 @@
 use crate::config::routing::Engine;
 use crate::member::replica::Life;
 use crate::policy::Policy;
-use crate::wire::sync::Reported;
+use crate::wire::sync::ReplicaStatus;
 
 mod life;
 
@@ -195,18 +195,18 @@
     }
 
     /// How the replicas of `hall` do, by reports that are fresh.
-    pub fn reports(&self, hall: &str, now: Time) -> Vec<Reported> {
+    pub fn reports(&self, hall: &str, now: Time) -> Vec<ReplicaStatus> {
         self.reports_since(hall, Time::default(), now)
     }
 
     /// How those replicas of `hall` do that began or ended to take requests after `since`, by reports
     /// that are fresh.
-    pub fn reports_since(&self, hall: &str, since: Time, now: Time) -> Vec<Reported> {
+    pub fn reports_since(&self, hall: &str, since: Time, now: Time) -> Vec<ReplicaStatus> {
         let turned = self.of_hall(hall);
         let turned = turned.filter(|replica| replica.turned_at() > since);
         let told = turned.filter_map(|replica| {
             let (load, at) = replica.reported(now)?;
-            Some(Reported {
+            Some(ReplicaStatus {
                 address: replica.record.address,
                 load: load.clone(),
                 age_ms: now.since(at).as_millis() as u64,
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -58,7 +58,7 @@
     /// Whether it understands [`News::packed_peers`].
     #[serde(default)]
     pub takes_packed_peers: bool,
-    /// Whether it understands [`HallNews::packed`].
+    /// Whether it understands [`HallUpdate::packed`].
     #[serde(default)]
     pub takes_packed_digest: bool,
     /// Digest of the poison requests that it knows.
@@ -86,7 +86,7 @@
 
 /// How one replica does, as an entry was told.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Reported {
+pub struct ReplicaStatus {
     /// Where the replica listens.
     pub address: SocketAddr,
     /// What it has to do, and what it holds.
@@ -99,13 +99,13 @@
 
 /// How the replicas of one hall do.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct HallStatus {
     /// The hall.
     #[serde(default)]
     pub hall: Arc<str>,
     /// Its replicas.
     #[serde(default)]
-    pub replicas: Vec<Reported>,
+    pub replicas: Vec<ReplicaStatus>,
 }
 
 /// What the first entry of a hall tells the others.
@@ -115,7 +115,7 @@
     pub sync: Sync,
     /// How replicas do, by hall.
     #[serde(default)]
-    pub digests: Vec<Digest>,
+    pub digests: Vec<HallStatus>,
     /// What was learned since the frame before the previous one, without the configuration.
     #[serde(default)]
     pub news: Option<News>,
@@ -130,26 +130,26 @@
 
 /// An entry's answer about its hall.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HallNews {
+pub struct HallUpdate {
     /// How the hall's replicas do. Its list of replicas is empty if `packed` is set.
-    pub digest: Digest,
-    /// The packed list of [`Reported`] replicas, for askers that set [`Sync::takes_packed_digest`].
+    pub digest: HallStatus,
+    /// The packed list of [`ReplicaStatus`] replicas, for askers that set [`Sync::takes_packed_digest`].
     #[serde(default)]
     pub packed: Option<serde_bytes::ByteBuf>,
     /// Whatever the asker lacks besides.
     pub news: News,
 }
 
-impl HallNews {
+impl HallUpdate {
     /// Creates an answer from `digest` and `news`. Packs the replicas if `pack_replicas` is set, and
     /// falls back to the plain list if packing fails.
-    pub fn new(digest: Digest, news: News, pack_replicas: bool) -> Self {
+    pub fn new(digest: HallStatus, news: News, pack_replicas: bool) -> Self {
         let packed = pack_replicas
             .then(|| pack::pack(&digest.replicas))
             .transpose();
         match packed.ok().flatten() {
             Some(packed) => Self {
-                digest: Digest {
+                digest: HallStatus {
                     replicas: Vec::new(),
                     ..digest
                 },
@@ -165,12 +165,12 @@
     }
 
     /// Returns the digest with its replicas, unpacked if they were sent packed.
-    pub fn digest(&self) -> Result<Digest, pack::Error> {
+    pub fn digest(&self) -> Result<HallStatus, pack::Error> {
         let replicas = match &self.packed {
             Some(packed) => pack::unpack(packed)?,
             None => self.digest.replicas.clone(),
         };
-        Ok(Digest {
+        Ok(HallStatus {
             hall: self.digest.hall.clone(),
             replicas,
         })
@@ -179,7 +179,7 @@
 
 /// A version that was named for a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Named {
+pub struct PublishedVersion {
     /// The model.
     pub model: Arc<str>,
     /// The version.
@@ -203,7 +203,7 @@
 
 /// A list of replicas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct List {
+pub struct ReplicaList {
     /// The revision up to which it is known.
     pub at: u64,
     /// Whether the store was out of reach shortly before.
@@ -215,7 +215,7 @@
 
 /// A list of replicas in packed form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PackedList {
+pub struct PackedReplicaList {
     /// The revision up to which it is known.
     pub at: u64,
     /// Whether the store was out of reach shortly before.
@@ -228,7 +228,7 @@
 
 /// What a process beside a replica needs of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Brief {
+pub struct Summary {
     /// The configuration's revision.
     pub revision: u64,
     /// The origin of weights.
@@ -242,7 +242,7 @@
     pub engine: Option<Engine>,
 }
 
-impl Brief {
+impl Summary {
     /// Time that a whole copy of the weights takes over the origin's link, if that can be told.
     pub fn copy(&self) -> Option<Duration> {
         let bytes = self.engine.as_ref()?.weight_bytes();
@@ -283,22 +283,22 @@
     pub routing: Option<RevisionedDocument>,
     /// Newer wanted versions.
     #[serde(default)]
-    pub versions: Vec<Named>,
+    pub versions: Vec<PublishedVersion>,
     /// Newer evacuations.
     #[serde(default)]
     pub evacuations: Vec<Evacuation>,
     /// A newer list, where its changes alone can't be told.
     #[serde(default)]
-    pub replicas: Option<List>,
+    pub replicas: Option<ReplicaList>,
     /// The packed list, for a process that begins and draws it with this message.
     #[serde(default)]
-    pub list: Option<PackedList>,
+    pub list: Option<PackedReplicaList>,
     /// What changed in the list.
     #[serde(default)]
     pub changes: Option<Changes>,
     /// The newer configuration in brief.
     #[serde(default)]
-    pub brief: Option<Brief>,
+    pub brief: Option<Summary>,
     /// Digest of the poison requests that it knows.
     #[serde(default)]
     pub poison: u64,
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -23,7 +23,7 @@
 use pumicelatch::policy::Policy;
 use pumicelatch::route::replica::Load;
 use pumicelatch::source::{Batch, Topic};
-use pumicelatch::wire::sync::{Digest, HallNews, News, Reported, Sync};
+use pumicelatch::wire::sync::{HallStatus, HallUpdate, News, ReplicaStatus, Sync};
 use quickcheck::quickcheck;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -653,7 +653,7 @@
 /// Guards against answers to other halls that repeat the field names for each replica.
 #[test]
 fn packed_hall_answers_take_less_than_a_quarter_of_the_plain_size() {
-    let reported = |index: u8| Reported {
+    let reported = |index: u8| ReplicaStatus {
         address: format!("10.2.0.{index}:80").parse().unwrap(),
         load: Load {
             born: 1_769_398_072_020 + u64::from(index),
@@ -668,14 +668,14 @@
         },
         age_ms: 40 * u64::from(index),
     };
-    let digest = Digest {
+    let digest = HallStatus {
         hall: hall(2),
         replicas: (1..=64).map(reported).collect(),
     };
     let entry = entry_knowing_nothing(1);
     let news = || entry.news_for(&entry.sync(false), false);
     let answer = |pack_replicas| {
-        let answer = HallNews::new(digest.clone(), news(), pack_replicas);
+        let answer = HallUpdate::new(digest.clone(), news(), pack_replicas);
         rmp_serde::to_vec_named(&answer).unwrap()
     };
     let (plain, packed) = (answer(false), answer(true));
@@ -686,7 +686,7 @@
         plain.len()
     );
     for bytes in [plain, packed] {
-        let answer: HallNews = rmp_serde::from_slice(&bytes).unwrap();
+        let answer: HallUpdate = rmp_serde::from_slice(&bytes).unwrap();
         assert_eq!(answer.digest().unwrap(), digest);
     }
 }
