--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -14,7 +14,7 @@
 use crate::knowledge::fanout::{self, FRAME_FORWARD_PATH, Message, SYNC_FORWARD_PATH};
 use crate::knowledge::{gossip, poison};
 use crate::wire::pack;
-use crate::wire::sync::{FRAME_PATH, Frame, HALL_PATH, REPORT_PATH, Report, SYNC_PATH, Sync};
+use crate::wire::sync::{FRAME_PATH, Frame, HALL_PATH, Heartbeat, REPORT_PATH, Report, SYNC_PATH};
 
 /// Longest message of another process.
 const MESSAGE_MAX: usize = 1 << 20;
@@ -54,11 +54,11 @@
 /// Another process of the system asks or tells.
 pub async fn answer(gateway: Rc<Gateway>, mut request: Request) -> Answer {
     match request.path() {
-        SYNC_PATH => match message::<Sync>(&mut request).await {
+        SYNC_PATH => match message::<Heartbeat>(&mut request).await {
             Ok(sync) => take_sync(&gateway, &sync, false),
             Err(answer) => answer,
         },
-        HALL_PATH => match message::<Sync>(&mut request).await {
+        HALL_PATH => match message::<Heartbeat>(&mut request).await {
             Ok(sync) => http::pack(StatusCode::OK, &gateway.hall_news(&sync)),
             Err(answer) => answer,
         },
@@ -119,7 +119,7 @@
 }
 
 /// Answers a heartbeat; `from_hub` says whether it came in a frame to the whole hall.
-fn take_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
+fn take_sync(gateway: &Gateway, sync: &Heartbeat, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
     if sync.entry && sync.hall == knowledge.identity.hall && knowledge.lacks(sync.revisions) {
         let fetch = gossip::fetch_news(knowledge.clone(), sync.from, sync.revisions, from_hub);
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -14,7 +14,7 @@
 use crate::knowledge::readers::Readers;
 use crate::knowledge::rounds::PeerExchange;
 use crate::wire::pack;
-use crate::wire::sync::{Frame, HALL_PATH, HallStatus, HallUpdate, ReplicaStatus, Sync};
+use crate::wire::sync::{Frame, HALL_PATH, HallStatus, HallUpdate, Heartbeat, ReplicaStatus};
 
 /// How often it is looked whether anyone is to be told or asked.
 const LOOK: Duration = Duration::from_millis(100);
@@ -148,7 +148,7 @@
     }
 
     /// Answers how this hall's replicas do.
-    pub(super) fn hall_news(&self, sync: &Sync) -> HallUpdate {
+    pub(super) fn hall_news(&self, sync: &Heartbeat) -> HallUpdate {
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
         let replicas = least_loaded(self.pool.borrow().reports(&hall, now));
@@ -162,7 +162,7 @@
 
     /// Applies a frame from another entry of the hall unless it is outdated. Returns its heartbeat
     /// in both cases.
-    pub(super) fn take_frame(&self, frame: Frame) -> Sync {
+    pub(super) fn take_frame(&self, frame: Frame) -> Heartbeat {
         let (from, now) = (frame.sync.from, self.knowledge.now());
         let mut hub = self.hub.borrow_mut();
         let accepted = hub.accept_frame(from, frame.incarnation, frame.number, now);
--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -22,7 +22,7 @@
 use super::gossip::{self, Error};
 use crate::clock::Time;
 use crate::config::catalog::Revisions;
-use crate::wire::sync::{FRAME_PATH, News, SYNC_PATH, Sync};
+use crate::wire::sync::{FRAME_PATH, Heartbeat, SYNC_PATH, Update};
 
 /// Maximum number of branches into which an entry splits the receivers of a message.
 pub const DEGREE: usize = 4;
@@ -55,7 +55,7 @@
     /// The remaining receivers.
     pub receivers: Vec<SocketAddr>,
     /// The heartbeat of the sender, whose marks identify the news.
-    pub sync: Sync,
+    pub sync: Heartbeat,
 }
 
 /// Splits `receivers` into at most [`DEGREE`] branches. The first entry of a branch forwards the
@@ -106,7 +106,7 @@
     /// A packed [`crate::wire::sync::Frame`].
     Frame(Bytes),
     /// A notice that this entry has news.
-    News,
+    Update,
 }
 
 /// Sends `message` to all `receivers`, directly or through other entries.
@@ -159,7 +159,7 @@
         knowledge: &Knowledge,
         to: SocketAddr,
         rest: &[SocketAddr],
-    ) -> Result<News, Error> {
+    ) -> Result<Update, Error> {
         match self {
             Self::Frame(frame) if rest.is_empty() => {
                 gossip::ask_packed(knowledge, to, FRAME_PATH, frame.clone()).await
@@ -171,10 +171,10 @@
                 };
                 gossip::ask(knowledge, to, FRAME_FORWARD_PATH, &forwarded).await
             }
-            Self::News if rest.is_empty() => {
+            Self::Update if rest.is_empty() => {
                 gossip::ask(knowledge, to, SYNC_PATH, &knowledge.sync(false)).await
             }
-            Self::News => {
+            Self::Update => {
                 let forwarded = ForwardedSync {
                     receivers: rest.to_vec(),
                     sync: knowledge.sync(false),
@@ -196,7 +196,7 @@
     {
         log::info!(from:% = notice.sync.from; "notice of news forwarded before the news was fetched");
     }
-    send(&knowledge, &Message::News, notice.receivers);
+    send(&knowledge, &Message::Update, notice.receivers);
 }
 
 async fn wait_until_known(knowledge: &Knowledge, revisions: Revisions) {
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -23,7 +23,7 @@
 use crate::patience::{self, Progress};
 use crate::place;
 use crate::source::Topic;
-use crate::wire::sync::{FRAME_PATH, HALL_PATH, News, REPORT_PATH, SYNC_PATH, Sync};
+use crate::wire::sync::{FRAME_PATH, HALL_PATH, Heartbeat, REPORT_PATH, SYNC_PATH, Update};
 
 /// Shortest time between two rounds of telling that there is news.
 const NEWS_GAP: Duration = Duration::from_millis(150);
@@ -90,7 +90,7 @@
 }
 
 /// Takes what `peer` answered, and draws the configuration from it if that is newer there.
-pub fn take(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: News) {
+pub fn take(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: Update) {
     let (hall, revisions, entry) = (news.hall.clone(), news.revisions, news.entry);
     let digest = news.poison;
     knowledge.take_news(peer, news);
@@ -140,7 +140,7 @@
     peer: SocketAddr,
     path: &str,
     packed: Bytes,
-) -> Result<News, Error> {
+) -> Result<Update, Error> {
     let call = Call::new(peer, path, packed);
     call.exchange(knowledge, &Note::default(), || true).await
 }
@@ -235,7 +235,7 @@
     let far = matches!(place, Place::FarForAll | Place::Far);
     let knowledge = knowledge.clone();
     actix_rt::spawn(async move {
-        let sync = Sync {
+        let sync = Heartbeat {
             wants_routing: true,
             wants_list: true,
             ..knowledge.sync(false)
@@ -253,7 +253,7 @@
                 knowledge.take_news(peer, news);
                 if far {
                     // The hall's readers of the store may be cut off from it.
-                    fanout::send(&knowledge, &Message::News, knowledge.fellows());
+                    fanout::send(&knowledge, &Message::Update, knowledge.fellows());
                 }
             }
             Err(Error::Patience(patience::Error::NotNeeded)) => {}
@@ -267,9 +267,9 @@
 async fn draw_while(
     knowledge: &Knowledge,
     peer: SocketAddr,
-    sync: &Sync,
+    sync: &Heartbeat,
     needed: impl Fn() -> bool,
-) -> Result<News, Error> {
+) -> Result<Update, Error> {
     let call = Call {
         renews_after: None,
         ..Call::new(peer, SYNC_PATH, packed(sync)?)
@@ -327,7 +327,7 @@
         if !reader && !knowledge.reads(Topic::Operator) {
             continue;
         }
-        fanout::send(&knowledge, &Message::News, fellows);
+        fanout::send(&knowledge, &Message::Update, fellows);
         sleep(NEWS_GAP).await;
     }
 }
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -16,7 +16,7 @@
 use crate::member::peer::Told;
 use crate::wire::pack;
 use crate::wire::sync::{
-    News, PackedReplicaList, PublishedVersion, ReplicaList, RevisionedDocument, Sync,
+    Heartbeat, PackedReplicaList, PublishedVersion, ReplicaList, RevisionedDocument, Update,
 };
 
 /// How long after its naming a version is told to those who know it, with its age: longer than any
@@ -25,7 +25,7 @@
 
 impl Knowledge {
     /// Takes what another process answered.
-    pub fn take_news(&self, from: SocketAddr, news: News) {
+    pub fn take_news(&self, from: SocketAddr, news: Update) {
         self.update_peers(|peers| peers.learn(&news.peers, self.now()));
         if let Some(packed) = &news.packed_peers {
             match pack::unpack::<Vec<Told>>(packed) {
@@ -139,7 +139,7 @@
 
     /// The heartbeat that this process sends. With `names_entries` it tells the entries that it
     /// knows, and wants to be told.
-    pub fn sync(&self, names_entries: bool) -> Sync {
+    pub fn sync(&self, names_entries: bool) -> Heartbeat {
         let exchange = if names_entries {
             PeerExchange::PushPull
         } else {
@@ -150,9 +150,9 @@
 
     /// The heartbeat that this process sends. `exchange` selects whether it sends and requests known
     /// entries.
-    pub fn sync_exchanging(&self, exchange: PeerExchange) -> Sync {
+    pub fn sync_exchanging(&self, exchange: PeerExchange) -> Heartbeat {
         let now = self.now();
-        Sync {
+        Heartbeat {
             from: self.identity.address,
             hall: self.identity.hall.clone(),
             entry: self.identity.entry,
@@ -176,14 +176,14 @@
     }
 
     /// The news since `marks` without the configuration, if there is any.
-    pub fn news_since(&self, revisions: Revisions) -> Option<News> {
+    pub fn news_since(&self, revisions: Revisions) -> Option<Update> {
         let has_news = {
             let catalog = self.catalog.borrow();
             let own = catalog.revisions().without_routing();
             own.any_newer_than(revisions) || names_young(&catalog, self.now())
         };
         has_news.then(|| {
-            let sync = Sync {
+            let sync = Heartbeat {
                 entry: false,
                 revisions,
                 ..self.sync(false)
@@ -194,7 +194,7 @@
 
     /// The answer to an entry of another hall that polls this one: what its sender lacks. It lists
     /// only entries of this hall, because the sender polls the other halls as well.
-    pub fn news_for_hall(&self, sync: &Sync) -> News {
+    pub fn news_for_hall(&self, sync: &Heartbeat) -> Update {
         self.news_with_entries(sync, false, |now| self.hall_peers(now))
     }
 
@@ -207,17 +207,17 @@
 
     /// The answer to a heartbeat: what its sender lacks. `brief` for one that does not keep the
     /// whole configuration.
-    pub fn news_for(&self, sync: &Sync, brief: bool) -> News {
+    pub fn news_for(&self, sync: &Heartbeat, brief: bool) -> Update {
         self.news_with_entries(sync, brief, |now| self.entries_to_send(sync, now))
     }
 
     /// The answer to a heartbeat. It lists the result of `entries` if the sender requests entries.
     fn news_with_entries(
         &self,
-        sync: &Sync,
+        sync: &Heartbeat,
         brief: bool,
         entries: impl FnOnce(Time) -> Vec<Told>,
-    ) -> News {
+    ) -> Update {
         let now = self.now();
         self.update_peers(|peers| peers.learn(&sync.peers, now));
         if sync.entry {
@@ -245,7 +245,7 @@
             None
         };
         let needs_whole_list = newer_list && changes.is_none();
-        News {
+        Update {
             hall: self.identity.hall.clone(),
             entry: self.identity.entry,
             revisions,
@@ -284,7 +284,7 @@
 
     /// The entries that the reply to `sync` lists: all known ones if the sender is an entry, a
     /// bounded subset if it is a sidecar, unless sidecars report to all entries.
-    fn entries_to_send(&self, sync: &Sync, now: Time) -> Vec<Told> {
+    fn entries_to_send(&self, sync: &Heartbeat, now: Time) -> Vec<Told> {
         let peers = self.peers.borrow();
         if sync.entry || !self.policy.digests {
             return peers.tell(now);
@@ -340,7 +340,7 @@
     }
 }
 
-/// Encodes `told` for [`News::packed_peers`]. Returns `None` if it is empty or cannot be packed.
+/// Encodes `told` for [`Update::packed_peers`]. Returns `None` if it is empty or cannot be packed.
 fn pack_peers(told: &[Told]) -> Option<ByteBuf> {
     if told.is_empty() {
         return None;
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -40,7 +40,7 @@
 use crate::stop::{self, Porter};
 use crate::version::rollout;
 use crate::weight::{Digest, Store};
-use crate::wire::sync::{SYNC_PATH, Sync};
+use crate::wire::sync::{Heartbeat, SYNC_PATH};
 
 mod carry;
 pub mod engine;
@@ -347,7 +347,7 @@
         return sidecar.answer_run(call, request).await;
     }
     if path == SYNC_PATH {
-        return match message::<Sync>(&mut request).await {
+        return match message::<Heartbeat>(&mut request).await {
             Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.news_for(&sync, false)),
             Err(answer) => answer,
         };
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -24,7 +24,7 @@
 use crate::route::notice::{Notice, Wish};
 use crate::route::replica::Load;
 use crate::source::Topic;
-use crate::wire::sync::{REPORT_PATH, Report, Sync};
+use crate::wire::sync::{Heartbeat, REPORT_PATH, Report};
 
 /// How often the replica is asked.
 const LOOK: Duration = Duration::from_millis(100);
@@ -356,7 +356,7 @@
     let report = Report {
         address: sidecar.setting.replica,
         load: sidecar.load(),
-        sync: Sync {
+        sync: Heartbeat {
             wants_list: !sidecar.knowledge.catalog.borrow().has_replica_list(),
             ..sidecar.knowledge.sync(asks)
         },
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -13,7 +13,7 @@
 use crate::route::replica::Load;
 use crate::wire::pack;
 
-/// Path of a [`Sync`].
+/// Path of a [`Heartbeat`].
 pub const SYNC_PATH: &str = "/v1/sync";
 
 /// Path of a [`Report`].
@@ -21,7 +21,7 @@
 
 /// A heartbeat: who asks, and what it knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Sync {
+pub struct Heartbeat {
     /// Where the sender listens.
     pub from: SocketAddr,
     /// The data hall that it stands in.
@@ -48,14 +48,14 @@
     /// Whether it draws the list of replicas with this message, if it never had the list.
     #[serde(default)]
     pub wants_list: bool,
-    /// Whether it has never had the list of replicas and draws it as [`News::list`], by setting
+    /// Whether it has never had the list of replicas and draws it as [`Update::list`], by setting
     /// `wants_list` in one message at a time.
     #[serde(default)]
     pub draws_list: bool,
-    /// Whether it understands [`News::changes`].
+    /// Whether it understands [`Update::changes`].
     #[serde(default)]
     pub takes_changes: bool,
-    /// Whether it understands [`News::packed_peers`].
+    /// Whether it understands [`Update::packed_peers`].
     #[serde(default)]
     pub takes_packed_peers: bool,
     /// Whether it understands [`HallUpdate::packed`].
@@ -75,10 +75,10 @@
     #[serde(default)]
     pub load: Load,
     /// The heartbeat that goes with it.
-    pub sync: Sync,
+    pub sync: Heartbeat,
 }
 
-/// Path at which an entry is asked how its hall's replicas do; the message is a [`Sync`].
+/// Path at which an entry is asked how its hall's replicas do; the message is a [`Heartbeat`].
 pub const HALL_PATH: &str = "/v1/hall";
 
 /// Path at which the entries of a hall are told how replicas do; the message is a packed [`Frame`].
@@ -112,13 +112,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// The heartbeat that goes with it.
-    pub sync: Sync,
+    pub sync: Heartbeat,
     /// How replicas do, by hall.
     #[serde(default)]
     pub digests: Vec<HallStatus>,
     /// What was learned since the frame before the previous one, without the configuration.
     #[serde(default)]
-    pub news: Option<News>,
+    pub news: Option<Update>,
     /// Random identifier of the sending process.
     #[serde(default)]
     pub incarnation: u64,
@@ -133,17 +133,17 @@
 pub struct HallUpdate {
     /// How the hall's replicas do. Its list of replicas is empty if `packed` is set.
     pub digest: HallStatus,
-    /// The packed list of [`ReplicaStatus`] replicas, for askers that set [`Sync::takes_packed_digest`].
+    /// The packed list of [`ReplicaStatus`] replicas, for askers that set [`Heartbeat::takes_packed_digest`].
     #[serde(default)]
     pub packed: Option<serde_bytes::ByteBuf>,
     /// Whatever the asker lacks besides.
-    pub news: News,
+    pub news: Update,
 }
 
 impl HallUpdate {
     /// Creates an answer from `digest` and `news`. Packs the replicas if `pack_replicas` is set, and
     /// falls back to the plain list if packing fails.
-    pub fn new(digest: HallStatus, news: News, pack_replicas: bool) -> Self {
+    pub fn new(digest: HallStatus, news: Update, pack_replicas: bool) -> Self {
         let packed = pack_replicas
             .then(|| pack::pack(&digest.replicas))
             .transpose();
@@ -259,7 +259,7 @@
 
 /// The answer to a heartbeat or a report: whatever its sender lacks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The data hall of the process that answers.
     #[serde(default)]
     pub hall: Arc<str>,
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -23,7 +23,7 @@
 use pumicelatch::policy::Policy;
 use pumicelatch::route::replica::Load;
 use pumicelatch::source::{Batch, Topic};
-use pumicelatch::wire::sync::{HallStatus, HallUpdate, News, ReplicaStatus, Sync};
+use pumicelatch::wire::sync::{HallStatus, HallUpdate, Heartbeat, ReplicaStatus, Update};
 use quickcheck::quickcheck;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -319,9 +319,9 @@
         unknown: [1, 2],
     };
     let sync = rmp_serde::to_vec_named(&other).unwrap();
-    let sync: Sync = rmp_serde::from_slice(&sync).unwrap();
+    let sync: Heartbeat = rmp_serde::from_slice(&sync).unwrap();
     assert_eq!(sync.revisions, Revisions::default());
-    let news: News = rmp_serde::from_slice(&encode(&serde_json::json!({}))).unwrap();
+    let news: Update = rmp_serde::from_slice(&encode(&serde_json::json!({}))).unwrap();
     assert!(news.routing.is_none() && news.peers.is_empty());
     let document = serde_json::json!({"routes": [{"host": "a.example", "prefix": "/x/"}],
         "services": [{"name": "s", "engine": {"step_ms": 9.0}}]});
@@ -494,17 +494,17 @@
         ..Batch::default()
     };
     reader.take_batch(Topic::Replicas, true, whole_list);
-    let size = |news: &News| rmp_serde::to_vec_named(news).unwrap().len();
+    let size = |news: &Update| rmp_serde::to_vec_named(news).unwrap().len();
     let heartbeat = reader.news_for(&other.sync(false), false);
     assert!(heartbeat.replicas.is_none() && heartbeat.list.is_none());
     // The previous release cannot draw the list and gets it with each heartbeat.
-    let older = Sync {
+    let older = Heartbeat {
         draws_list: false,
         ..other.sync(false)
     };
     let whole = reader.news_for(&older, false);
     assert_eq!(whole.replicas.as_ref().unwrap().records.len(), 90);
-    let draws = Sync {
+    let draws = Heartbeat {
         wants_list: true,
         ..other.sync(false)
     };
@@ -532,16 +532,16 @@
 
 /// The reply of an entry that knows `each` entries in each of three halls to a heartbeat of the
 /// sidecar at `sidecar` in the first hall.
-fn news_for_sidecar(sidecar: &str, each: u8) -> News {
+fn news_for_sidecar(sidecar: &str, each: u8) -> Update {
     let sender = entry_knowing_nothing(1);
     *sender.peers.borrow_mut() = peers(entry(1, 1), each, sender.now());
-    let sync = Sync {
+    let sync = Heartbeat {
         from: sidecar.parse().unwrap(),
         entry: false,
         takes_packed_peers: false,
         ..sender.sync(true)
     };
-    let sync = Sync {
+    let sync = Heartbeat {
         peers: Vec::new(),
         ..sync
     };
@@ -698,13 +698,13 @@
     let responder = entry_knowing_nothing(1);
     *responder.peers.borrow_mut() = peers(entry(1, 1), 60, responder.now());
     let answer = |takes_packed_peers| {
-        let sync = Sync {
+        let sync = Heartbeat {
             from: entry(2, 1),
             hall: hall(2),
             takes_packed_peers,
             ..responder.sync(true)
         };
-        responder.news_for_hall(&Sync {
+        responder.news_for_hall(&Heartbeat {
             peers: Vec::new(),
             ..sync
         })
@@ -714,7 +714,7 @@
     assert!(plain.peers.iter().all(|told| told.hall == hall(1)));
     let packed = answer(true);
     assert!(packed.peers.is_empty());
-    let size = |news: &News| rmp_serde::to_vec_named(news).unwrap().len();
+    let size = |news: &Update| rmp_serde::to_vec_named(news).unwrap().len();
     assert!(
         size(&packed) * 3 < size(&plain),
         "packed: {} bytes, plain: {} bytes",
