--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -8,7 +8,7 @@
 use crate::audit::Deed;
 use crate::clock::{Time, unix_millis};
 use crate::http::{self, Error};
-use crate::version::{self, EngineState, Fence, Local, Order, OrderKind, Residence, Step};
+use crate::version::{self, Command, EngineState, Fence, LoadState, LocalState, Order, OrderKind};
 use crate::weight::Digest;
 
 /// How often the engine is asked for its state.
@@ -81,10 +81,10 @@
     http::get_json(&agent.node.client.0, &url, ANSWER_MAX, TIMEOUT).await
 }
 
-async fn order(agent: &Agent, step: Step) {
+async fn order(agent: &Agent, step: Command) {
     let kind = match step {
-        Step::Unload(digest) => OrderKind::Unload { digest },
-        Step::Load(digest) => OrderKind::Load {
+        Command::Unload(digest) => OrderKind::Unload { digest },
+        Command::Load(digest) => OrderKind::Load {
             digest,
             source: format!("http://{}/v1/weights/{digest}", agent.node.setting.listen),
             bytes: agent
@@ -103,13 +103,13 @@
     let taken: Result<Fence, Error> =
         http::post_json(&agent.node.client.0, &url, &order, TIMEOUT).await;
     match (taken, step) {
-        (Ok(_), Step::Load(digest)) => {
+        (Ok(_), Command::Load(digest)) => {
             agent.gate.borrow_mut().ordered.insert(digest);
             agent.node.audit(Deed::LoadOrdered {
                 version: digest.short(),
             });
         }
-        (Ok(_), Step::Unload(digest)) => {
+        (Ok(_), Command::Unload(digest)) => {
             agent.gate.borrow_mut().ordered.remove(&digest);
         }
         (Err(error), _) => log::warn!("order refused: {error}"),
@@ -122,7 +122,7 @@
         gate.engine
             .versions
             .values()
-            .any(|residence| *residence == Residence::Loading)
+            .any(|residence| *residence == LoadState::Loading)
     }
 
     /// Whether it is still unknown what this box should carry.
@@ -186,7 +186,7 @@
         }
     }
 
-    fn locals(&self) -> BTreeMap<Digest, Local> {
+    fn locals(&self) -> BTreeMap<Digest, LocalState> {
         let store = self.host.store.borrow();
         let gate = self.gate.borrow();
         let in_flight = self.in_flight.borrow();
@@ -194,7 +194,7 @@
             .borrow()
             .iter()
             .map(|(digest, burst)| {
-                let local = Local {
+                let local = LocalState {
                     wanted: burst.wanted(),
                     complete: store.complete(*digest),
                     in_flight: in_flight.of(*digest),
@@ -205,7 +205,7 @@
             .collect()
     }
 
-    fn steps(&self) -> Vec<Step> {
+    fn steps(&self) -> Vec<Command> {
         version::plan(&self.locals(), &self.gate.borrow().engine)
     }
 
--- a/src/route/replica.rs
+++ b/src/route/replica.rs
@@ -11,7 +11,7 @@
 use crate::clock::Time;
 use crate::config::catalog::{self, DesiredVersion};
 use crate::member::replica::{self, Held, Record};
-use crate::version::TAKING_IN;
+use crate::version::ACTIVATION_TIME;
 
 /// A report older than this says nothing of the load any more.
 const STALE: Duration = Duration::from_millis(3_000);
@@ -199,7 +199,7 @@
             return None;
         }
         let drawing = self.last.since(self.first) * missing / gained.max(1);
-        Some((drawing + TAKING_IN).saturating_sub(now.since(self.last)))
+        Some((drawing + ACTIVATION_TIME).saturating_sub(now.since(self.last)))
     }
 }
 
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Semaphore;
 
 use crate::http::{self, Answer, ClientSetting, Server, plain};
-use crate::version::{EngineState, Fence, Order, OrderKind, Residence};
+use crate::version::{EngineState, Fence, LoadState, Order, OrderKind};
 use crate::weight::Digest;
 
 /// Longest request body.
@@ -104,7 +104,7 @@
 /// What an engine holds.
 #[derive(Debug, Clone, Copy)]
 struct Held {
-    residence: Residence,
+    residence: LoadState,
     /// Digest of all bytes that were loaded, as this engine hashed them itself.
     content: Option<Digest>,
 }
@@ -252,7 +252,7 @@
             } => {
                 if let Entry::Vacant(vacant) = state.versions.entry(digest) {
                     vacant.insert(Held {
-                        residence: Residence::Loading,
+                        residence: LoadState::Loading,
                         content: None,
                     });
                     actix_rt::spawn(self.clone().load(digest, source, bytes, own));
@@ -267,7 +267,7 @@
         let mut state = self.lock();
         match (content, state.versions.get_mut(&digest)) {
             (Some(content), Some(held)) => {
-                held.residence = Residence::Loaded;
+                held.residence = LoadState::Loaded;
                 held.content = Some(content);
             }
             (None, Some(_)) => {
@@ -298,7 +298,7 @@
         {
             let mut state = self.lock();
             let held = state.versions.get(&version);
-            if held.is_none_or(|held| held.residence != Residence::Loaded) {
+            if held.is_none_or(|held| held.residence != LoadState::Loaded) {
                 return http::status(StatusCode::CONFLICT);
             }
             state.streams.insert(id.clone(), (prompt.clone(), version));
--- a/src/version.rs
+++ b/src/version.rs
@@ -15,7 +15,7 @@
 
 /// Time from a replica's last chunk until it serves: staged, verified and ordered, taken in (0.36 to 0.4 s,
 /// measured from the order to its report), and until its entries know.
-pub const TAKING_IN: Duration = Duration::from_millis(600);
+pub const ACTIVATION_TIME: Duration = Duration::from_millis(600);
 
 /// Ranks orders to an engine. A newer process outranks an older one whatever revision either knows.
 #[derive(
@@ -39,7 +39,7 @@
 /// What an engine reports of one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Residence {
+pub enum LoadState {
     /// It is being loaded.
     Loading,
     /// It can serve.
@@ -52,7 +52,7 @@
     /// The highest fence of any order it took.
     pub highest_fence: Fence,
     /// Its versions.
-    pub versions: BTreeMap<Digest, Residence>,
+    pub versions: BTreeMap<Digest, LoadState>,
     /// Requests in progress.
     pub in_flight: u32,
     /// Requests it can work on at once.
@@ -90,7 +90,7 @@
 
 /// What the agent knows of one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Local {
+pub struct LocalState {
     /// Whether the configuration wants it on this box.
     pub wanted: bool,
     /// Whether every chunk is verified.
@@ -103,7 +103,7 @@
 
 /// What is to be ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum Command {
     /// Order the engine to load a version.
     Load(Digest),
     /// Order the engine to let a version go.
@@ -111,17 +111,17 @@
 }
 
 /// Whether a version may take requests here.
-pub fn servable(local: Local, residence: Option<Residence>) -> bool {
-    local.wanted && local.complete && local.ordered && residence == Some(Residence::Loaded)
+pub fn servable(local: LocalState, residence: Option<LoadState>) -> bool {
+    local.wanted && local.complete && local.ordered && residence == Some(LoadState::Loaded)
 }
 
 /// The orders that bring the engine to what is wanted. A version that the engine holds already is
 /// ordered once by each new process, so that it stands under the present fence.
-pub fn plan(locals: &BTreeMap<Digest, Local>, engine: &EngineState) -> Vec<Step> {
+pub fn plan(locals: &BTreeMap<Digest, LocalState>, engine: &EngineState) -> Vec<Command> {
     let mut steps = Vec::new();
     for (&digest, local) in locals {
         if local.wanted && local.complete && !local.ordered {
-            steps.push(Step::Load(digest));
+            steps.push(Command::Load(digest));
         }
     }
     for &digest in engine.versions.keys() {
@@ -129,7 +129,7 @@
             .get(&digest)
             .is_none_or(|local| !local.wanted && local.in_flight == 0);
         if idle {
-            steps.push(Step::Unload(digest));
+            steps.push(Command::Unload(digest));
         }
     }
     steps
--- a/src/version/stopgap.rs
+++ b/src/version/stopgap.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::TAKING_IN;
+use super::ACTIVATION_TIME;
 use crate::clock::Time;
 use crate::config::catalog::{DesiredVersion, first_missing};
 
@@ -48,7 +48,7 @@
     /// When the newest version is served here, if that can be told.
     pub fn arrival(&self, times: Times) -> Option<Duration> {
         if self.chunks > 0 && self.unseen == 0 {
-            return Some(times.own * self.missing / self.chunks + TAKING_IN);
+            return Some(times.own * self.missing / self.chunks + ACTIVATION_TIME);
         }
         if self.quiet >= QUIET_MAX {
             return None;
@@ -58,7 +58,7 @@
         } else {
             times.origin * self.unseen / self.chunks
         };
-        Some(unseen.max(times.own * self.missing.max(1) / self.chunks.max(1)) + TAKING_IN)
+        Some(unseen.max(times.own * self.missing.max(1) / self.chunks.max(1)) + ACTIVATION_TIME)
     }
 }
 
@@ -70,7 +70,7 @@
     times: Times,
     now: Time,
 ) -> Option<u64> {
-    let serves = times.own + TAKING_IN;
+    let serves = times.own + ACTIVATION_TIME;
     let pays = |until: Duration| until >= serves + SERVES_MIN;
     if !outlook.arrival(times).is_none_or(pays) {
         return None;
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -12,7 +12,7 @@
 };
 use pumicelatch::route::{Ask, End, Load, Need, Policy, ReplicaKey, Table};
 use pumicelatch::template::fleet::Priority;
-use pumicelatch::version::{self, EngineState, Fence, Local, Residence, Step};
+use pumicelatch::version::{self, Command, EngineState, Fence, LoadState, LocalState};
 use pumicelatch::weight::Digest;
 use quickcheck::{Gen, QuickCheck};
 use rand::SeedableRng;
@@ -437,16 +437,16 @@
 fn the_gate_opens_only_when_all_of_it_holds() {
     for bits in 0..16u32 {
         let bit = |place: u32| bits >> place & 1 == 1;
-        let local = Local {
+        let local = LocalState {
             wanted: bit(0),
             complete: bit(1),
             ordered: bit(2),
             in_flight: 0,
         };
         let residence = if bit(3) {
-            Residence::Loaded
+            LoadState::Loaded
         } else {
-            Residence::Loading
+            LoadState::Loading
         };
         assert_eq!(version::servable(local, Some(residence)), bits == 15);
         assert!(!version::servable(local, None));
@@ -457,11 +457,11 @@
 fn a_version_is_unloaded_only_when_no_configuration_and_no_request_needs_it() {
     let digest = Digest::of(b"v");
     let engine = EngineState {
-        versions: [(digest, Residence::Loaded)].into(),
+        versions: [(digest, LoadState::Loaded)].into(),
         ..EngineState::default()
     };
     let steps = |wanted, in_flight| {
-        let local = Local {
+        let local = LocalState {
             wanted,
             complete: true,
             in_flight,
@@ -471,7 +471,7 @@
     };
     assert_eq!(steps(true, 0), []);
     assert_eq!(steps(false, 1), []);
-    assert_eq!(steps(false, 0), [Step::Unload(digest)]);
+    assert_eq!(steps(false, 0), [Command::Unload(digest)]);
 }
 
 #[test]
