--- a/src/burst.rs
+++ b/src/burst.rs
@@ -24,7 +24,7 @@
 use crate::spread::ring::Member;
 use crate::spread::swarm::{Action, FetchKey, Outcome, PeerKey, Source, Swarm, Tally};
 use crate::spread::upload::{Queue, UploadKey};
-use crate::version::stopgap::Outlook;
+use crate::version::fallback::Availability;
 use crate::weight::{self, Digest};
 
 pub mod fetch;
@@ -199,11 +199,11 @@
     }
 
     /// What is known of the version's weights, here and at peers.
-    pub fn outlook(&self, now: Time) -> Outlook {
+    pub fn outlook(&self, now: Time) -> Availability {
         let swarm = self.swarm.borrow();
-        let unknown = Outlook {
+        let unknown = Availability {
             quiet: now.since(self.began),
-            ..Outlook::default()
+            ..Availability::default()
         };
         swarm.as_ref().map_or(unknown, |swarm| swarm.outlook(now))
     }
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -16,8 +16,8 @@
 use crate::config::catalog::first_missing;
 use crate::config::routing::over_link;
 use crate::member::{Listed, Role};
+use crate::version::fallback;
 use crate::version::rollout::{self, Step};
-use crate::version::stopgap;
 use crate::weight::Digest;
 
 /// How often the replica is looked over.
@@ -164,15 +164,15 @@
             let ends = lacking.map_or(now, |lacking| lacking.since + times.bound);
             ends > now + SERVES_AFTER
         });
-        chosen.or_else(|| stopgap::choose(named, &hold, outlook, times, now))
+        chosen.or_else(|| fallback::select(named, &hold, outlook, times, now))
     }
 
-    fn times(&self) -> Option<stopgap::Times> {
+    fn times(&self) -> Option<fallback::TransferTimes> {
         let brief = self.knowledge.brief()?;
         let bytes = brief.engine.as_ref()?.weight_bytes();
         let rollout = self.setting.rollout;
         let own = over_link(bytes, self.setting.link_mbps);
-        Some(stopgap::Times {
+        Some(fallback::TransferTimes {
             origin: brief.copy().unwrap_or(own),
             own,
             bound: rollout.bound.saturating_sub(rollout.margin),
--- a/src/spread/swarm.rs
+++ b/src/spread/swarm.rs
@@ -13,7 +13,7 @@
 use super::ring::{self, Member};
 use crate::backoff::Backoff;
 use crate::clock::Time;
-use crate::version::stopgap::Outlook;
+use crate::version::fallback::Availability;
 use crate::weight::Digest;
 
 mod holder;
@@ -451,11 +451,11 @@
     }
 
     /// What is known of the version's weights, here and at peers.
-    pub fn outlook(&self, now: Time) -> Outlook {
+    pub fn outlook(&self, now: Time) -> Availability {
         let lacked = |chunk: &usize| !self.have.get(*chunk);
         let unseen = |chunk: &usize| lacked(chunk) && self.rarity[*chunk] == 0;
         let chunks = 0..self.have.len();
-        Outlook {
+        Availability {
             missing: chunks.clone().filter(lacked).count() as u32,
             unseen: chunks.clone().filter(unseen).count() as u32,
             chunks: chunks.len() as u32,
--- a/src/version.rs
+++ b/src/version.rs
@@ -3,8 +3,8 @@
 //! A replica is servable when every chunk is verified, the engine took the load order under the
 //! present fence, and the engine itself reports that digest.
 
+pub mod fallback;
 pub mod rollout;
-pub mod stopgap;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/src/version/stopgap.rs
+++ b/src/version/fallback.rs
@@ -22,7 +22,7 @@
 
 /// What is known of the newest version's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Outlook {
+pub struct Availability {
     /// Chunks that this box lacks.
     pub missing: u32,
     /// Of those, chunks that nobody in reach holds either.
@@ -35,7 +35,7 @@
 
 /// What things take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Times {
+pub struct TransferTimes {
     /// A whole copy over the origin's link.
     pub origin: Duration,
     /// A whole copy over this box's link.
@@ -44,9 +44,9 @@
     pub bound: Duration,
 }
 
-impl Outlook {
+impl Availability {
     /// When the newest version is served here, if that can be told.
-    pub fn arrival(&self, times: Times) -> Option<Duration> {
+    pub fn arrival(&self, times: TransferTimes) -> Option<Duration> {
         if self.chunks > 0 && self.unseen == 0 {
             return Some(times.own * self.missing / self.chunks + ACTIVATION_TIME);
         }
@@ -63,11 +63,11 @@
 }
 
 /// The version that an empty replica takes meanwhile, of those that others `hold`, if one pays.
-pub fn choose(
+pub fn select(
     named: &[DesiredVersion],
     hold: &BTreeSet<u64>,
-    outlook: Outlook,
-    times: Times,
+    outlook: Availability,
+    times: TransferTimes,
     now: Time,
 ) -> Option<u64> {
     let serves = times.own + ACTIVATION_TIME;
--- a/tests/stopgap.rs
+++ b/tests/stopgap.rs
@@ -6,7 +6,7 @@
 
 use pumicelatch::clock::Time;
 use pumicelatch::config::catalog::DesiredVersion;
-use pumicelatch::version::stopgap::{self, Outlook, Times};
+use pumicelatch::version::fallback::{self, Availability, TransferTimes};
 
 const NOW: Time = Time::from_millis(50_000);
 
@@ -15,7 +15,7 @@
 }
 
 /// An origin of 4.4 Mbit/s, a box's link of 7.3, and 12.4 s to change a version.
-const TIMES: Times = Times {
+const TIMES: TransferTimes = TransferTimes {
     origin: Duration::from_millis(4_300),
     own: Duration::from_millis(2_600),
     bound: Duration::from_millis(12_400),
@@ -31,8 +31,8 @@
 }
 
 /// The newest version is drawn: a fresh chunk 40 ms ago.
-fn coming(missing: u32, unseen: u32) -> Outlook {
-    Outlook {
+fn coming(missing: u32, unseen: u32) -> Availability {
+    Availability {
         missing,
         unseen,
         chunks: 96,
@@ -40,16 +40,16 @@
     }
 }
 
-fn away(outlook: Outlook) -> Outlook {
-    Outlook {
+fn away(outlook: Availability) -> Availability {
+    Availability {
         quiet: millis(1_600),
         ..outlook
     }
 }
 
-fn chosen(named: &[DesiredVersion], hold: &[u64], outlook: Outlook) -> Option<u64> {
+fn chosen(named: &[DesiredVersion], hold: &[u64], outlook: Availability) -> Option<u64> {
     let hold: BTreeSet<u64> = hold.iter().copied().collect();
-    stopgap::choose(named, &hold, outlook, TIMES, NOW)
+    fallback::select(named, &hold, outlook, TIMES, NOW)
 }
 
 #[test]
@@ -69,9 +69,9 @@
     let one = named(&[(2, 1_000)]);
     let hold = [1];
     // Just named: the origin needs 4.3 s, the older version would serve after 3.2.
-    let unknown = Outlook {
+    let unknown = Availability {
         quiet: millis(200),
-        ..Outlook::default()
+        ..Availability::default()
     };
     assert_eq!(chosen(&one, &hold, unknown), None);
     assert_eq!(chosen(&one, &hold, coming(96, 96)), None);
