--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -157,7 +157,7 @@
 }
 
 /// Time that `bytes` take over a link of so many megabits a second.
-pub fn over_link(bytes: u64, mbps: f64) -> Duration {
+pub fn transfer_time(bytes: u64, mbps: f64) -> Duration {
     Duration::from_secs_f64((bytes as f64 * 8.0 / (mbps * 1e6)).clamp(0.0, 3_600.0))
 }
 
@@ -309,7 +309,7 @@
     hosts: HashMap<String, Vec<usize>>,
     keys: HashMap<String, usize>,
     services: BTreeMap<Arc<str>, usize>,
-    tightest_ms: BTreeMap<Arc<str>, u64>,
+    min_objective_ms: BTreeMap<Arc<str>, u64>,
 }
 
 impl Routing {
@@ -334,10 +334,10 @@
             .enumerate()
             .map(|(index, service)| (service.name.clone(), index))
             .collect();
-        let mut tightest_ms: BTreeMap<Arc<str>, u64> = BTreeMap::new();
+        let mut min_objective_ms: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for route in &document.routes {
             for share in &route.shares {
-                let known = tightest_ms.entry(share.service.clone());
+                let known = min_objective_ms.entry(share.service.clone());
                 let known = known.or_insert(route.objective_ms);
                 *known = route.objective_ms.min(*known);
             }
@@ -347,13 +347,13 @@
             hosts,
             keys,
             services,
-            tightest_ms,
+            min_objective_ms,
         }
     }
 
     /// The tightest objective of all routes to a service, in milliseconds.
-    pub fn tightest_ms(&self, service: &str) -> Option<u64> {
-        self.tightest_ms.get(service).copied()
+    pub fn min_objective_ms(&self, service: &str) -> Option<u64> {
+        self.min_objective_ms.get(service).copied()
     }
 
     /// The route of `path` at `host`: the one with the longest prefix.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -496,7 +496,7 @@
             let model = self.knowledge.model_of(&group.0)?;
             let label = joined::label(&model, catalog.wanted(&model)?.version);
             let hosts = hosts.iter().map(String::as_str);
-            Some((group, rollout::waves_of(label, hosts, waves)))
+            Some((group, rollout::assign_waves(label, hosts, waves)))
         });
         placed.collect()
     }
@@ -515,7 +515,7 @@
         let model = self.knowledge.model_of(&record.service)?;
         Some(Due {
             named: catalog.named(&model).to_vec(),
-            begins: rollout::begins(rollout, wave).saturating_sub(rollout.notice),
+            begins: rollout::wave_start(rollout, wave).saturating_sub(rollout.notice),
             bound: rollout.bound.saturating_sub(START_MARGIN),
         })
     }
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -309,7 +309,7 @@
     pub(super) fn limits(&self) -> (Duration, Duration) {
         let gateway = &self.gateway;
         let own = self.job.objective();
-        let tightest = self.job.routing.tightest_ms(&self.job.service);
+        let tightest = self.job.routing.min_objective_ms(&self.job.service);
         let base = match tightest.filter(|_| gateway.setting.policy.shared_limit) {
             Some(tightest) => own.min(Duration::from_millis(tightest)),
             None => own,
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -448,7 +448,7 @@
     /// The settings of the change of versions, planned as `setting`, for an origin like the present one.
     pub fn rollout(&self, setting: rollout::Setting) -> rollout::Setting {
         let copy = self.brief().and_then(|brief| brief.copy());
-        setting.with_copy(copy, self.policy)
+        setting.with_transfer_time(copy, self.policy)
     }
 
     /// The model that `service` serves, by the engine's figures, or by what its replicas hold.
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -14,7 +14,7 @@
 use crate::burst::joined::{self, Target};
 use crate::clock::Time;
 use crate::config::catalog::first_missing;
-use crate::config::routing::over_link;
+use crate::config::routing::transfer_time;
 use crate::member::{Listed, Role};
 use crate::version::fallback;
 use crate::version::rollout::{self, Step};
@@ -171,7 +171,7 @@
         let brief = self.knowledge.brief()?;
         let bytes = brief.engine.as_ref()?.weight_bytes();
         let rollout = self.setting.rollout;
-        let own = over_link(bytes, self.setting.link_mbps);
+        let own = transfer_time(bytes, self.setting.link_mbps);
         Some(fallback::TransferTimes {
             origin: brief.copy().unwrap_or(own),
             own,
--- a/src/version/rollout.rs
+++ b/src/version/rollout.rs
@@ -43,13 +43,13 @@
     /// The settings where a version is due `bound` after it was named: replicas change in as many
     /// waves as there is time for, so that each takes few of them away, and in no fewer than by
     /// default.
-    pub fn due_within(bound: Duration, policy: Policy) -> Self {
+    pub fn for_bound(bound: Duration, policy: Policy) -> Self {
         Self::due_after(TRANSFER, bound, policy)
     }
 
     /// The settings where a copy takes `copy` over the origin's link, if that is known: no wave is
     /// planned for before its weights can be there.
-    pub fn with_copy(self, copy: Option<Duration>, policy: Policy) -> Self {
+    pub fn with_transfer_time(self, copy: Option<Duration>, policy: Policy) -> Self {
         match copy.map(|copy| copy + PASSED_ON) {
             Some(transfer) if transfer > TRANSFER => Self::due_after(transfer, self.bound, policy),
             _ => self,
@@ -97,7 +97,7 @@
 }
 
 /// The waves of all `fellows` at once.
-pub fn waves_of<'a>(
+pub fn assign_waves<'a>(
     version: Digest,
     fellows: impl Iterator<Item = &'a str>,
     waves: u32,
@@ -116,7 +116,7 @@
 }
 
 /// When a wave may begin, counted from when the version was named.
-pub fn begins(setting: Setting, wave: u32) -> Duration {
+pub fn wave_start(setting: Setting, wave: u32) -> Duration {
     let last = setting.bound.saturating_sub(setting.margin);
     let steps = setting.waves.max(2) - 1;
     let wave = wave.min(steps);
@@ -126,10 +126,10 @@
 /// When a wave may begin, counted from when the version was named, at a box that had the weights so
 /// long after that: once all waves are behind their time, what is left is shared among them anew, or
 /// all replicas would change at once.
-pub fn begins_with(setting: Setting, wave: u32, complete: Duration) -> Duration {
+pub fn wave_start_after(setting: Setting, wave: u32, complete: Duration) -> Duration {
     let last = setting.bound.saturating_sub(setting.margin);
     let spread = setting.spread.min(last.saturating_sub(complete));
-    begins(Setting { spread, ..setting }, wave)
+    wave_start(Setting { spread, ..setting }, wave)
 }
 
 /// What a process knows of its replica and the wanted version.
@@ -185,7 +185,7 @@
         return Step::Order;
     }
     let complete = complete.since(state.named);
-    if now.since(state.named) + setting.notice < begins_with(setting, state.wave, complete) {
+    if now.since(state.named) + setting.notice < wave_start_after(setting, state.wave, complete) {
         return Step::Await;
     }
     match state.noticed {
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -8,7 +8,7 @@
 
 use crate::config::catalog::{Changes, RevisionedRecord, Revisions};
 use crate::config::evacuation::Evacuation;
-use crate::config::routing::{Engine, over_link};
+use crate::config::routing::{Engine, transfer_time};
 use crate::member::peer::Told;
 use crate::route::replica::Load;
 use crate::wire::pack;
@@ -246,14 +246,14 @@
     /// Time that a whole copy of the weights takes over the origin's link, if that can be told.
     pub fn copy(&self) -> Option<Duration> {
         let bytes = self.engine.as_ref()?.weight_bytes();
-        let copy = over_link(bytes, self.origin_mbps?);
+        let copy = transfer_time(bytes, self.origin_mbps?);
         (!copy.is_zero()).then_some(copy)
     }
 
     /// Time that one chunk takes over it.
     pub fn chunk(&self) -> Option<Duration> {
         let chunk_bytes = self.engine.as_ref()?.chunk_bytes;
-        Some(over_link(chunk_bytes.into(), self.origin_mbps?))
+        Some(transfer_time(chunk_bytes.into(), self.origin_mbps?))
     }
 }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -662,7 +662,7 @@
     let mut sizes = BTreeMap::new();
     for name in &fellows {
         let wave = rollout::wave(version, name, &fellows, setting.waves);
-        assert!(rollout::begins(setting, wave) < setting.bound);
+        assert!(rollout::wave_start(setting, wave) < setting.bound);
         *sizes.entry(wave).or_insert(0) += 1;
     }
     assert_eq!(sizes.len(), setting.waves as usize);
@@ -673,9 +673,9 @@
 fn a_longer_bound_gives_more_waves_and_each_has_its_time() {
     let waves = |bound_ms| {
         let bound = Duration::from_millis(bound_ms);
-        let setting = rollout::Setting::due_within(bound, Policy::default());
+        let setting = rollout::Setting::for_bound(bound, Policy::default());
         let begins: Vec<Duration> = (0..setting.waves)
-            .map(|wave| rollout::begins(setting, wave))
+            .map(|wave| rollout::wave_start(setting, wave))
             .collect();
         assert_eq!(*begins.last().unwrap(), bound - setting.margin);
         let first = Duration::from_millis(3_400);
@@ -686,7 +686,7 @@
     };
     assert_eq!([8_000, 10_000, 13_400].map(waves), [4, 5, 8]);
     let forced = Policy::with(["waves=3"]).unwrap();
-    let setting = rollout::Setting::due_within(Duration::from_secs(10), forced);
+    let setting = rollout::Setting::for_bound(Duration::from_secs(10), forced);
     assert_eq!(setting.waves, 3);
 }
 
@@ -695,7 +695,7 @@
     let version = Digest::of(b"v2");
     let names: Vec<String> = (0..41).map(|index| format!("10.0.0.{index}")).collect();
     let fellows: Vec<&str> = names.iter().map(String::as_str).collect();
-    let all = rollout::waves_of(version, fellows.iter().copied(), 5);
+    let all = rollout::assign_waves(version, fellows.iter().copied(), 5);
     for name in &fellows {
         assert_eq!(all[*name], rollout::wave(version, name, &fellows, 5));
     }
@@ -706,10 +706,10 @@
 #[test]
 fn waves_that_are_behind_their_time_share_what_is_left_of_it() {
     let bound = Duration::from_millis(13_400);
-    let setting = rollout::Setting::due_within(bound, Policy::default());
+    let setting = rollout::Setting::for_bound(bound, Policy::default());
     let last = bound - setting.margin;
-    let complete = rollout::begins(setting, 0) + Duration::from_secs(3);
-    let begins = |wave| rollout::begins_with(setting, wave, complete);
+    let complete = rollout::wave_start(setting, 0) + Duration::from_secs(3);
+    let begins = |wave| rollout::wave_start_after(setting, wave, complete);
     let waves: Vec<Duration> = (0..setting.waves).map(begins).collect();
     assert_eq!((waves[0], waves[waves.len() - 1]), (complete, last));
     let gaps = waves.windows(2).map(|pair| pair[1] - pair[0]);
@@ -718,24 +718,27 @@
     // In time, the plan holds; past the last wave's time nothing is left to share.
     for complete in [Duration::ZERO, last] {
         let wave = setting.waves - 1;
-        assert_eq!(rollout::begins_with(setting, wave, complete), last);
+        assert_eq!(rollout::wave_start_after(setting, wave, complete), last);
     }
 }
 
 #[test]
 fn no_wave_is_planned_for_before_a_narrow_origin_can_have_sent_the_weights() {
     let bound = Duration::from_millis(13_400);
-    let setting = rollout::Setting::due_within(bound, Policy::default());
+    let setting = rollout::Setting::for_bound(bound, Policy::default());
     let copy = |millis| Some(Duration::from_millis(millis));
-    let narrow = setting.with_copy(copy(4_300), Policy::default());
-    assert!(rollout::begins(narrow, 0) >= Duration::from_millis(5_100));
+    let narrow = setting.with_transfer_time(copy(4_300), Policy::default());
+    assert!(rollout::wave_start(narrow, 0) >= Duration::from_millis(5_100));
     assert_eq!(
-        rollout::begins(narrow, narrow.waves - 1),
+        rollout::wave_start(narrow, narrow.waves - 1),
         bound - narrow.margin
     );
     // A copy over a box's own link takes its time however wide the origin's is.
-    assert_eq!(setting.with_copy(copy(1_300), Policy::default()), setting);
-    assert_eq!(setting.with_copy(None, Policy::default()), setting);
+    assert_eq!(
+        setting.with_transfer_time(copy(1_300), Policy::default()),
+        setting
+    );
+    assert_eq!(setting.with_transfer_time(None, Policy::default()), setting);
 }
 
 #[test]
@@ -750,7 +753,7 @@
         wave: 0,
         noticed: None,
     };
-    let last = rollout::begins(setting, setting.waves - 1);
+    let last = rollout::wave_start(setting, setting.waves - 1);
     let late = NOW + last - setting.notice;
     assert_eq!(rollout::step(state, setting, late), rollout::Step::Receive);
     let complete = rollout::State {
