--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -11,7 +11,7 @@
 use crate::agent::door::{PROVEN, Reason, Turned};
 use crate::clock::{Time, unix_millis};
 use crate::exchange::{self, Response, Reuse};
-use crate::request::Break;
+use crate::request::Interruption;
 use crate::route::{Ask, End, Need, ReplicaKey};
 use crate::template::fleet::Priority;
 use crate::wire::header;
@@ -103,12 +103,12 @@
 
 /// How an attempt that got no answer broke.
 pub(super) struct Broken {
-    pub(super) found: Break,
+    pub(super) found: Interruption,
     pub(super) reason: Option<Turned>,
 }
 
 impl Broken {
-    pub(super) fn of(found: Break) -> Self {
+    pub(super) fn of(found: Interruption) -> Self {
         Self {
             found,
             reason: None,
@@ -152,7 +152,7 @@
 ) -> Result<Response, Broken> {
     let address = match entry.table.borrow().get(replica) {
         Some(known) => known.address,
-        None => return Err(Broken::of(Break::NotReached)),
+        None => return Err(Broken::of(Interruption::NotReached)),
     };
     let request = inner_request(entry, job, resume_at);
     let remaining = job.remaining(entry);
@@ -164,8 +164,8 @@
     let sent = entry.node.exchange.send(address, &request);
     match actix_rt::time::timeout(limit, sent).await {
         Ok(Ok(response)) => admitted(response).await,
-        Ok(Err(exchange::Error::NotSent { .. })) => Err(Broken::of(Break::NotReached)),
-        Ok(Err(_)) | Err(_) => Err(Broken::of(Break::NoAnswer)),
+        Ok(Err(exchange::Error::NotSent { .. })) => Err(Broken::of(Interruption::NotReached)),
+        Ok(Err(_)) | Err(_) => Err(Broken::of(Interruption::NoAnswer)),
     }
 }
 
@@ -186,8 +186,8 @@
 async fn admitted(mut response: Response) -> Result<Response, Broken> {
     let found = match response.header(header::ADMITTED) {
         "yes" => return Ok(response),
-        "no" => Break::NotAdmitted,
-        _ => Break::Lost,
+        "no" => Interruption::NotAdmitted,
+        _ => Interruption::Lost,
     };
     let bytes = response.read(TURNED_MAX).await;
     let reason = bytes
@@ -199,8 +199,11 @@
 /// Whether a refusal tells that the target is in a bad way.
 pub(super) fn blames_target(broken: &Broken) -> bool {
     match broken.found {
-        Break::NotReached | Break::NoAnswer | Break::Lost | Break::MidAnswer => true,
-        Break::NotAdmitted => matches!(
+        Interruption::NotReached
+        | Interruption::NoAnswer
+        | Interruption::Lost
+        | Interruption::MidAnswer => true,
+        Interruption::NotAdmitted => matches!(
             broken.reason,
             Some(Turned {
                 reason: Reason::TargetDown,
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -21,7 +21,7 @@
 use crate::exchange::Response;
 use crate::http::{self, Answer};
 use crate::limit::Refusal;
-use crate::request::{self, Break, Key, Next, Outcome, Situation};
+use crate::request::{self, Interruption, Key, Next, Outcome, Situation};
 use crate::route::{Need, ReplicaKey, hash_of};
 use crate::template::fleet::{Limits, Priority, WHOLE_SHARE};
 
@@ -281,10 +281,14 @@
         }
     }
 
-    pub(super) fn decide(&mut self, found: Break, begun: bool) -> Next {
+    pub(super) fn decide(&mut self, found: Interruption, begun: bool) -> Next {
         let situation = self.situation(begun);
-        let next = request::after_break(found, situation, &mut self.entry.budget.borrow_mut());
-        if matches!(found, Break::NoAnswer | Break::Lost | Break::MidAnswer) {
+        let next =
+            request::after_interruption(found, situation, &mut self.entry.budget.borrow_mut());
+        if matches!(
+            found,
+            Interruption::NoAnswer | Interruption::Lost | Interruption::MidAnswer
+        ) {
             self.tainted = true;
         }
         if !matches!(next, Next::GiveUp(_)) {
@@ -353,7 +357,7 @@
     }
 }
 
-fn explain(reason: Option<&Reason>, found: Break) -> (Code, &'static str) {
+fn explain(reason: Option<&Reason>, found: Interruption) -> (Code, &'static str) {
     match reason {
         Some(Reason::Full) => (Code::Overloaded, "every target that was asked is full"),
         Some(Reason::Deadline) => (Code::Deadline, "the deadline cannot be met"),
@@ -376,7 +380,7 @@
         ),
         Some(Reason::TargetDown) => (Code::TargetFailed, "the target does not answer"),
         None => match found {
-            Break::NotReached => (Code::TargetFailed, "the target could not be reached"),
+            Interruption::NotReached => (Code::TargetFailed, "the target could not be reached"),
             _ => (Code::TargetFailed, "the way to the target broke"),
         },
     }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -14,7 +14,7 @@
 use super::event::Reader;
 use crate::exchange::{self, Response};
 use crate::http::{self, Answer};
-use crate::request::{Break, Next, Outcome};
+use crate::request::{Interruption, Next, Outcome};
 use crate::route::{Need, ReplicaKey};
 
 /// An answer of tokens on its way to the caller.
@@ -96,7 +96,7 @@
             None => None,
         };
         loop {
-            if self.course.decide(Break::MidAnswer, begun) != Next::Resume {
+            if self.course.decide(Interruption::MidAnswer, begun) != Next::Resume {
                 return false;
             }
             self.course.attempts += 1;
--- a/src/knowledge/store.rs
+++ b/src/knowledge/store.rs
@@ -62,7 +62,7 @@
                 after = Some(at);
                 sleep(pace.answered()).await;
             }
-            Ended::Call(Err(Error::Forgotten)) => {
+            Ended::Call(Err(Error::Compacted)) => {
                 log::info!(topic:? = topic, after:? = after; "store has forgotten; reading anew");
                 after = None;
                 reads_whole = true;
--- a/src/request.rs
+++ b/src/request.rs
@@ -279,7 +279,7 @@
 /// How an attempt to have a request answered went wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Break {
+pub enum Interruption {
     /// The target's agent could not be reached: no byte left.
     NotReached,
     /// The agent answered that it did not admit the request.
@@ -327,15 +327,15 @@
 pub const ATTEMPTS_MAX: u32 = 4;
 
 /// Whether a break shows that its attempt did not run.
-fn certain(found: Break) -> bool {
-    matches!(found, Break::NotReached | Break::NotAdmitted)
+fn certain(found: Interruption) -> bool {
+    matches!(found, Interruption::NotReached | Interruption::NotAdmitted)
 }
 
 /// What is known of a request after a break. Under a key only the key's own table can say "not
 /// run": it is the only one that could have run it.
-pub fn outcome_after(found: Break, situation: Situation) -> Outcome {
+pub fn outcome_after(found: Interruption, situation: Situation) -> Outcome {
     let clean = certain(found) && !situation.tainted && !situation.begun;
-    if clean && (!situation.keyed || found == Break::NotAdmitted) {
+    if clean && (!situation.keyed || found == Interruption::NotAdmitted) {
         Outcome::NotRun
     } else {
         Outcome::Unknown
@@ -344,14 +344,18 @@
 
 /// Decides what follows a break. A request that is not repeatable goes elsewhere only after a sure
 /// "not run"; one with a key never does, because its key leads to one box alone.
-pub fn after_break(found: Break, situation: Situation, budget: &mut RetryBudget) -> Next {
+pub fn after_interruption(
+    found: Interruption,
+    situation: Situation,
+    budget: &mut RetryBudget,
+) -> Next {
     let outcome = outcome_after(found, situation);
     let clean = certain(found) && !situation.tainted && !situation.begun;
     let exhausted = situation.attempts >= ATTEMPTS_MAX || situation.remaining_ms == 0;
     if exhausted || situation.keyed {
         return Next::GiveUp(outcome);
     }
-    if situation.begun || found == Break::MidAnswer {
+    if situation.begun || found == Interruption::MidAnswer {
         let may = situation.resumable && budget.spend();
         return if may {
             Next::Resume
--- a/src/source.rs
+++ b/src/source.rs
@@ -92,7 +92,7 @@
     },
     /// The history after the given revision is not kept any more.
     #[error("store has forgotten what followed")]
-    Forgotten,
+    Compacted,
     /// The answer makes no sense.
     #[error("store's answer is not understood: {reason}")]
     Text {
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -8,7 +8,8 @@
 use pumicelatch::clock::Time;
 use pumicelatch::limit::{self, Customers, Target};
 use pumicelatch::request::{
-    Admission, Answer, Break, Key, Ledger, Next, Outcome, RetryBudget, Situation, after_break,
+    Admission, Answer, Interruption, Key, Ledger, Next, Outcome, RetryBudget, Situation,
+    after_interruption,
 };
 use pumicelatch::route::{Ask, End, Load, Need, Policy, ReplicaKey, Table};
 use pumicelatch::template::fleet::Priority;
@@ -18,13 +19,13 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn every_situation() -> Vec<(Break, Situation)> {
+fn every_situation() -> Vec<(Interruption, Situation)> {
     let breaks = [
-        Break::NotReached,
-        Break::NotAdmitted,
-        Break::NoAnswer,
-        Break::Lost,
-        Break::MidAnswer,
+        Interruption::NotReached,
+        Interruption::NotAdmitted,
+        Interruption::NoAnswer,
+        Interruption::Lost,
+        Interruption::MidAnswer,
     ];
     let mut all = Vec::new();
     for found in breaks {
@@ -50,15 +51,21 @@
 #[test]
 fn in_every_situation_not_run_is_sure_and_nothing_unsure_runs_again() {
     for (found, situation) in every_situation() {
-        let next = after_break(found, situation, &mut RetryBudget::default());
+        let next = after_interruption(found, situation, &mut RetryBudget::default());
         let may_have_run = situation.tainted
             || situation.begun
-            || matches!(found, Break::NoAnswer | Break::Lost | Break::MidAnswer);
+            || matches!(
+                found,
+                Interruption::NoAnswer | Interruption::Lost | Interruption::MidAnswer
+            );
         let case = format!("{found:?} {situation:?}");
         match next {
             Next::GiveUp(Outcome::NotRun) => {
                 assert!(!may_have_run, "{case}");
-                assert!(!situation.keyed || found == Break::NotAdmitted, "{case}");
+                assert!(
+                    !situation.keyed || found == Interruption::NotAdmitted,
+                    "{case}"
+                );
             }
             Next::GiveUp(outcome) => assert_eq!(outcome, Outcome::Unknown, "{case}"),
             Next::Elsewhere => {
