--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration in force: values of the platform's service, by revision, never backwards.
 //!
-//! [`Book`] is pure. It takes deltas from wherever they come (the service, a peer), applies each
+//! [`Configuration`] is pure. It takes deltas from wherever they come (the service, a peer), applies each
 //! whole or not at all, keeps the last good fleet of a customer whose newest value is invalid, and
 //! refuses whatever would bring an older revision back.
 
@@ -53,7 +53,7 @@
 
 /// Why a delta was not applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum DeltaError {
     /// It ends at or before what is known already.
     #[error("revision {offered} is not newer than {known}", offered = .offered.0, known = .known.0)]
     Older {
@@ -74,7 +74,7 @@
 
 /// A customer's fleet as it is in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct InForce {
+pub struct Active {
     /// The newest revision of its template and values.
     pub revision: Revision,
     /// What the fleet should carry.
@@ -122,21 +122,21 @@
 
 /// What a process knows of the configuration.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Configuration {
     revision: Revision,
     values: BTreeMap<String, Value>,
-    in_force: BTreeMap<String, InForce>,
+    in_force: BTreeMap<String, Active>,
     rejected: BTreeMap<String, Rejected>,
 }
 
-impl Book {
+impl Configuration {
     /// The newest revision that was applied.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
     /// Customers with a fleet in force.
-    pub fn customers(&self) -> &BTreeMap<String, InForce> {
+    pub fn customers(&self) -> &BTreeMap<String, Active> {
         &self.in_force
     }
 
@@ -146,15 +146,15 @@
     }
 
     /// Applies a delta whole, or refuses it whole.
-    pub fn apply(&mut self, delta: Delta, now_ms: u64) -> Result<Vec<Change>, Refusal> {
+    pub fn apply(&mut self, delta: Delta, now_ms: u64) -> Result<Vec<Change>, DeltaError> {
         if delta.to <= self.revision {
-            return Err(Refusal::Older {
+            return Err(DeltaError::Older {
                 offered: delta.to,
                 known: self.revision,
             });
         }
         if delta.from > self.revision {
-            return Err(Refusal::Gap {
+            return Err(DeltaError::Gap {
                 from: delta.from,
                 known: self.revision,
             });
@@ -244,7 +244,7 @@
         match rendered {
             Ok(fleet) => {
                 self.rejected.remove(&customer);
-                let entry = InForce {
+                let entry = Active {
                     revision,
                     fleet: Rc::new(fleet),
                     since_ms: now_ms,
--- a/src/node.rs
+++ b/src/node.rs
@@ -13,7 +13,7 @@
 
 use crate::audit::{Deed, Trail};
 use crate::clock::{self, Clock};
-use crate::config::{Book, Change, Delta, Effect, Revision};
+use crate::config::{Change, Configuration, Delta, Effect, Revision};
 use crate::exchange;
 use crate::http::{self, ClientSetting, Error};
 use crate::member::{Listing, Role, View};
@@ -76,7 +76,7 @@
     /// Monotonic time.
     pub clock: Clock,
     /// The configuration in force.
-    pub book: RefCell<Book>,
+    pub book: RefCell<Configuration>,
     /// Boxes.
     pub view: RefCell<View>,
     /// The audit trail.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::Book;
+use crate::config::Configuration;
 use crate::member::Listed;
 use crate::spread::{Favour, ring};
 use crate::template::fleet::{Fleet, Model, Version};
@@ -86,7 +86,7 @@
 }
 
 /// The demands of all customers in force.
-pub fn demands(book: &Book) -> Vec<Demand> {
+pub fn demands(book: &Configuration) -> Vec<Demand> {
     book.customers()
         .iter()
         .flat_map(|(customer, entry)| fleet_demands(customer, &entry.fleet))
--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -5,7 +5,7 @@
 use common::{MODEL_BYTES, Served, Shape, add_model, all_serve, publish, run, start, until};
 use pumicelatch::agent::status::Status;
 use pumicelatch::bench::sample;
-use pumicelatch::config::{Book, Delta, Refusal, Revision, Value};
+use pumicelatch::config::{Configuration, Delta, DeltaError, Revision, Value};
 use pumicelatch::http::{self, ClientSetting};
 use pumicelatch::spread::Favour;
 use pumicelatch::standin::fleet::Fleet;
@@ -265,7 +265,7 @@
 fn holds(steps: Vec<Step>) -> bool {
     let mut service = with_template();
     let mut stale = with_template();
-    let mut books: Vec<Book> = (0..READERS).map(|_| Book::default()).collect();
+    let mut books: Vec<Configuration> = (0..READERS).map(|_| Configuration::default()).collect();
     let mut sent: Vec<Option<Delta>> = vec![None; READERS];
     for (number, step) in steps.iter().enumerate() {
         match step {
@@ -276,7 +276,7 @@
                     stale.values = service.values.clone();
                 }
             }
-            Step::Restart(reader) => books[*reader] = Book::default(),
+            Step::Restart(reader) => books[*reader] = Configuration::default(),
             Step::Replay(reader) => {
                 if let Some(delta) = sent[*reader].clone()
                     && !take(&mut books[*reader], delta, &service)
@@ -303,7 +303,7 @@
 
 /// Applies a delta. Returns whether no customer went back, and what is in force is what the service
 /// had at the revision that the book claims.
-fn take(book: &mut Book, delta: Delta, service: &Service) -> bool {
+fn take(book: &mut Configuration, delta: Delta, service: &Service) -> bool {
     let before: BTreeMap<String, Revision> = book
         .customers()
         .iter()
@@ -312,8 +312,8 @@
     let known = book.revision();
     let (from, to) = (delta.from, delta.to);
     match book.apply(delta, 0) {
-        Err(Refusal::Older { .. }) => return to <= known,
-        Err(Refusal::Gap { .. }) => return from > known,
+        Err(DeltaError::Older { .. }) => return to <= known,
+        Err(DeltaError::Gap { .. }) => return from > known,
         Ok(_) => {}
     }
     let forward = book.customers().iter().all(|(name, entry)| {
