--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -17,7 +17,7 @@
 use super::status::count;
 use crate::agent::door::Reason;
 use crate::clock::Time;
-use crate::config::InForce;
+use crate::config::Active;
 use crate::exchange::Response;
 use crate::http::{self, Answer};
 use crate::limit::Refusal;
@@ -119,7 +119,7 @@
     }
 }
 
-pub(super) fn customer_of(entry: &Entry, head: &Head) -> Result<InForce, Failure> {
+pub(super) fn customer_of(entry: &Entry, head: &Head) -> Result<Active, Failure> {
     if let Some(in_force) = entry.node.book.borrow().customers().get(&head.customer) {
         return Ok(in_force.clone());
     }
--- a/src/entry/key.rs
+++ b/src/entry/key.rs
@@ -9,7 +9,7 @@
 use super::attempt::{TURNED_MAX, choose, no_replica, prove};
 use super::call::{Job, SHORT_TIMEOUT, customer_of, draw};
 use super::caller::{self, Code, Failure, Head};
-use crate::config::InForce;
+use crate::config::Active;
 use crate::exchange;
 use crate::http::{self, Answer};
 use crate::route::{Need, ReplicaKey};
@@ -62,7 +62,7 @@
     Err(no_replica(entry))
 }
 
-fn key_need(in_force: &InForce, head: &Head, wanted: &KeyRequest) -> Result<Need, Failure> {
+fn key_need(in_force: &Active, head: &Head, wanted: &KeyRequest) -> Result<Need, Failure> {
     let fleet = &in_force.fleet;
     if let Some(name) = &wanted.service {
         if fleet.services.iter().any(|service| service.name == *name) {
