--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -23,7 +23,7 @@
 use crate::member::replica::Life;
 use crate::patience;
 use crate::request::attempt::Ended;
-use crate::request::poison::Name;
+use crate::request::poison::RequestHash;
 use crate::route::estimate::Demand;
 use crate::route::health::Sign;
 use crate::route::notice::Notice;
@@ -95,7 +95,7 @@
     /// The life of its replica.
     pub life: Life,
     /// What it is an attempt of.
-    request: Name,
+    request: RequestHash,
     choice: Choice,
     address: SocketAddr,
     /// The process beside the replica, if that is to keep what comes.
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -128,13 +128,13 @@
     ask: &Ask,
     customer: Option<&str>,
     body: Option<&[u8]>,
-) -> poison::Name {
+) -> poison::RequestHash {
     let path = head
         .uri
         .path_and_query()
         .map_or(&*ask.path, |path| path.as_str());
     let caller = customer.or(ask.key.as_deref()).unwrap_or_default();
-    poison::Name::of(&ask.host, path, caller, body.unwrap_or_default())
+    poison::RequestHash::of(&ask.host, path, caller, body.unwrap_or_default())
 }
 
 /// A part of the configuration could not be read, and this request may need it: nobody may tell its
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -42,7 +42,7 @@
     /// What stays the same of it when its caller tries again.
     pub fingerprint: Fingerprint,
     /// What stays the same of it whenever it comes.
-    pub name: poison::Name,
+    pub name: poison::RequestHash,
 }
 
 impl Job {
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -14,7 +14,7 @@
 use crate::clock::Time;
 use crate::knowledge::poison;
 use crate::member::replica::Life;
-use crate::request::poison::{ENDS_MAX, Name, Told, Verdict};
+use crate::request::poison::{CaseReport, MAX_CRASHES, RequestHash, Verdict};
 
 /// When it is looked whether the list or the process beside a replica tells of its end or of a new life: one that starts again within a
 /// moment takes connections as before, and one may end a moment after an attempt was given up. Together they are a round.
@@ -36,7 +36,7 @@
 /// An attempt under which its replica may have ended.
 #[derive(Debug)]
 struct Suspect {
-    name: Name,
+    name: RequestHash,
     life: Life,
     sight: Sight,
     at: Time,
@@ -86,7 +86,7 @@
     /// the replica ended does it count against the request.
     pub(super) fn suspect(
         self: &Rc<Self>,
-        name: Name,
+        name: RequestHash,
         life: Life,
         address: SocketAddr,
         sight: Sight,
@@ -183,19 +183,19 @@
         self.knowledge.poison_news.notify_one();
     }
 
-    fn log_if_barred(&self, name: Name) {
+    fn log_if_barred(&self, name: RequestHash) {
         let case = self
             .knowledge
             .poison
             .borrow()
             .case(name, self.knowledge.now());
-        if let Some(case) = case.filter(|case| case.ends.len() == ENDS_MAX) {
+        if let Some(case) = case.filter(|case| case.ends.len() == MAX_CRASHES) {
             log::warn!(name:% = name; "barred: {}", describe(&case));
         }
     }
 
     /// A replica answered `name` whole.
-    pub(super) fn came_good(&self, name: Name) {
+    pub(super) fn came_good(&self, name: RequestHash) {
         let now = self.knowledge.now();
         let news = self.knowledge.poison.borrow_mut().came_good(name, now);
         if news {
@@ -205,7 +205,7 @@
     }
 }
 
-fn describe(case: &Told) -> String {
+fn describe(case: &CaseReport) -> String {
     let ends = case.ends.iter();
     let ends: Vec<String> = ends
         .map(|end| format!("{} {} ms ago", end.life.id, end.age_ms))
@@ -222,14 +222,14 @@
 
     /// Whether it may be sent to a replica like any other request.
     pub(super) fn free(&self) -> bool {
-        self.verdict() == Verdict::Free
+        self.verdict() == Verdict::Allowed
     }
 
     /// Refuses it if it is barred, and not due to be tried.
     pub(super) fn unless_barred(&self) -> Result<(), Refusal> {
         match self.verdict() {
-            Verdict::Free | Verdict::Due => Ok(()),
-            Verdict::Barred => Err(self.barred()),
+            Verdict::Allowed | Verdict::TrialDue => Ok(()),
+            Verdict::Blocked => Err(self.barred()),
         }
     }
 
@@ -237,11 +237,11 @@
     /// place, or while an earlier attempt was under way.
     pub(super) async fn unless_poison(&self) -> Result<(), Refusal> {
         match self.verdict() {
-            Verdict::Free => Ok(()),
-            Verdict::Due if poison::take_try(&self.gateway.knowledge, self.job.name).await => {
+            Verdict::Allowed => Ok(()),
+            Verdict::TrialDue if poison::take_try(&self.gateway.knowledge, self.job.name).await => {
                 Ok(())
             }
-            Verdict::Due | Verdict::Barred => Err(self.barred()),
+            Verdict::TrialDue | Verdict::Blocked => Err(self.barred()),
         }
     }
 
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -25,7 +25,7 @@
     /// Its id.
     pub id: String,
     /// What stays the same of it whenever it comes, once that is known.
-    pub name: Option<poison::Name>,
+    pub name: Option<poison::RequestHash>,
     /// Its route.
     pub route: Arc<str>,
     /// The replica that answers, or the last that was tried.
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -36,7 +36,7 @@
 use crate::member::rank::rank;
 use crate::member::replica::Record;
 use crate::policy::Policy;
-use crate::request::poison::Register;
+use crate::request::poison::Registry;
 use crate::source::{Batch, Damaged, Topic};
 use crate::version::rollout;
 use crate::wire::pack;
@@ -130,7 +130,7 @@
     readers: RefCell<Readers>,
     answered: Cell<Option<Time>>,
     /// Requests under which replicas ended.
-    pub poison: RefCell<Register>,
+    pub poison: RefCell<Registry>,
     /// Wakes those who tell the other entries of them.
     pub poison_news: Notify,
     poison_comparing: Cell<bool>,
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -16,7 +16,7 @@
 use super::readers::Readers;
 use crate::exchange::Note;
 use crate::member::rank::{rank, weight};
-use crate::request::poison::{Name, Told};
+use crate::request::poison::{CaseReport, RequestHash};
 
 /// Path of a [`Notice`].
 pub const PATH: &str = "/v1/poison";
@@ -41,7 +41,7 @@
     pub hall: Arc<str>,
     /// The requests.
     #[serde(default)]
-    pub cases: Vec<Told>,
+    pub cases: Vec<CaseReport>,
     /// Whether it wants to be told what the other knows.
     #[serde(default)]
     pub asks: bool,
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
     /// What is known of the request.
-    pub case: Told,
+    pub case: CaseReport,
 }
 
 /// The answer to an [`Ask`].
@@ -86,7 +86,7 @@
         .collect()
 }
 
-fn send(knowledge: &Rc<Knowledge>, entries: Vec<SocketAddr>, cases: Vec<Told>) {
+fn send(knowledge: &Rc<Knowledge>, entries: Vec<SocketAddr>, cases: Vec<CaseReport>) {
     let notice = Rc::new(Notice {
         hall: knowledge.identity.hall.clone(),
         cases,
@@ -139,7 +139,7 @@
 }
 
 /// Asks for the single try of `name`: one entry deals it out for all that know each other.
-pub async fn take_try(knowledge: &Knowledge, name: Name) -> bool {
+pub async fn take_try(knowledge: &Knowledge, name: RequestHash) -> bool {
     let now = knowledge.now();
     let own = knowledge.identity.address;
     let others: Vec<SocketAddr> = {
@@ -179,7 +179,7 @@
     }
 }
 
-fn give_try(knowledge: &Knowledge, name: Name) -> bool {
+fn give_try(knowledge: &Knowledge, name: RequestHash) -> bool {
     let given = knowledge
         .poison
         .borrow_mut()
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -19,7 +19,7 @@
 use crate::member::replica::Life;
 
 /// Replicas that end under a request before it is sent to no other.
-pub const ENDS_MAX: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 
 /// Pauses before a request that is barred is tried once more: after the last end, and after each further try. The first is
 /// short, for a popular request that ran beside a poison one; each that fails costs a replica and all that runs there, and after so
@@ -57,9 +57,9 @@
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
-pub struct Name(u64);
+pub struct RequestHash(u64);
 
-impl Name {
+impl RequestHash {
     /// The name of what `caller` asks for at `path` of `host` with `body`.
     pub fn of(host: &str, path: &str, caller: &str, body: &[u8]) -> Self {
         let parts = [host.as_bytes(), path.as_bytes(), caller.as_bytes(), body];
@@ -67,7 +67,7 @@
     }
 }
 
-impl fmt::Display for Name {
+impl fmt::Display for RequestHash {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:016x}", self.0)
     }
@@ -75,7 +75,7 @@
 
 /// An end of a replica, as one process tells another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct Crash {
     /// What ended.
     pub life: Life,
     /// Milliseconds since.
@@ -84,12 +84,12 @@
 
 /// What is known of one request, as one process tells another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct CaseReport {
     /// The request.
-    pub name: Name,
+    pub name: RequestHash,
     /// The ends of replicas under it.
     #[serde(default)]
-    pub ends: Vec<End>,
+    pub ends: Vec<Crash>,
     /// Milliseconds since it was answered whole, if it was.
     #[serde(default)]
     pub good_ms: Option<u64>,
@@ -105,11 +105,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It may.
-    Free,
+    Allowed,
     /// It may not.
-    Barred,
+    Blocked,
     /// It may not, but for a single try over all entries.
-    Due,
+    TrialDue,
 }
 
 /// What is known of one request.
@@ -166,20 +166,20 @@
 
     fn verdict(&self, now: Time) -> Verdict {
         if !self.barred() {
-            return Verdict::Free;
+            return Verdict::Allowed;
         }
         // A try that its caller left costs nothing and shows nothing: others may follow, as seldom as the last.
-        let failed = self.ends.len() - ENDS_MAX;
+        let failed = self.ends.len() - MAX_CRASHES;
         let pause = TRY_PAUSES[(self.tries as usize).min(TRY_PAUSES.len() - 1)];
         if failed < TRY_PAUSES.len() && now.since(self.last()) >= pause {
-            Verdict::Due
+            Verdict::TrialDue
         } else {
-            Verdict::Barred
+            Verdict::Blocked
         }
     }
 
     fn barred(&self) -> bool {
-        self.ends.len() >= ENDS_MAX
+        self.ends.len() >= MAX_CRASHES
     }
 
     /// Whether it is not remembered any more.
@@ -198,13 +198,13 @@
         self.ends.len() > 1 || good_lately
     }
 
-    fn tell(&self, name: Name, now: Time) -> Told {
+    fn tell(&self, name: RequestHash, now: Time) -> CaseReport {
         let age_ms = |at: Time| now.since(at).as_millis() as u64;
-        let ends = self.ends.iter().map(|(life, at)| End {
+        let ends = self.ends.iter().map(|(life, at)| Crash {
             life: life.clone(),
             age_ms: age_ms(*at),
         });
-        Told {
+        CaseReport {
             name,
             ends: ends.collect(),
             good_ms: self.good.map(age_ms),
@@ -213,7 +213,7 @@
         }
     }
 
-    fn hear(&mut self, told: &Told, now: Time) -> bool {
+    fn hear(&mut self, told: &CaseReport, now: Time) -> bool {
         let at = |age_ms: u64| now - Duration::from_millis(age_ms);
         let good = told.good_ms.is_some_and(|age| self.come_good(at(age)));
         let mut news = good;
@@ -229,15 +229,15 @@
 
 /// The requests under which replicas ended, as one entry knows them.
 #[derive(Debug, Default)]
-pub struct Register {
-    cases: BTreeMap<Name, Case>,
+pub struct Registry {
+    cases: BTreeMap<RequestHash, Case>,
     /// Of which others are to be told.
-    news: BTreeSet<Name>,
+    news: BTreeSet<RequestHash>,
 }
 
-impl Register {
+impl Registry {
     /// The replica's life `life` ended at `at` while `name` ran there. Returns whether that is news.
-    pub fn ended(&mut self, name: Name, life: Life, at: Time) -> bool {
+    pub fn ended(&mut self, name: RequestHash, life: Life, at: Time) -> bool {
         self.make_room(name);
         let news = self.cases.entry(name).or_default().end(life, at);
         if news {
@@ -248,7 +248,7 @@
 
     /// A replica answered `name` whole. Returns whether others are to be told: not of the many that ran beside
     /// one that ends a replica, and come to an end at the next.
-    pub fn came_good(&mut self, name: Name, now: Time) -> bool {
+    pub fn came_good(&mut self, name: RequestHash, now: Time) -> bool {
         let Some(case) = self.cases.get_mut(&name) else {
             return false;
         };
@@ -264,14 +264,14 @@
     }
 
     /// Whether `name` may be sent to a replica.
-    pub fn verdict(&self, name: Name, now: Time) -> Verdict {
+    pub fn verdict(&self, name: RequestHash, now: Time) -> Verdict {
         let case = self.cases.get(&name);
-        case.map_or(Verdict::Free, |case| case.verdict(now))
+        case.map_or(Verdict::Allowed, |case| case.verdict(now))
     }
 
     /// Takes the single try of `name` that is due, if it is.
-    pub fn take_try(&mut self, name: Name, now: Time) -> bool {
-        let due = self.verdict(name, now) == Verdict::Due;
+    pub fn take_try(&mut self, name: RequestHash, now: Time) -> bool {
+        let due = self.verdict(name, now) == Verdict::TrialDue;
         let case = self.cases.get_mut(&name).filter(|_| due);
         let taken = case.is_some_and(|case| case.tried(case.tries + 1, now));
         if taken {
@@ -281,20 +281,20 @@
     }
 
     /// What is known of `name`.
-    pub fn case(&self, name: Name, now: Time) -> Option<Told> {
+    pub fn case(&self, name: RequestHash, now: Time) -> Option<CaseReport> {
         let case = self.cases.get(&name)?;
         Some(case.tell(name, now))
     }
 
     /// What was learned here since the last call.
-    pub fn take_news(&mut self, now: Time) -> Vec<Told> {
+    pub fn take_news(&mut self, now: Time) -> Vec<CaseReport> {
         let news = std::mem::take(&mut self.news);
         let cases = news.into_iter();
         cases.filter_map(|name| self.case(name, now)).collect()
     }
 
     /// Takes what another entry tells. Returns what of it is news, as it stands here now.
-    pub fn hear(&mut self, told: &[Told], now: Time) -> Vec<Told> {
+    pub fn hear(&mut self, told: &[CaseReport], now: Time) -> Vec<CaseReport> {
         let mut news = Vec::new();
         for told in told {
             let known = self.cases.get(&told.name).cloned();
@@ -310,9 +310,10 @@
     }
 
     /// What entries have to know alike, those with the most ends first.
-    pub fn tell(&self, now: Time) -> Vec<Told> {
+    pub fn tell(&self, now: Time) -> Vec<CaseReport> {
         let cases = self.cases.iter();
-        let mut matter: Vec<(&Name, &Case)> = cases.filter(|(_, case)| case.matters(now)).collect();
+        let mut matter: Vec<(&RequestHash, &Case)> =
+            cases.filter(|(_, case)| case.matters(now)).collect();
         matter.sort_by_key(|(name, case)| (std::cmp::Reverse(case.ends.len()), **name));
         let told = matter.into_iter().take(TOLD_MAX);
         told.map(|(name, case)| case.tell(*name, now)).collect()
@@ -328,7 +329,7 @@
             told.tries.hash(&mut hasher);
             told.good_ms.is_some().hash(&mut hasher);
             // Which ones they are matters as long as two entries might know different ones of too few.
-            if told.ends.len() <= ENDS_MAX {
+            if told.ends.len() <= MAX_CRASHES {
                 told.ends.iter().for_each(|end| end.life.hash(&mut hasher));
             }
             digest ^= hasher.finish();
@@ -348,11 +349,11 @@
     }
 
     /// Forgets the oldest of those with the fewest ends, if there is no room for `name`.
-    fn make_room(&mut self, name: Name) {
+    fn make_room(&mut self, name: RequestHash) {
         if self.cases.len() < CASES_MAX || self.cases.contains_key(&name) {
             return;
         }
-        let least = |(_, case): &(&Name, &Case)| (case.ends.len(), case.last());
+        let least = |(_, case): &(&RequestHash, &Case)| (case.ends.len(), case.last());
         let least = self.cases.iter().min_by_key(least).map(|(name, _)| *name);
         if let Some(least) = least {
             self.cases.remove(&least);
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -4,13 +4,13 @@
 
 use pumicelatch::clock::Time;
 use pumicelatch::member::replica::Life;
-use pumicelatch::request::poison::{ENDS_MAX, Name, Register, Verdict};
+use pumicelatch::request::poison::{MAX_CRASHES, Registry, RequestHash, Verdict};
 use quickcheck::quickcheck;
 
 const NOW: Time = Time::from_millis(3_600_000);
 
-fn name() -> Name {
-    Name::of("test.example", "/stream/x", "escola", b"body")
+fn name() -> RequestHash {
+    RequestHash::of("test.example", "/stream/x", "escola", b"body")
 }
 
 fn life(number: u8) -> Life {
@@ -25,8 +25,8 @@
 }
 
 /// An entry that knows of so many ends, the last of them at `NOW`.
-fn knowing(ends: usize) -> Register {
-    let mut register = Register::default();
+fn knowing(ends: usize) -> Registry {
+    let mut register = Registry::default();
     for number in 0..ends as u8 {
         register.ended(name(), life(number), NOW);
     }
@@ -36,61 +36,64 @@
 #[test]
 fn path_caller_and_body_name_a_request() {
     let other = [
-        Name::of("other.example", "/stream/x", "escola", b"body"),
-        Name::of("test.example", "/stream/y", "escola", b"body"),
-        Name::of("test.example", "/stream/x", "outra", b"body"),
-        Name::of("test.example", "/stream/x", "escola", b"bode"),
+        RequestHash::of("other.example", "/stream/x", "escola", b"body"),
+        RequestHash::of("test.example", "/stream/y", "escola", b"body"),
+        RequestHash::of("test.example", "/stream/x", "outra", b"body"),
+        RequestHash::of("test.example", "/stream/x", "escola", b"bode"),
         // What one part ends with does not begin the next.
-        Name::of("test.example", "/stream/xe", "scola", b"body"),
+        RequestHash::of("test.example", "/stream/xe", "scola", b"body"),
     ];
     assert!(other.iter().all(|other| *other != name()));
 }
 
 #[test]
 fn a_request_is_barred_by_the_third_end() {
-    assert_eq!(knowing(ENDS_MAX - 1).verdict(name(), NOW), Verdict::Free);
-    assert_eq!(knowing(ENDS_MAX).verdict(name(), NOW), Verdict::Barred);
-    let other = Name::of("test.example", "/stream/x", "escola", b"other");
-    assert_eq!(knowing(ENDS_MAX).verdict(other, NOW), Verdict::Free);
+    assert_eq!(
+        knowing(MAX_CRASHES - 1).verdict(name(), NOW),
+        Verdict::Allowed
+    );
+    assert_eq!(knowing(MAX_CRASHES).verdict(name(), NOW), Verdict::Blocked);
+    let other = RequestHash::of("test.example", "/stream/x", "escola", b"other");
+    assert_eq!(knowing(MAX_CRASHES).verdict(other, NOW), Verdict::Allowed);
 }
 
 #[test]
 fn one_life_ends_once_whoever_tells_of_it() {
     let mut register = knowing(1);
     for seen_by in 1..5 {
-        let mut other = Register::default();
+        let mut other = Registry::default();
         other.ended(name(), life(0), after(seen_by * 10));
         register.hear(&other.take_news(after(100)), after(100));
     }
-    assert_eq!(register.verdict(name(), after(100)), Verdict::Free);
+    assert_eq!(register.verdict(name(), after(100)), Verdict::Allowed);
     assert_eq!(register.case(name(), after(100)).unwrap().ends.len(), 1);
 }
 
 #[test]
 fn a_replica_that_starts_again_under_its_id_is_another_life() {
-    let mut register = knowing(ENDS_MAX - 1);
+    let mut register = knowing(MAX_CRASHES - 1);
     let again = Life { born: 2, ..life(0) };
     register.ended(name(), again, NOW);
-    assert_eq!(register.verdict(name(), NOW), Verdict::Barred);
+    assert_eq!(register.verdict(name(), NOW), Verdict::Blocked);
 }
 
 #[test]
 fn a_whole_answer_takes_all_ends_before_it_back_at_all_entries() {
-    let (mut one, mut other) = (knowing(ENDS_MAX), Register::default());
+    let (mut one, mut other) = (knowing(MAX_CRASHES), Registry::default());
     other.hear(&one.tell(NOW), NOW);
     assert!(one.came_good(name(), after(500)));
     let told = one.take_news(after(500));
     assert!(!other.hear(&told, after(520)).is_empty());
-    assert_eq!(other.verdict(name(), after(520)), Verdict::Free);
+    assert_eq!(other.verdict(name(), after(520)), Verdict::Allowed);
     // Who has not heard it yet tells of the ends once more.
-    let late = knowing(ENDS_MAX).tell(after(600));
+    let late = knowing(MAX_CRASHES).tell(after(600));
     assert!(one.hear(&late, after(600)).is_empty());
-    assert_eq!(one.verdict(name(), after(600)), Verdict::Free);
+    assert_eq!(one.verdict(name(), after(600)), Verdict::Allowed);
 }
 
 #[test]
 fn a_barred_request_is_tried_by_one_at_a_time_and_less_and_less_often() {
-    let mut register = knowing(ENDS_MAX);
+    let mut register = knowing(MAX_CRASHES);
     let mut tries = Vec::new();
     for second in 0..120 {
         let now = after(second * 1_000);
@@ -108,7 +111,7 @@
 /// Each try that fails has cost a replica, with all that ran there.
 #[test]
 fn three_tries_at_most_find_out_whether_it_has_become_good() {
-    let mut register = knowing(ENDS_MAX);
+    let mut register = knowing(MAX_CRASHES);
     let mut tries = Vec::new();
     for second in 0..3_600 {
         let now = after(second * 1_000);
@@ -124,19 +127,19 @@
 /// A caller who leaves before its try has come to an end leaves open whether it has become good.
 #[test]
 fn tries_that_came_to_nothing_are_followed_by_others() {
-    let mut register = knowing(ENDS_MAX);
+    let mut register = knowing(MAX_CRASHES);
     let tried = (0..2_000).filter(|second| register.take_try(name(), after(second * 1_000)));
     assert_eq!(tried.collect::<Vec<_>>(), [2, 22, 622, 1_222, 1_822]);
 }
 
 #[test]
 fn what_was_learned_long_ago_is_forgotten() {
-    let mut register = knowing(ENDS_MAX - 1);
+    let mut register = knowing(MAX_CRASHES - 1);
     register.sweep(after(1_000_000));
     assert!(register.case(name(), after(1_000_000)).is_none());
-    let mut barred = knowing(ENDS_MAX);
+    let mut barred = knowing(MAX_CRASHES);
     barred.sweep(after(3_500_000));
-    assert_eq!(barred.verdict(name(), after(3_500_000)), Verdict::Due);
+    assert_eq!(barred.verdict(name(), after(3_500_000)), Verdict::TrialDue);
     barred.sweep(after(3_700_000));
     assert!(barred.case(name(), after(3_700_000)).is_none());
 }
@@ -145,7 +148,7 @@
 fn many_requests_with_one_end_each_leave_those_with_more() {
     let mut register = knowing(2);
     for number in 0..5_000_u32 {
-        let other = Name::of("test.example", "/", "escola", &number.to_le_bytes());
+        let other = RequestHash::of("test.example", "/", "escola", &number.to_le_bytes());
         register.ended(other, life(9), after(number.into()));
     }
     assert_eq!(register.case(name(), NOW).unwrap().ends.len(), 2);
@@ -154,7 +157,7 @@
 }
 
 /// What one entry saw: the end of a life, or a whole answer.
-fn saw(register: &mut Register, (number, at): (u8, u16)) {
+fn saw(register: &mut Registry, (number, at): (u8, u16)) {
     let at = after(u64::from(at % 64) * 1_000);
     if number % 8 == 7 {
         register.came_good(name(), at);
@@ -166,7 +169,7 @@
 quickcheck! {
     /// Whatever two entries saw, and in whatever order each hears it, they come to know alike.
     fn entries_that_tell_each_other_know_alike(one: Vec<(u8, u16)>, other: Vec<(u8, u16)>) -> bool {
-        let (mut first, mut second) = (Register::default(), Register::default());
+        let (mut first, mut second) = (Registry::default(), Registry::default());
         one.into_iter().for_each(|event| saw(&mut first, event));
         other.into_iter().for_each(|event| saw(&mut second, event));
         let now = after(64_000);
@@ -179,7 +182,7 @@
 
     /// Telling the same once more changes nothing, so that news die out.
     fn what_is_told_twice_is_no_news(events: Vec<(u8, u16)>) -> bool {
-        let (mut first, mut second) = (Register::default(), Register::default());
+        let (mut first, mut second) = (Registry::default(), Registry::default());
         events.into_iter().for_each(|event| saw(&mut first, event));
         let now = after(64_000);
         second.hear(&first.tell(now), now);
