--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -217,7 +217,7 @@
     }
 
     /// The versions that were named for a model, oldest first.
-    pub fn named(&self, model: &str) -> &[DesiredVersion] {
+    pub fn desired_versions(&self, model: &str) -> &[DesiredVersion] {
         self.versions.get(model).map_or(&[], Vec::as_slice)
     }
 
@@ -297,16 +297,16 @@
     }
 
     /// Takes one fact. `shaky` tells that the store was out of reach shortly before.
-    pub fn learn(&mut self, dated: Revisioned, now: Time, shaky: bool) -> Effect {
+    pub fn apply(&mut self, dated: Revisioned, now: Time, shaky: bool) -> Effect {
         let revision = dated.revision;
         match dated.fact {
             Fact::Routing(document) => self.learn_routing(revision, document),
             Fact::Version { model, version } => self.learn_version(revision, model, version, now),
             Fact::Replica(record) => self.learn_replica(revision, record),
             Fact::ReplicaGone(id) => self.forget_replica(revision, &id, now, shaky),
-            Fact::Evacuation { hall, asked } => evacuated(self.evacuations.learn(Evacuation {
+            Fact::Evacuation { hall, asked } => evacuated(self.evacuations.apply(Evacuation {
                 hall,
-                asked,
+                active: asked,
                 revision,
             })),
         }
@@ -465,7 +465,7 @@
                 effect = Effect::Replicas;
             }
         }
-        self.reached(revision);
+        self.advance_list(revision);
         effect
     }
 
@@ -514,12 +514,12 @@
                 effect = Effect::Replicas;
             }
         }
-        self.reached(changes.at);
+        self.advance_list(changes.at);
         effect
     }
 
     /// The list of replicas is known up to `revision`.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn advance_list(&mut self, revision: u64) {
         self.replicas_at = self.replicas_at.max(revision);
     }
 
@@ -546,7 +546,7 @@
     }
 
     /// Drops replicas that went long enough ago. Returns whether any was dropped.
-    pub fn sweep(&mut self, now: Time) -> bool {
+    pub fn remove_expired(&mut self, now: Time) -> bool {
         let before = self.replicas.len();
         self.replicas.retain(|_, listed| match listed.gone {
             None => true,
--- a/src/config/evacuation.rs
+++ b/src/config/evacuation.rs
@@ -11,7 +11,8 @@
     /// The hall.
     pub hall: Arc<str>,
     /// Whether its replicas are to get nothing more; else that is over.
-    pub asked: bool,
+    #[serde(rename = "asked")]
+    pub active: bool,
     /// The revision that said so.
     pub revision: u64,
 }
@@ -24,28 +25,28 @@
 
 impl Evacuations {
     /// Takes what was said of one hall. Returns whether that changes where requests may go.
-    pub fn learn(&mut self, told: Evacuation) -> bool {
+    pub fn apply(&mut self, told: Evacuation) -> bool {
         let known = self.halls.get(&told.hall);
         if known.is_some_and(|known| known.revision >= told.revision) {
             return false;
         }
-        let before = known.is_some_and(|known| known.asked);
-        let changed = before != told.asked;
+        let before = known.is_some_and(|known| known.active);
+        let changed = before != told.active;
         self.halls.insert(told.hall.clone(), told);
         changed
     }
 
     /// All that lay in the store at `revision` were those of `present`: the others are over.
     pub fn apply_list(&mut self, present: &[Arc<str>], revision: u64) -> bool {
-        let asked = self.halls.values().filter(|known| known.asked);
+        let asked = self.halls.values().filter(|known| known.active);
         let over: Vec<Arc<str>> = asked
             .map(|known| known.hall.clone())
             .filter(|hall| !present.contains(hall))
             .collect();
         let ended = over.into_iter().map(|hall| {
-            self.learn(Evacuation {
+            self.apply(Evacuation {
                 hall,
-                asked: false,
+                active: false,
                 revision,
             })
         });
@@ -59,13 +60,13 @@
     }
 
     /// Everything, for another process.
-    pub fn tell(&self) -> Vec<Evacuation> {
+    pub fn all(&self) -> Vec<Evacuation> {
         self.halls.values().cloned().collect()
     }
 
     /// The halls whose replicas are to get nothing more.
-    pub fn asked(&self) -> impl Iterator<Item = &Arc<str>> {
-        let asked = self.halls.values().filter(|known| known.asked);
+    pub fn active(&self) -> impl Iterator<Item = &Arc<str>> {
+        let asked = self.halls.values().filter(|known| known.active);
         asked.map(|known| &known.hall)
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -446,7 +446,7 @@
             if look.is_multiple_of(LOOKS_LOGGED) {
                 self.log_under_way();
             }
-            let swept = self.knowledge.catalog.borrow_mut().sweep(now);
+            let swept = self.knowledge.catalog.borrow_mut().remove_expired(now);
             if swept {
                 self.knowledge.changed.send_modify(|count| *count += 1);
             }
@@ -455,8 +455,8 @@
             let losses = self.knowledge.losses.borrow().count;
             self.instruments.losses(losses);
             let mut register = self.knowledge.poison.borrow_mut();
-            register.sweep(now);
-            self.instruments.barred(register.barred());
+            register.remove_expired(now);
+            self.instruments.barred(register.blocked());
         }
     }
 
@@ -469,7 +469,7 @@
             let rollout = self.knowledge.rollout(self.setting.rollout);
             let waves = self.waves(&catalog, rollout.waves);
             let due = |record: &Record| self.due(&catalog, rollout, &waves, record);
-            let evacuated = catalog.evacuations().asked().cloned().collect();
+            let evacuated = catalog.evacuations().active().cloned().collect();
             let mut pool = self.pool.borrow_mut();
             pool.update(list, due);
             pool.evacuate(evacuated);
@@ -514,7 +514,7 @@
         let wave = *waves.get(&group)?.get(&host)?;
         let model = self.knowledge.model_of(&record.service)?;
         Some(Due {
-            named: catalog.named(&model).to_vec(),
+            named: catalog.desired_versions(&model).to_vec(),
             begins: rollout::wave_start(rollout, wave).saturating_sub(rollout.notice),
             bound: rollout.bound.saturating_sub(START_MARGIN),
         })
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -175,7 +175,11 @@
         );
         for Suspect { name, life, .. } in ended {
             self.instruments.replica_ended();
-            let news = self.knowledge.poison.borrow_mut().ended(name, life, now);
+            let news = self
+                .knowledge
+                .poison
+                .borrow_mut()
+                .record_crash(name, life, now);
             if news {
                 self.log_if_barred(name);
             }
@@ -197,7 +201,7 @@
     /// A replica answered `name` whole.
     pub(super) fn came_good(&self, name: RequestHash) {
         let now = self.knowledge.now();
-        let news = self.knowledge.poison.borrow_mut().came_good(name, now);
+        let news = self.knowledge.poison.borrow_mut().record_success(name, now);
         if news {
             log::info!(name:% = name; "came to an end after replicas had ended under it");
             self.knowledge.poison_news.notify_one();
--- a/src/gateway/repeat.rs
+++ b/src/gateway/repeat.rs
@@ -6,13 +6,13 @@
 use super::Gateway;
 use crate::exchange;
 use crate::request::attempt::Ended;
-use crate::request::budget::Key;
+use crate::request::budget::Reservation;
 
 /// A repeat. Dropped, it gives itself back if it was not sent; otherwise it may have been on its way until now.
 pub struct Repeat {
     gateway: Rc<Gateway>,
     service: Arc<str>,
-    key: Key,
+    key: Reservation,
     sent: bool,
 }
 
@@ -22,7 +22,7 @@
         let now = gateway.knowledge.now();
         let entries = gateway.knowledge.peers.borrow().bound();
         let mut budget = gateway.budget(service);
-        let key = budget.spend(gateway.setting.budget, entries, now)?;
+        let key = budget.reserve(gateway.setting.budget, entries, now)?;
         Some(Self {
             gateway: gateway.clone(),
             service: service.clone(),
@@ -57,7 +57,7 @@
             let latest = self.gateway.knowledge.now() + exchange::LOST;
             budget.arrived(self.key, latest);
         } else {
-            budget.unsent(self.key);
+            budget.release(self.key);
         }
     }
 }
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -348,7 +348,7 @@
         let revision = dated.revision;
         let text = describe(&dated.fact);
         let (now, shaky) = (self.now(), self.shaky());
-        let effect = self.catalog.borrow_mut().learn(dated, now, shaky);
+        let effect = self.catalog.borrow_mut().apply(dated, now, shaky);
         if effect != Effect::None {
             log::info!(revision, origin, shaky; "learned: {text}");
         }
@@ -389,7 +389,7 @@
             changed |= self.learn(dated, "store") != Effect::None;
         }
         if topic == Topic::Replicas {
-            self.catalog.borrow_mut().reached(batch.at);
+            self.catalog.borrow_mut().advance_list(batch.at);
         }
         changed
     }
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -48,7 +48,7 @@
             let revision = told.revision;
             let fact = Fact::Evacuation {
                 hall: told.hall,
-                asked: told.asked,
+                asked: told.active,
             };
             self.learn(Revisioned { revision, fact }, &from.to_string());
         }
@@ -266,7 +266,7 @@
                 Vec::new()
             },
             evacuations: if revisions.evacuations > sync.revisions.evacuations {
-                catalog.evacuations().tell()
+                catalog.evacuations().all()
             } else {
                 Vec::new()
             },
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -66,7 +66,7 @@
     loop {
         knowledge.poison_news.notified().await;
         sleep(GATHERED).await;
-        let cases = knowledge.poison.borrow_mut().take_news(knowledge.now());
+        let cases = knowledge.poison.borrow_mut().take_changes(knowledge.now());
         if cases.is_empty() {
             continue;
         }
@@ -106,12 +106,12 @@
 /// Takes what another entry tells. Returns what it is told in turn.
 pub fn hear(knowledge: &Rc<Knowledge>, notice: &Notice) -> Notice {
     let now = knowledge.now();
-    let news = knowledge.poison.borrow_mut().hear(&notice.cases, now);
+    let news = knowledge.poison.borrow_mut().merge(&notice.cases, now);
     // Whoever learned of it in this hall has told all of it.
     if !news.is_empty() && notice.hall != knowledge.identity.hall {
         send(knowledge, knowledge.fellows(), news);
     }
-    let known = || knowledge.poison.borrow().tell(now);
+    let known = || knowledge.poison.borrow().reports(now);
     Notice {
         hall: knowledge.identity.hall.clone(),
         cases: if notice.asks { known() } else { Vec::new() },
@@ -126,7 +126,7 @@
     }
     let notice = Notice {
         hall: knowledge.identity.hall.clone(),
-        cases: knowledge.poison.borrow().tell(knowledge.now()),
+        cases: knowledge.poison.borrow().reports(knowledge.now()),
         asks: true,
     };
     match gossip::ask::<_, Notice>(&knowledge, peer, PATH, &notice).await {
@@ -173,7 +173,7 @@
 pub fn answer_try(knowledge: &Knowledge, ask: &Ask) -> Answer {
     let (name, now) = (ask.case.name, knowledge.now());
     let told = std::slice::from_ref(&ask.case);
-    knowledge.poison.borrow_mut().hear(told, now);
+    knowledge.poison.borrow_mut().merge(told, now);
     Answer {
         given: give_try(knowledge, name),
     }
@@ -183,7 +183,7 @@
     let given = knowledge
         .poison
         .borrow_mut()
-        .take_try(name, knowledge.now());
+        .claim_trial(name, knowledge.now());
     if given {
         log::info!(name:% = name; "a barred request is tried once");
         knowledge.poison_news.notify_one();
--- a/src/request/budget.rs
+++ b/src/request/budget.rs
@@ -53,14 +53,14 @@
 
 /// Names a repeat that was taken from a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key(u64);
+pub struct Reservation(u64);
 
 /// One service's budget at one entry.
 #[derive(Debug)]
 pub struct Budget {
     buckets: VecDeque<Bucket>,
     /// The repeats that count, with when each has arrived; none for one that may be on its way.
-    repeats: BTreeMap<Key, Option<Time>>,
+    repeats: BTreeMap<Reservation, Option<Time>>,
     spent: u64,
     /// From when on no life before counts.
     alone_from: Time,
@@ -110,7 +110,7 @@
     }
 
     /// Takes one repeat if there is one for this of `entries` entries. It counts until it is told what became of it.
-    pub fn spend(&mut self, setting: Setting, entries: usize, now: Time) -> Option<Key> {
+    pub fn reserve(&mut self, setting: Setting, entries: usize, now: Time) -> Option<Reservation> {
         self.bucket(setting, now);
         // A request counts for a bucket less than the window, a repeat for one longer.
         let requests: u32 = self
@@ -131,20 +131,20 @@
             return None;
         }
         self.spent += 1;
-        let key = Key(self.spent);
+        let key = Reservation(self.spent);
         self.repeats.insert(key, None);
         Some(key)
     }
 
     /// The repeat has arrived by `at`, which may lie ahead.
-    pub fn arrived(&mut self, repeat: Key, at: Time) {
+    pub fn arrived(&mut self, repeat: Reservation, at: Time) {
         if let Some(arrived) = self.repeats.get_mut(&repeat) {
             arrived.get_or_insert(at);
         }
     }
 
     /// The repeat was not sent, and will not be.
-    pub fn unsent(&mut self, repeat: Key) {
+    pub fn release(&mut self, repeat: Reservation) {
         self.repeats.remove(&repeat);
     }
 }
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -198,7 +198,7 @@
         self.ends.len() > 1 || good_lately
     }
 
-    fn tell(&self, name: RequestHash, now: Time) -> CaseReport {
+    fn report(&self, name: RequestHash, now: Time) -> CaseReport {
         let age_ms = |at: Time| now.since(at).as_millis() as u64;
         let ends = self.ends.iter().map(|(life, at)| Crash {
             life: life.clone(),
@@ -213,7 +213,7 @@
         }
     }
 
-    fn hear(&mut self, told: &CaseReport, now: Time) -> bool {
+    fn merge(&mut self, told: &CaseReport, now: Time) -> bool {
         let at = |age_ms: u64| now - Duration::from_millis(age_ms);
         let good = told.good_ms.is_some_and(|age| self.come_good(at(age)));
         let mut news = good;
@@ -237,7 +237,7 @@
 
 impl Registry {
     /// The replica's life `life` ended at `at` while `name` ran there. Returns whether that is news.
-    pub fn ended(&mut self, name: RequestHash, life: Life, at: Time) -> bool {
+    pub fn record_crash(&mut self, name: RequestHash, life: Life, at: Time) -> bool {
         self.make_room(name);
         let news = self.cases.entry(name).or_default().end(life, at);
         if news {
@@ -248,7 +248,7 @@
 
     /// A replica answered `name` whole. Returns whether others are to be told: not of the many that ran beside
     /// one that ends a replica, and come to an end at the next.
-    pub fn came_good(&mut self, name: RequestHash, now: Time) -> bool {
+    pub fn record_success(&mut self, name: RequestHash, now: Time) -> bool {
         let Some(case) = self.cases.get_mut(&name) else {
             return false;
         };
@@ -270,7 +270,7 @@
     }
 
     /// Takes the single try of `name` that is due, if it is.
-    pub fn take_try(&mut self, name: RequestHash, now: Time) -> bool {
+    pub fn claim_trial(&mut self, name: RequestHash, now: Time) -> bool {
         let due = self.verdict(name, now) == Verdict::TrialDue;
         let case = self.cases.get_mut(&name).filter(|_| due);
         let taken = case.is_some_and(|case| case.tried(case.tries + 1, now));
@@ -283,25 +283,25 @@
     /// What is known of `name`.
     pub fn case(&self, name: RequestHash, now: Time) -> Option<CaseReport> {
         let case = self.cases.get(&name)?;
-        Some(case.tell(name, now))
+        Some(case.report(name, now))
     }
 
     /// What was learned here since the last call.
-    pub fn take_news(&mut self, now: Time) -> Vec<CaseReport> {
+    pub fn take_changes(&mut self, now: Time) -> Vec<CaseReport> {
         let news = std::mem::take(&mut self.news);
         let cases = news.into_iter();
         cases.filter_map(|name| self.case(name, now)).collect()
     }
 
     /// Takes what another entry tells. Returns what of it is news, as it stands here now.
-    pub fn hear(&mut self, told: &[CaseReport], now: Time) -> Vec<CaseReport> {
+    pub fn merge(&mut self, told: &[CaseReport], now: Time) -> Vec<CaseReport> {
         let mut news = Vec::new();
         for told in told {
             let known = self.cases.get(&told.name).cloned();
             let mut case = known.unwrap_or_default();
             // What is no news takes no room.
-            if case.hear(told, now) {
-                news.push(case.tell(told.name, now));
+            if case.merge(told, now) {
+                news.push(case.report(told.name, now));
                 self.make_room(told.name);
                 self.cases.insert(told.name, case);
             }
@@ -310,19 +310,19 @@
     }
 
     /// What entries have to know alike, those with the most ends first.
-    pub fn tell(&self, now: Time) -> Vec<CaseReport> {
+    pub fn reports(&self, now: Time) -> Vec<CaseReport> {
         let cases = self.cases.iter();
         let mut matter: Vec<(&RequestHash, &Case)> =
             cases.filter(|(_, case)| case.matters(now)).collect();
         matter.sort_by_key(|(name, case)| (std::cmp::Reverse(case.ends.len()), **name));
         let told = matter.into_iter().take(TOLD_MAX);
-        told.map(|(name, case)| case.tell(*name, now)).collect()
+        told.map(|(name, case)| case.report(*name, now)).collect()
     }
 
     /// Two entries that know alike have the same; 0 if there is nothing to know.
     pub fn digest(&self, now: Time) -> u64 {
         let mut digest = 0;
-        for told in self.tell(now) {
+        for told in self.reports(now) {
             // A fixed function over the fields: processes of one release compare it.
             let mut hasher = DefaultHasher::new();
             told.name.hash(&mut hasher);
@@ -338,13 +338,13 @@
     }
 
     /// Requests that are barred now.
-    pub fn barred(&self) -> usize {
+    pub fn blocked(&self) -> usize {
         let cases = self.cases.values();
         cases.filter(|case| case.barred()).count()
     }
 
     /// Forgets what was learned long ago.
-    pub fn sweep(&mut self, now: Time) {
+    pub fn remove_expired(&mut self, now: Time) {
         self.cases.retain(|_, case| !case.forgotten(now));
     }
 
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -329,7 +329,8 @@
         let state = self.state.borrow();
         let held = state.as_ref().and_then(|state| state.held(&target.model));
         let catalog = self.knowledge.catalog.borrow();
-        let lacking = held.and_then(|held| first_missing(catalog.named(&target.model), held));
+        let lacking =
+            held.and_then(|held| first_missing(catalog.desired_versions(&target.model), held));
         Some(Target {
             named: lacking.map_or(target.named, |wanted| wanted.since),
             ..target
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -155,7 +155,7 @@
         let outlook = self.joined.get(label)?.outlook(now);
         let times = self.times()?;
         let catalog = self.knowledge.catalog.borrow();
-        let named = catalog.named(&newest.model);
+        let named = catalog.desired_versions(&newest.model);
         let known = self.stopgap.borrow().as_ref().map(|target| target.version);
         let hold = catalog.loaded_versions(&newest.model);
         // One that is coming already is not left for another.
--- a/src/source.rs
+++ b/src/source.rs
@@ -95,7 +95,7 @@
     Compacted,
     /// The answer makes no sense.
     #[error("store's answer is not understood: {reason}")]
-    Text {
+    Malformed {
         /// What the codec reported.
         reason: String,
     },
