--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -195,7 +195,7 @@
             .iter()
             .map(|(digest, burst)| {
                 let local = LocalState {
-                    wanted: burst.wanted(),
+                    desired: burst.wanted(),
                     complete: store.complete(*digest),
                     in_flight: in_flight.of(*digest),
                     ordered: gate.ordered.contains(digest),
--- a/src/burst.rs
+++ b/src/burst.rs
@@ -202,7 +202,7 @@
     pub fn outlook(&self, now: Time) -> Availability {
         let swarm = self.swarm.borrow();
         let unknown = Availability {
-            quiet: now.since(self.began),
+            since_progress: now.since(self.began),
             ..Availability::default()
         };
         swarm.as_ref().map_or(unknown, |swarm| swarm.outlook(now))
--- a/src/burst/follow.rs
+++ b/src/burst/follow.rs
@@ -55,7 +55,7 @@
                 gained: strong.gained.borrow()[from..].to_vec(),
                 load: strong.uploads.borrow().load() as u32,
                 manifest: strong.swarm.borrow().is_some(),
-                drawing: strong.drawing(),
+                fetching: strong.drawing(),
                 origin_age_ms: strong.origin_age(),
             };
             let sent = Some(from + have.gained.len());
@@ -121,7 +121,7 @@
     while let Ok(Some(Ok(part))) = actix_rt::time::timeout(FOLLOW_TIMEOUT, response.next()).await {
         decoder.push(&part);
         loop {
-            let have: Have = match decoder.take() {
+            let have: Have = match decoder.next_frame() {
                 Ok(Some(have)) => have,
                 Ok(None) => break,
                 Err(error) => {
@@ -157,7 +157,7 @@
             let notice = Notice {
                 gained: &have.gained,
                 load: have.load,
-                drawing: &have.drawing,
+                drawing: &have.fetching,
                 origin_age: have.origin_age_ms.map(Duration::from_millis),
             };
             swarm.notice(known, notice, now);
--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -52,7 +52,8 @@
         /// The hall.
         hall: Arc<str>,
         /// Whether that is asked; else it is over.
-        asked: bool,
+        #[serde(rename = "asked")]
+        active: bool,
     },
 }
 
@@ -89,9 +90,9 @@
     /// The revision of that.
     pub revision: u64,
     /// When its entry went, unless it is there.
-    pub gone: Option<Time>,
+    pub removed_at: Option<Time>,
     /// Whether the removal is doubted, because the store was out of reach shortly before.
-    pub doubted: bool,
+    pub provisional: bool,
 }
 
 /// What changed with a fact.
@@ -162,16 +163,17 @@
     /// The revision after which the changes came.
     pub since: u64,
     /// The revision of the newest of them.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub revision: u64,
     /// Whether the store was out of reach shortly before.
-    #[serde(default)]
-    pub shaky: bool,
+    #[serde(default, rename = "shaky")]
+    pub store_unstable: bool,
     /// Entries that were written.
     #[serde(default)]
     pub records: Vec<RevisionedRecord>,
     /// Entries that went.
-    #[serde(default)]
-    pub gone: Vec<Removal>,
+    #[serde(default, rename = "gone")]
+    pub removals: Vec<Removal>,
 }
 
 fn evacuated(changed: bool) -> Effect {
@@ -256,7 +258,7 @@
     /// Versions of `model` that listed replicas hold.
     pub fn loaded_versions(&self, model: &str) -> BTreeSet<u64> {
         let present = self.replicas.values();
-        let present = present.filter(|listed| listed.gone.is_none());
+        let present = present.filter(|listed| listed.removed_at.is_none());
         present
             .filter_map(|listed| listed.record.version(model))
             .collect()
@@ -304,7 +306,10 @@
             Fact::Version { model, version } => self.learn_version(revision, model, version, now),
             Fact::Replica(record) => self.learn_replica(revision, record),
             Fact::ReplicaGone(id) => self.forget_replica(revision, &id, now, shaky),
-            Fact::Evacuation { hall, asked } => evacuated(self.evacuations.apply(Evacuation {
+            Fact::Evacuation {
+                hall,
+                active: asked,
+            } => evacuated(self.evacuations.apply(Evacuation {
                 hall,
                 active: asked,
                 revision,
@@ -370,7 +375,8 @@
         }
         // That late heartbeat may be known already.
         let revision = known.map_or(revision, |known| known.revision.max(revision));
-        let unchanged = known.is_some_and(|known| known.record == record && known.gone.is_none());
+        let unchanged =
+            known.is_some_and(|known| known.record == record && known.removed_at.is_none());
         if !unchanged {
             self.replicas_changed = self.replicas_changed.max(revision);
         }
@@ -379,8 +385,8 @@
             ListedReplica {
                 record,
                 revision,
-                gone: None,
-                doubted: false,
+                removed_at: None,
+                provisional: false,
             },
         );
         if unchanged {
@@ -394,12 +400,12 @@
         let Some(known) = self.replicas.get_mut(id) else {
             return Effect::None;
         };
-        if known.revision > revision || known.gone.is_some() {
+        if known.revision > revision || known.removed_at.is_some() {
             return Effect::None;
         }
-        known.gone = Some(now);
+        known.removed_at = Some(now);
         let service = known.record.service.clone();
-        known.doubted = shaky && !self.trusts_removals;
+        known.provisional = shaky && !self.trusts_removals;
         if !self.trusts_removals && self.vanishing(&service, now) {
             self.doubt_all(&service, now);
         }
@@ -418,7 +424,7 @@
         let vanished = replicas()
             .filter(|listed| {
                 listed
-                    .gone
+                    .removed_at
                     .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE)
             })
             .count();
@@ -428,9 +434,9 @@
     fn doubt_all(&mut self, service: &str, now: Time) {
         for listed in self.replicas.values_mut() {
             let young = listed
-                .gone
+                .removed_at
                 .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE);
-            listed.doubted |= young && &*listed.record.service == service;
+            listed.provisional |= young && &*listed.record.service == service;
         }
     }
 
@@ -475,20 +481,21 @@
             return None;
         }
         let present = self.replicas.values();
-        let present = present.filter(|listed| listed.gone.is_none() && listed.revision > since);
+        let present =
+            present.filter(|listed| listed.removed_at.is_none() && listed.revision > since);
         let removals = self.removals.iter();
         let removals = removals.filter(|(_, revision)| **revision > since);
         Some(Changes {
             since,
-            at: self.replicas_changed,
-            shaky: false,
+            revision: self.replicas_changed,
+            store_unstable: false,
             records: present
                 .map(|listed| RevisionedRecord {
                     revision: listed.revision,
                     record: listed.record.clone(),
                 })
                 .collect(),
-            gone: removals
+            removals: removals
                 .map(|(id, revision)| Removal {
                     revision: *revision,
                     id: id.clone(),
@@ -502,19 +509,19 @@
         if !self.has_replica_list() || self.replicas_changed.max(self.replicas_at) < changes.since {
             return Effect::None;
         }
-        let shaky = shaky || changes.shaky;
+        let shaky = shaky || changes.store_unstable;
         let mut effect = Effect::None;
         for RevisionedRecord { revision, record } in changes.records {
             if self.learn_replica(revision, record) != Effect::None {
                 effect = Effect::Replicas;
             }
         }
-        for Removal { revision, id } in changes.gone {
+        for Removal { revision, id } in changes.removals {
             if self.forget_replica(revision, &id, now, shaky) != Effect::None {
                 effect = Effect::Replicas;
             }
         }
-        self.advance_list(changes.at);
+        self.advance_list(changes.revision);
         effect
     }
 
@@ -548,9 +555,9 @@
     /// Drops replicas that went long enough ago. Returns whether any was dropped.
     pub fn remove_expired(&mut self, now: Time) -> bool {
         let before = self.replicas.len();
-        self.replicas.retain(|_, listed| match listed.gone {
+        self.replicas.retain(|_, listed| match listed.removed_at {
             None => true,
-            Some(gone) => listed.doubted && now.since(gone) < REMOVAL_GRACE,
+            Some(gone) => listed.provisional && now.since(gone) < REMOVAL_GRACE,
         });
         while self.removals.len() > REMOVALS_MAX {
             let oldest = self.removals.iter().min_by_key(|(_, revision)| **revision);
--- a/src/config/residency.rs
+++ b/src/config/residency.rs
@@ -19,7 +19,7 @@
 
 impl Residency {
     /// The regions that both allow.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Anywhere, bound) | (bound, Self::Anywhere) => bound.clone(),
             (Self::Only(one), Self::Only(two)) => {
@@ -43,7 +43,7 @@
 
 impl Regions {
     /// The region of `hall`, if it is known.
-    pub fn of(&self, hall: &str) -> Option<&str> {
+    pub fn get(&self, hall: &str) -> Option<&str> {
         self.0.get(hall).map(|region| &**region)
     }
 }
--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -142,9 +142,11 @@
     /// Steps between two looks at the queue.
     pub stride: u32,
     /// Mean tokens of a prompt.
-    pub usual_prompt: f64,
+    #[serde(rename = "usual_prompt")]
+    pub mean_prompt_tokens: f64,
     /// Mean tokens of an answer.
-    pub usual_answer: f64,
+    #[serde(rename = "usual_answer")]
+    pub mean_answer_tokens: f64,
     /// The models that it serves.
     pub models: Vec<Arc<str>>,
     /// Chunks of a model's weights; 0 if untold.
@@ -153,7 +155,8 @@
     pub chunk_bytes: u32,
     /// Whether a figure that estimates need was missing, so that they have to be corrected by what
     /// is observed.
-    pub guessed: bool,
+    #[serde(rename = "guessed")]
+    pub incomplete: bool,
 }
 
 /// Time that `bytes` take over a link of so many megabits a second.
@@ -181,12 +184,12 @@
             read_per_s: 20_000.0,
             pairs_ms_per_million: 0.0,
             stride: 5,
-            usual_prompt: 1_000.0,
-            usual_answer: 100.0,
+            mean_prompt_tokens: 1_000.0,
+            mean_answer_tokens: 100.0,
             models: Vec::new(),
             chunks: 0,
             chunk_bytes: 0,
-            guessed: true,
+            incomplete: true,
         }
     }
 }
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -126,7 +126,7 @@
     while let Ok(Some(Ok(part))) = actix_rt::time::timeout(QUIET, response.next()).await {
         decoder.push(&part);
         loop {
-            match decoder.take::<Report>() {
+            match decoder.next_frame::<Report>() {
                 Ok(Some(report)) => {
                     heard = true;
                     let now = entry.node.clock.now();
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -137,7 +137,7 @@
         .report(report.address, &report.load, now);
     http::pack(
         StatusCode::OK,
-        &gateway.knowledge.news_for(&report.sync, true),
+        &gateway.knowledge.news_for(&report.heartbeat, true),
     )
 }
 
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -165,7 +165,7 @@
         if ended == Ended::NotSent {
             self.unreached += 1;
         }
-        self.tainted |= next::ran(ended) != Outcome::NotRun;
+        self.tainted |= next::outcome_of(ended) != Outcome::NotRun;
         if answer.is_some() {
             self.failure = answer;
         }
@@ -180,7 +180,7 @@
             tainted: self.tainted,
             sent: self.trace.sent,
             sent_max: self.job.route.attempts_max,
-            unreached: self.unreached,
+            connect_failures: self.unreached,
             time_left: remaining > RETRY_TIME_MIN,
         }
     }
@@ -188,7 +188,7 @@
     /// What a caller is told when no further attempt is made.
     fn refusal_after(&self, ended: Ended, detail: String) -> Refusal {
         let late = self.job.remaining(self.gateway.knowledge.now()) <= RETRY_TIME_MIN;
-        if self.tainted || next::ran(ended) != Outcome::NotRun {
+        if self.tainted || next::outcome_of(ended) != Outcome::NotRun {
             let code = if late {
                 Code::LateUnknown
             } else {
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -45,7 +45,7 @@
     match answer {
         Ok(answer) => {
             let digest = answer.digest();
-            gossip::take(knowledge, ask.entry, answer.news);
+            gossip::take(knowledge, ask.entry, answer.update);
             match digest {
                 Ok(digest) => gateway.take_digest(&digest),
                 Err(error) => {
@@ -106,10 +106,10 @@
         let header = self.hub.borrow_mut().next_header(sync.revisions);
         let frame = Frame {
             digests: self.digests(extent, now),
-            news: knowledge.news_since(header.baseline),
+            update: knowledge.news_since(header.baseline),
             incarnation: header.incarnation,
             number: header.number,
-            sync,
+            heartbeat: sync,
         };
         match pack::pack(&frame) {
             Ok(packed) => {
@@ -163,7 +163,7 @@
     /// Applies a frame from another entry of the hall unless it is outdated. Returns its heartbeat
     /// in both cases.
     pub(super) fn take_frame(&self, frame: Frame) -> Heartbeat {
-        let (from, now) = (frame.sync.from, self.knowledge.now());
+        let (from, now) = (frame.heartbeat.from, self.knowledge.now());
         let mut hub = self.hub.borrow_mut();
         let accepted = hub.accept_frame(from, frame.incarnation, frame.number, now);
         drop(hub);
@@ -171,11 +171,11 @@
             for digest in &frame.digests {
                 self.take_digest(digest);
             }
-            if let Some(news) = frame.news {
+            if let Some(news) = frame.update {
                 self.knowledge.take_news(from, news);
             }
         }
-        frame.sync
+        frame.heartbeat
     }
 
     /// Takes how the replicas of a hall do.
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -66,7 +66,7 @@
     let priority = priority.unwrap_or(route.priority);
     let residency = customer.map_or_else(
         || route.residency.clone(),
-        |customer| route.residency.and(&customer.residency),
+        |customer| route.residency.intersection(&customer.residency),
     );
     let customer = customer.map(|customer| customer.name.clone());
     let draw = gateway.knowledge.rng.borrow_mut().random();
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -193,7 +193,7 @@
             .poison
             .borrow()
             .case(name, self.knowledge.now());
-        if let Some(case) = case.filter(|case| case.ends.len() == MAX_CRASHES) {
+        if let Some(case) = case.filter(|case| case.crashes.len() == MAX_CRASHES) {
             log::warn!(name:% = name; "barred: {}", describe(&case));
         }
     }
@@ -210,9 +210,9 @@
 }
 
 fn describe(case: &CaseReport) -> String {
-    let ends = case.ends.iter();
+    let ends = case.crashes.iter();
     let ends: Vec<String> = ends
-        .map(|end| format!("{} {} ms ago", end.life.id, end.age_ms))
+        .map(|end| format!("{} {} ms ago", end.incarnation.id, end.age_ms))
         .collect();
     format!("replicas ended under it: {}", ends.join(", "))
 }
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -369,7 +369,7 @@
 
     /// Returns whether anything changed.
     fn learn_batch(&self, topic: Topic, whole: bool, batch: Batch) -> bool {
-        self.note_damage(&batch.damaged, batch.at);
+        self.note_damage(&batch.damaged, batch.revision);
         if whole && topic == Topic::Replicas {
             let records = batch
                 .facts
@@ -378,7 +378,7 @@
                     Fact::Replica(record) => Some((dated.revision, record)),
                     _ => None,
                 });
-            let effect = self.take_list(records.collect(), batch.at, self.shaky(), "store");
+            let effect = self.take_list(records.collect(), batch.revision, self.shaky(), "store");
             return effect != Effect::None;
         }
         let mut changed = false;
@@ -389,7 +389,7 @@
             changed |= self.learn(dated, "store") != Effect::None;
         }
         if topic == Topic::Replicas {
-            self.catalog.borrow_mut().advance_list(batch.at);
+            self.catalog.borrow_mut().advance_list(batch.revision);
         }
         changed
     }
@@ -397,16 +397,16 @@
     /// The store's whole word on evacuations: one that is not in it is over.
     fn take_evacuations(&self, batch: &Batch) -> bool {
         let halls = batch.facts.iter().filter_map(|dated| match &dated.fact {
-            Fact::Evacuation { hall, asked: true } => Some(hall.clone()),
+            Fact::Evacuation { hall, active: true } => Some(hall.clone()),
             _ => None,
         });
         let halls: Vec<Arc<str>> = halls.collect();
         let effect = self
             .catalog
             .borrow_mut()
-            .apply_evacuations(&halls, batch.at);
+            .apply_evacuations(&halls, batch.revision);
         if effect != Effect::None {
-            log::info!(revision = batch.at; "learned: evacuations that are over");
+            log::info!(revision = batch.revision; "learned: evacuations that are over");
         }
         self.tell(effect);
         effect != Effect::None
@@ -486,7 +486,7 @@
             format!("replica {} of {} {state}", record.id, record.service)
         }
         Fact::ReplicaGone(id) => format!("replica {id} gone"),
-        Fact::Evacuation { hall, asked: true } => format!("hall {hall} is evacuated"),
+        Fact::Evacuation { hall, active: true } => format!("hall {hall} is evacuated"),
         Fact::Evacuation { hall, .. } => format!("the evacuation of hall {hall} is over"),
     }
 }
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -48,7 +48,7 @@
             let revision = told.revision;
             let fact = Fact::Evacuation {
                 hall: told.hall,
-                asked: told.active,
+                active: told.active,
             };
             self.learn(Revisioned { revision, fact }, &from.to_string());
         }
@@ -61,7 +61,7 @@
         if let Some(changes) = news.changes {
             self.take_changes(changes, &from.to_string());
         }
-        if let Some(brief) = news.brief {
+        if let Some(brief) = news.summary {
             let newer = self
                 .brief
                 .borrow()
@@ -75,9 +75,9 @@
     }
 
     fn take_changes(&self, changes: Changes, origin: &str) {
-        let revision = changes.at;
-        let (written, removed) = (changes.records.len(), changes.gone.len());
-        let shaky = changes.shaky || self.shaky();
+        let revision = changes.revision;
+        let (written, removed) = (changes.records.len(), changes.removals.len());
+        let shaky = changes.store_unstable || self.shaky();
         let now = self.now();
         let effect = self.catalog.borrow_mut().apply_changes(changes, now, shaky);
         if effect != Effect::None {
@@ -90,14 +90,25 @@
     fn take_whole_list(&self, from: SocketAddr, list: ReplicaList) {
         let records = list.records.into_iter();
         let records = records.map(|dated| (dated.revision, dated.record));
-        let shaky = list.shaky || self.shaky();
-        self.take_list(records.collect(), list.at, shaky, &from.to_string());
+        let shaky = list.store_unstable || self.shaky();
+        self.take_list(records.collect(), list.revision, shaky, &from.to_string());
     }
 
     fn take_packed_list(&self, from: SocketAddr, list: PackedReplicaList) {
-        let PackedReplicaList { at, shaky, packed } = list;
+        let PackedReplicaList {
+            revision: at,
+            store_unstable: shaky,
+            packed,
+        } = list;
         match pack::unpack(&packed) {
-            Ok(records) => self.take_whole_list(from, ReplicaList { at, shaky, records }),
+            Ok(records) => self.take_whole_list(
+                from,
+                ReplicaList {
+                    revision: at,
+                    store_unstable: shaky,
+                    records,
+                },
+            ),
             Err(error) => {
                 log::warn!(from:% = from, revision = at; "cannot unpack the list of replicas: {error}");
             }
@@ -236,7 +247,7 @@
             .then(|| catalog.changes_since(sync.revisions.replicas))
             .flatten();
         let changes = changes.map(|changes| Changes {
-            shaky: self.shaky(),
+            store_unstable: self.shaky(),
             ..changes
         });
         let packed_peers = if sync.takes_packed_peers {
@@ -277,7 +288,7 @@
                 .then(|| self.packed_list())
                 .flatten(),
             changes,
-            brief: (newer_routing && brief).then(|| self.brief()).flatten(),
+            summary: (newer_routing && brief).then(|| self.brief()).flatten(),
             poison: self.poison.borrow().digest(now),
         }
     }
@@ -315,8 +326,8 @@
         let mut cache = self.packed_list.borrow_mut();
         match cache.get_or_pack(at, || present_records(&catalog)) {
             Ok(packed) => Some(PackedReplicaList {
-                at,
-                shaky: self.shaky(),
+                revision: at,
+                store_unstable: self.shaky(),
                 packed,
             }),
             Err(error) => {
@@ -363,15 +374,15 @@
 
 fn list(catalog: &Catalog, shaky: bool) -> ReplicaList {
     ReplicaList {
-        at: catalog.revisions().replicas,
-        shaky,
+        revision: catalog.revisions().replicas,
+        store_unstable: shaky,
         records: present_records(catalog),
     }
 }
 
 fn present_records(catalog: &Catalog) -> Vec<RevisionedRecord> {
     let present = catalog.replicas().values();
-    let present = present.filter(|listed| listed.gone.is_none());
+    let present = present.filter(|listed| listed.removed_at.is_none());
     let dated = present.map(|listed| RevisionedRecord {
         revision: listed.revision,
         record: listed.record.clone(),
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -171,7 +171,7 @@
 
 /// Answers an entry that asks for a single try.
 pub fn answer_try(knowledge: &Knowledge, ask: &Ask) -> Answer {
-    let (name, now) = (ask.case.name, knowledge.now());
+    let (name, now) = (ask.case.request, knowledge.now());
     let told = std::slice::from_ref(&ask.case);
     knowledge.poison.borrow_mut().merge(told, now);
     Answer {
--- a/src/knowledge/store.rs
+++ b/src/knowledge/store.rs
@@ -52,7 +52,7 @@
                     log::info!(topic:? = topic; "store is in reach again");
                     knowledge.store_regained.notify_waiters();
                 }
-                let at = batch.at;
+                let at = batch.revision;
                 if batch.bytes >= LONG {
                     let ms = knowledge.now().since(began).as_millis() as u64;
                     log::info!(topic:? = topic, after:? = after, bytes = batch.bytes, ms; "long answer of the store");
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -29,7 +29,7 @@
     /// Replicas that may receive it.
     pub sent_max: u32,
     /// Connections that failed to open so far.
-    pub unreached: u32,
+    pub connect_failures: u32,
     /// Whether time is left.
     pub time_left: bool,
 }
@@ -52,7 +52,7 @@
 const UNREACHED_MAX: u32 = 3;
 
 /// Whether an end shows that its attempt did not run.
-pub fn ran(ended: Ended) -> Outcome {
+pub fn outcome_of(ended: Ended) -> Outcome {
     match ended {
         Ended::NotSent | Ended::Refused | Ended::Misdirected => Outcome::NotRun,
         Ended::Failed => Outcome::Ran,
@@ -62,13 +62,13 @@
 
 /// Decides what follows.
 pub fn after(ended: Ended, situation: Situation) -> Next {
-    let own = ran(ended);
+    let own = outcome_of(ended);
     let outcome = match own {
         Outcome::NotRun if situation.tainted => Outcome::Unknown,
         other => other,
     };
     let may_run_again = situation.repeatable || outcome == Outcome::NotRun;
-    let room = situation.sent < situation.sent_max && situation.unreached <= UNREACHED_MAX;
+    let room = situation.sent < situation.sent_max && situation.connect_failures <= UNREACHED_MAX;
     if may_run_again && room && situation.time_left {
         let charged = situation.sent > 0;
         return Next::Elsewhere { charged };
--- a/src/request/budget.rs
+++ b/src/request/budget.rs
@@ -31,7 +31,7 @@
     pub window: Duration,
     /// Whether an entry that starts may spend all of its part at once. One that is started again may not: the
     /// life before may have spent it just now, and what is left of the window's budget is what lives leave over.
-    pub all_at_once: bool,
+    pub full_at_start: bool,
 }
 
 impl Default for Setting {
@@ -40,7 +40,7 @@
             ratio: 0.1,
             slack: 20.0,
             window: Duration::from_secs(10),
-            all_at_once: true,
+            full_at_start: true,
         }
     }
 }
@@ -69,7 +69,7 @@
 impl Budget {
     /// The budget of an entry that started at `began`.
     pub fn new(setting: Setting, began: Time) -> Self {
-        let counts_before = if setting.all_at_once {
+        let counts_before = if setting.full_at_start {
             Duration::ZERO
         } else {
             setting.window + LOST
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -77,7 +77,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// What ended.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub incarnation: Life,
     /// Milliseconds since.
     pub age_ms: u64,
 }
@@ -86,19 +87,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseReport {
     /// The request.
-    pub name: RequestHash,
+    #[serde(rename = "name")]
+    pub request: RequestHash,
     /// The ends of replicas under it.
-    #[serde(default)]
-    pub ends: Vec<Crash>,
+    #[serde(default, rename = "ends")]
+    pub crashes: Vec<Crash>,
     /// Milliseconds since it was answered whole, if it was.
-    #[serde(default)]
-    pub good_ms: Option<u64>,
+    #[serde(default, rename = "good_ms")]
+    pub success_age_ms: Option<u64>,
     /// Times that it was tried since it is barred.
-    #[serde(default)]
-    pub tries: u32,
+    #[serde(default, rename = "tries")]
+    pub trials: u32,
     /// Milliseconds since the last of them.
-    #[serde(default)]
-    pub tried_ms: Option<u64>,
+    #[serde(default, rename = "tried_ms")]
+    pub trial_age_ms: Option<u64>,
 }
 
 /// Whether a request may be sent to a replica.
@@ -201,27 +203,29 @@
     fn report(&self, name: RequestHash, now: Time) -> CaseReport {
         let age_ms = |at: Time| now.since(at).as_millis() as u64;
         let ends = self.ends.iter().map(|(life, at)| Crash {
-            life: life.clone(),
+            incarnation: life.clone(),
             age_ms: age_ms(*at),
         });
         CaseReport {
-            name,
-            ends: ends.collect(),
-            good_ms: self.good.map(age_ms),
-            tries: self.tries,
-            tried_ms: self.tried.map(age_ms),
+            request: name,
+            crashes: ends.collect(),
+            success_age_ms: self.good.map(age_ms),
+            trials: self.tries,
+            trial_age_ms: self.tried.map(age_ms),
         }
     }
 
     fn merge(&mut self, told: &CaseReport, now: Time) -> bool {
         let at = |age_ms: u64| now - Duration::from_millis(age_ms);
-        let good = told.good_ms.is_some_and(|age| self.come_good(at(age)));
+        let good = told
+            .success_age_ms
+            .is_some_and(|age| self.come_good(at(age)));
         let mut news = good;
-        for end in &told.ends {
-            news |= self.end(end.life.clone(), at(end.age_ms));
+        for end in &told.crashes {
+            news |= self.end(end.incarnation.clone(), at(end.age_ms));
         }
-        if let Some(age) = told.tried_ms {
-            news |= self.tried(told.tries, at(age));
+        if let Some(age) = told.trial_age_ms {
+            news |= self.tried(told.trials, at(age));
         }
         news
     }
@@ -297,13 +301,13 @@
     pub fn merge(&mut self, told: &[CaseReport], now: Time) -> Vec<CaseReport> {
         let mut news = Vec::new();
         for told in told {
-            let known = self.cases.get(&told.name).cloned();
+            let known = self.cases.get(&told.request).cloned();
             let mut case = known.unwrap_or_default();
             // What is no news takes no room.
             if case.merge(told, now) {
-                news.push(case.report(told.name, now));
-                self.make_room(told.name);
-                self.cases.insert(told.name, case);
+                news.push(case.report(told.request, now));
+                self.make_room(told.request);
+                self.cases.insert(told.request, case);
             }
         }
         news
@@ -325,12 +329,14 @@
         for told in self.reports(now) {
             // A fixed function over the fields: processes of one release compare it.
             let mut hasher = DefaultHasher::new();
-            told.name.hash(&mut hasher);
-            told.tries.hash(&mut hasher);
-            told.good_ms.is_some().hash(&mut hasher);
+            told.request.hash(&mut hasher);
+            told.trials.hash(&mut hasher);
+            told.success_age_ms.is_some().hash(&mut hasher);
             // Which ones they are matters as long as two entries might know different ones of too few.
-            if told.ends.len() <= MAX_CRASHES {
-                told.ends.iter().for_each(|end| end.life.hash(&mut hasher));
+            if told.crashes.len() <= MAX_CRASHES {
+                told.crashes
+                    .iter()
+                    .for_each(|end| end.incarnation.hash(&mut hasher));
             }
             digest ^= hasher.finish();
         }
--- a/src/route/estimate.rs
+++ b/src/route/estimate.rs
@@ -36,7 +36,7 @@
 
 /// Milliseconds of one step with `batch` requests.
 fn step_ms(engine: &Engine, batch: f64) -> f64 {
-    let context = engine.usual_prompt + engine.usual_answer / 2.0;
+    let context = engine.mean_prompt_tokens + engine.mean_answer_tokens / 2.0;
     let each = engine.sequence_ms + engine.context_ms_per_thousand * context / 1_000.0;
     engine.step_ms + each * batch
 }
@@ -79,8 +79,8 @@
 /// Time between two requests that end at an engine whose slots are all taken.
 pub fn turnover(engine: &Engine, pace: f64) -> Duration {
     let slots = f64::from(engine.slots.max(1));
-    let writing = engine.usual_answer * step_ms(engine, slots) / slots;
-    let reading = read_ms(engine, engine.usual_prompt);
+    let writing = engine.mean_answer_tokens * step_ms(engine, slots) / slots;
+    let reading = read_ms(engine, engine.mean_prompt_tokens);
     millis((writing + reading) * pace.max(1.0))
 }
 
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -395,7 +395,7 @@
     /// Whether a replica stands where the request may be served.
     fn there(&self, replica: &Replica, ask: Ask<'_>) -> bool {
         let hall = &replica.record.hall;
-        !self.evacuated.contains(hall) && ask.residency.allows(ask.regions.of(hall))
+        !self.evacuated.contains(hall) && ask.residency.allows(ask.regions.get(hall))
     }
 
     fn fit(&self, replica: &Replica, ask: Ask<'_>, now: Time) -> bool {
@@ -470,7 +470,7 @@
         let whole = self.uncorrected(ask.service, engine, limit.saturating_sub(late));
         let light = Work {
             requests: engine.slots.saturating_sub(1),
-            unread: engine.usual_prompt * LIGHT_PROMPTS,
+            unread: engine.mean_prompt_tokens * LIGHT_PROMPTS,
             pace: 1.0,
         };
         let spread = self.policy.queue_spread;
@@ -496,7 +496,7 @@
 
     /// The limit on an estimate by the engine's figures, where `limit` is that on the corrected one.
     fn uncorrected(&self, service: &str, engine: &Engine, limit: Duration) -> Duration {
-        let known = self.corrections.get(service).filter(|_| engine.guessed);
+        let known = self.corrections.get(service).filter(|_| engine.incomplete);
         known.map_or(limit, |correction| correction.undo(limit))
     }
 
@@ -540,7 +540,7 @@
     fn work(&self, replica: &Replica, engine: &Engine, now: Time) -> Work {
         Work {
             requests: replica.requests(now),
-            unread: replica.unread(engine.usual_prompt, now),
+            unread: replica.unread(engine.mean_prompt_tokens, now),
             pace: replica.pace(now),
         }
     }
@@ -566,7 +566,7 @@
 
     /// The estimate `first` of an engine of `service`, corrected if its figures are guesses.
     fn corrected(&self, service: &str, engine: &Engine, first: Duration) -> Duration {
-        let known = self.corrections.get(service).filter(|_| engine.guessed);
+        let known = self.corrections.get(service).filter(|_| engine.incomplete);
         known.map_or(first, |correction| correction.apply(first))
     }
 
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -25,7 +25,7 @@
         let usable = |listed: &ListedReplica| {
             // Where replicas tell when they started, an entry without that is by another writer.
             let tells = listed.record.born > 0 || !tell_lives.contains(&*listed.record.service);
-            tells && (listed.gone.is_none() || listed.doubted)
+            tells && (listed.removed_at.is_none() || listed.provisional)
         };
         let gone: Vec<Arc<str>> = self
             .ids
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -356,7 +356,7 @@
     let report = Report {
         address: sidecar.setting.replica,
         load: sidecar.load(),
-        sync: Heartbeat {
+        heartbeat: Heartbeat {
             wants_list: !sidecar.knowledge.catalog.borrow().has_replica_list(),
             ..sidecar.knowledge.sync(asks)
         },
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -174,7 +174,7 @@
         let own = transfer_time(bytes, self.setting.link_mbps);
         Some(fallback::TransferTimes {
             origin: brief.copy().unwrap_or(own),
-            own,
+            local: own,
             bound: rollout.bound.saturating_sub(rollout.margin),
         })
     }
@@ -241,29 +241,29 @@
                 return;
             };
             rollout::State {
-                wanted: target.version,
-                named: target.named,
-                held: known.held(&target.model),
+                desired: target.version,
+                published_at: target.named,
+                loaded: known.held(&target.model),
                 busy: known.busy,
-                complete: self.complete_since(label),
+                complete_since: self.complete_since(label),
                 wave: self.wave(label, rollout.waves),
-                noticed: self.noticed.get(),
+                notice_since: self.noticed.get(),
             }
         };
         // What a replica is taking in is left as it lies.
-        if state.held != Some(target.version) && !state.busy {
+        if state.loaded != Some(target.version) && !state.busy {
             self.stage(target, label).await;
         }
         let now = self.knowledge.now();
         match rollout::step(state, rollout, now) {
-            Step::Rest => {
-                if state.held == Some(target.version) {
+            Step::Idle => {
+                if state.loaded == Some(target.version) {
                     self.set_noticed(None);
                     self.staged.borrow_mut().ordered = None;
                 }
             }
-            Step::Receive | Step::Await | Step::Noticed => {}
-            Step::Notice => self.set_noticed(Some(now)),
+            Step::Receive | Step::AwaitWave | Step::AwaitNotice => {}
+            Step::BeginNotice => self.set_noticed(Some(now)),
             Step::Order => self.order(target, label).await,
         }
     }
--- a/src/source.rs
+++ b/src/source.rs
@@ -65,7 +65,7 @@
     /// The facts.
     pub facts: Vec<Revisioned>,
     /// The store's revision.
-    pub at: u64,
+    pub revision: u64,
     /// Bytes of the answers that brought the facts.
     pub bytes: usize,
     /// Entries that could not be understood, or not whole.
--- a/src/spread/swarm.rs
+++ b/src/spread/swarm.rs
@@ -457,10 +457,10 @@
         let chunks = 0..self.have.len();
         Availability {
             missing: chunks.clone().filter(lacked).count() as u32,
-            unseen: chunks.clone().filter(unseen).count() as u32,
+            unavailable: chunks.clone().filter(unseen).count() as u32,
             chunks: chunks.len() as u32,
             // To a box that joins, chunks are new that others have had for long.
-            quiet: now.since(self.origin_brought.unwrap_or(self.new_seen)),
+            since_progress: now.since(self.origin_brought.unwrap_or(self.new_seen)),
         }
     }
 
--- a/src/version.rs
+++ b/src/version.rs
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalState {
     /// Whether the configuration wants it on this box.
-    pub wanted: bool,
+    pub desired: bool,
     /// Whether every chunk is verified.
     pub complete: bool,
     /// Requests that this agent has in progress on it.
@@ -112,7 +112,7 @@
 
 /// Whether a version may take requests here.
 pub fn servable(local: LocalState, residence: Option<LoadState>) -> bool {
-    local.wanted && local.complete && local.ordered && residence == Some(LoadState::Loaded)
+    local.desired && local.complete && local.ordered && residence == Some(LoadState::Loaded)
 }
 
 /// The orders that bring the engine to what is wanted. A version that the engine holds already is
@@ -120,14 +120,14 @@
 pub fn plan(locals: &BTreeMap<Digest, LocalState>, engine: &EngineState) -> Vec<Command> {
     let mut steps = Vec::new();
     for (&digest, local) in locals {
-        if local.wanted && local.complete && !local.ordered {
+        if local.desired && local.complete && !local.ordered {
             steps.push(Command::Load(digest));
         }
     }
     for &digest in engine.versions.keys() {
         let idle = locals
             .get(&digest)
-            .is_none_or(|local| !local.wanted && local.in_flight == 0);
+            .is_none_or(|local| !local.desired && local.in_flight == 0);
         if idle {
             steps.push(Command::Unload(digest));
         }
--- a/src/version/fallback.rs
+++ b/src/version/fallback.rs
@@ -26,11 +26,11 @@
     /// Chunks that this box lacks.
     pub missing: u32,
     /// Of those, chunks that nobody in reach holds either.
-    pub unseen: u32,
+    pub unavailable: u32,
     /// All its chunks; 0 while they are not known.
     pub chunks: u32,
     /// Time since one of them was seen for the first time.
-    pub quiet: Duration,
+    pub since_progress: Duration,
 }
 
 /// What things take.
@@ -39,26 +39,26 @@
     /// A whole copy over the origin's link.
     pub origin: Duration,
     /// A whole copy over this box's link.
-    pub own: Duration,
+    pub local: Duration,
     /// From the naming of a version until nothing may be sent to a replica of an older one.
     pub bound: Duration,
 }
 
 impl Availability {
     /// When the newest version is served here, if that can be told.
-    pub fn arrival(&self, times: TransferTimes) -> Option<Duration> {
-        if self.chunks > 0 && self.unseen == 0 {
-            return Some(times.own * self.missing / self.chunks + ACTIVATION_TIME);
+    pub fn time_to_serve(&self, times: TransferTimes) -> Option<Duration> {
+        if self.chunks > 0 && self.unavailable == 0 {
+            return Some(times.local * self.missing / self.chunks + ACTIVATION_TIME);
         }
-        if self.quiet >= QUIET_MAX {
+        if self.since_progress >= QUIET_MAX {
             return None;
         }
         let unseen = if self.chunks == 0 {
             times.origin
         } else {
-            times.origin * self.unseen / self.chunks
+            times.origin * self.unavailable / self.chunks
         };
-        Some(unseen.max(times.own * self.missing.max(1) / self.chunks.max(1)) + ACTIVATION_TIME)
+        Some(unseen.max(times.local * self.missing.max(1) / self.chunks.max(1)) + ACTIVATION_TIME)
     }
 }
 
@@ -70,9 +70,9 @@
     times: TransferTimes,
     now: Time,
 ) -> Option<u64> {
-    let serves = times.own + ACTIVATION_TIME;
+    let serves = times.local + ACTIVATION_TIME;
     let pays = |until: Duration| until >= serves + SERVES_MIN;
-    if !outlook.arrival(times).is_none_or(pays) {
+    if !outlook.time_to_serve(times).is_none_or(pays) {
         return None;
     }
     let newest = named.last()?.version;
--- a/src/version/rollout.rs
+++ b/src/version/rollout.rs
@@ -136,61 +136,63 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct State {
     /// The wanted version.
-    pub wanted: u64,
+    pub desired: u64,
     /// When it was named.
-    pub named: Time,
+    pub published_at: Time,
     /// The version that the replica holds.
-    pub held: Option<u64>,
+    pub loaded: Option<u64>,
     /// Whether the replica carries an order out.
     pub busy: bool,
     /// Since when every chunk of the wanted version is here and verified, if that is so.
-    pub complete: Option<Time>,
+    pub complete_since: Option<Time>,
     /// The replica's wave.
     pub wave: u32,
     /// When the process began to tell that its replica will change.
-    pub noticed: Option<Time>,
+    pub notice_since: Option<Time>,
 }
 
 /// What is next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Nothing: the replica holds what is wanted, or is about to.
-    Rest,
+    Idle,
     /// Chunks are missing.
     Receive,
     /// The wave has not begun.
-    Await,
+    AwaitWave,
     /// Tell that the replica will change.
-    Notice,
+    BeginNotice,
     /// The notice runs.
-    Noticed,
+    AwaitNotice,
     /// Verify what is staged, and order the change.
     Order,
 }
 
 /// Decides what is next.
 pub fn step(state: State, setting: Setting, now: Time) -> Step {
-    if state.held.is_some_and(|held| held >= state.wanted) || state.busy {
-        return Step::Rest;
+    if state.loaded.is_some_and(|held| held >= state.desired) || state.busy {
+        return Step::Idle;
     }
-    let Some(complete) = state.complete else {
+    let Some(complete) = state.complete_since else {
         return Step::Receive;
     };
-    if state.held.is_none() {
+    if state.loaded.is_none() {
         // It serves nothing, so there is nobody to be told and nothing to wait for.
         return Step::Order;
     }
-    if now.since(state.named) + setting.margin >= setting.bound {
+    if now.since(state.published_at) + setting.margin >= setting.bound {
         // Nobody sends it anything any more, so there is nobody to be told.
         return Step::Order;
     }
-    let complete = complete.since(state.named);
-    if now.since(state.named) + setting.notice < wave_start_after(setting, state.wave, complete) {
-        return Step::Await;
+    let complete = complete.since(state.published_at);
+    if now.since(state.published_at) + setting.notice
+        < wave_start_after(setting, state.wave, complete)
+    {
+        return Step::AwaitWave;
     }
-    match state.noticed {
-        None => Step::Notice,
-        Some(since) if now.since(since) < setting.notice => Step::Noticed,
+    match state.notice_since {
+        None => Step::BeginNotice,
+        Some(since) if now.since(since) < setting.notice => Step::AwaitNotice,
         Some(_) => Step::Order,
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -32,7 +32,7 @@
     pub manifest: bool,
     /// Chunks that are being drawn from the origin here.
     #[serde(default, rename = "d")]
-    pub drawing: Vec<u32>,
+    pub fetching: Vec<u32>,
     /// Milliseconds since the origin brought a chunk to anyone, as far as is known here.
     #[serde(default, rename = "o")]
     pub origin_age_ms: Option<u64>,
@@ -88,7 +88,7 @@
     }
 
     /// The next whole frame, `None` when more bytes are needed.
-    pub fn take<T: for<'de> Deserialize<'de>>(&mut self) -> Result<Option<T>, Error> {
+    pub fn next_frame<T: for<'de> Deserialize<'de>>(&mut self) -> Result<Option<T>, Error> {
         let Some(prefix) = self.buffer.first_chunk::<PREFIX>() else {
             return Ok(None);
         };
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -75,7 +75,8 @@
     #[serde(default)]
     pub load: Load,
     /// The heartbeat that goes with it.
-    pub sync: Heartbeat,
+    #[serde(rename = "sync")]
+    pub heartbeat: Heartbeat,
 }
 
 /// Path at which an entry is asked how its hall's replicas do; the message is a [`Heartbeat`].
@@ -112,13 +113,14 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// The heartbeat that goes with it.
-    pub sync: Heartbeat,
+    #[serde(rename = "sync")]
+    pub heartbeat: Heartbeat,
     /// How replicas do, by hall.
     #[serde(default)]
     pub digests: Vec<HallStatus>,
     /// What was learned since the frame before the previous one, without the configuration.
-    #[serde(default)]
-    pub news: Option<Update>,
+    #[serde(default, rename = "news")]
+    pub update: Option<Update>,
     /// Random identifier of the sending process.
     #[serde(default)]
     pub incarnation: u64,
@@ -137,7 +139,8 @@
     #[serde(default)]
     pub packed: Option<serde_bytes::ByteBuf>,
     /// Whatever the asker lacks besides.
-    pub news: Update,
+    #[serde(rename = "news")]
+    pub update: Update,
 }
 
 impl HallUpdate {
@@ -154,12 +157,12 @@
                     ..digest
                 },
                 packed: Some(packed.into()),
-                news,
+                update: news,
             },
             None => Self {
                 digest,
                 packed: None,
-                news,
+                update: news,
             },
         }
     }
@@ -205,10 +208,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaList {
     /// The revision up to which it is known.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub revision: u64,
     /// Whether the store was out of reach shortly before.
-    #[serde(default)]
-    pub shaky: bool,
+    #[serde(default, rename = "shaky")]
+    pub store_unstable: bool,
     /// The entries.
     pub records: Vec<RevisionedRecord>,
 }
@@ -217,10 +221,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedReplicaList {
     /// The revision up to which it is known.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub revision: u64,
     /// Whether the store was out of reach shortly before.
-    #[serde(default)]
-    pub shaky: bool,
+    #[serde(default, rename = "shaky")]
+    pub store_unstable: bool,
     /// The packed sequence of [`RevisionedRecord`]s.
     #[serde(with = "serde_bytes")]
     pub packed: Vec<u8>,
@@ -297,8 +302,8 @@
     #[serde(default)]
     pub changes: Option<Changes>,
     /// The newer configuration in brief.
-    #[serde(default)]
-    pub brief: Option<Summary>,
+    #[serde(default, rename = "brief")]
+    pub summary: Option<Summary>,
     /// Digest of the poison requests that it knows.
     #[serde(default)]
     pub poison: u64,
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -71,12 +71,12 @@
 }
 
 fn learn(catalog: &mut Catalog, revision: u64, fact: Fact, now: Time) -> Effect {
-    catalog.learn(Revisioned { revision, fact }, now, false)
+    catalog.apply(Revisioned { revision, fact }, now, false)
 }
 
 fn usable(catalog: &Catalog, id: &str) -> bool {
     let listed = catalog.replicas().get(id);
-    listed.is_some_and(|listed| listed.gone.is_none() || listed.doubted)
+    listed.is_some_and(|listed| listed.removed_at.is_none() || listed.provisional)
 }
 
 #[test]
@@ -156,7 +156,7 @@
     assert!(usable(&catalog, "i-1"));
     learn(&mut catalog, 9, Fact::ReplicaGone("i-1".into()), now);
     assert!(!usable(&catalog, "i-1"));
-    catalog.sweep(now);
+    catalog.remove_expired(now);
     learn(&mut catalog, 7, Fact::Replica(record("i-1")), now);
     assert!(!usable(&catalog, "i-1"));
     learn(&mut catalog, 11, Fact::Replica(record("i-1")), now);
@@ -172,9 +172,9 @@
         revision: 6,
         fact: Fact::ReplicaGone("i-1".into()),
     };
-    catalog.learn(gone, now, true);
+    catalog.apply(gone, now, true);
     assert!(usable(&catalog, "i-1"));
-    assert!(catalog.sweep(now + REMOVAL_GRACE));
+    assert!(catalog.remove_expired(now + REMOVAL_GRACE));
     assert!(!usable(&catalog, "i-1"));
     assert!(
         REMOVAL_GRACE < Duration::from_millis(1_500),
@@ -216,9 +216,9 @@
     assert_eq!(allowed(25_999), 0);
     assert_eq!(allowed(26_000), 2);
     assert_eq!(allowed(28_000), 3);
-    let first = first_missing(catalog.named("m"), 1).unwrap();
+    let first = first_missing(catalog.desired_versions("m"), 1).unwrap();
     assert_eq!((first.version, first.since), (2, Time::from_millis(18_000)));
-    assert_eq!(first_missing(catalog.named("m"), 3), None);
+    assert_eq!(first_missing(catalog.desired_versions("m"), 3), None);
 }
 
 #[test]
@@ -235,7 +235,7 @@
             };
             learn(&mut catalog, u64::from(version), fact, Time::default());
         }
-        let named = catalog.named("m");
+        let named = catalog.desired_versions("m");
         let ordered = named
             .windows(2)
             .all(|pair| pair[0].version < pair[1].version);
@@ -303,7 +303,7 @@
         let mut document = document(version);
         document.gaps.version = version == 0;
         let fact = Fact::Routing(Arc::new(document));
-        catalog.learn(Revisioned { revision, fact }, now, false)
+        catalog.apply(Revisioned { revision, fact }, now, false)
     };
     assert_eq!(learn(5, 7), Effect::Routing);
     assert_eq!(learn(6, 7), Effect::None);
@@ -319,7 +319,7 @@
         Some(changes) => second.apply_changes(changes, Time::default(), false),
         None => {
             let listed = first.replicas().values();
-            let listed = listed.filter(|listed| listed.gone.is_none());
+            let listed = listed.filter(|listed| listed.removed_at.is_none());
             let records = listed.map(|listed| (listed.revision, listed.record.clone()));
             let at = first.revisions().replicas;
             second.apply_list(records.collect(), at, Time::default(), false)
@@ -348,7 +348,7 @@
                 follower(&first, &mut second);
                 let present = |catalog: &Catalog| -> Vec<Record> {
                     let listed = catalog.replicas().values();
-                    let listed = listed.filter(|listed| listed.gone.is_none());
+                    let listed = listed.filter(|listed| listed.removed_at.is_none());
                     listed.map(|listed| listed.record.clone()).collect()
                 };
                 if present(&first) != present(&second) {
@@ -372,7 +372,7 @@
     );
     learn(&mut late, 51, Fact::Replica(record("i-3")), now);
     let changes = late.changes_since(50).unwrap();
-    assert!(changes.records.len() == 1 && changes.gone.is_empty());
+    assert!(changes.records.len() == 1 && changes.removals.is_empty());
     // One that lacks more than the changes tell does not take them for the whole.
     let mut other = Catalog::new(true);
     other.apply_list(vec![(10, record("i-1"))], 10, now, false);
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -445,7 +445,7 @@
     for bits in 0..16u32 {
         let bit = |place: u32| bits >> place & 1 == 1;
         let local = LocalState {
-            wanted: bit(0),
+            desired: bit(0),
             complete: bit(1),
             ordered: bit(2),
             in_flight: 0,
@@ -469,7 +469,7 @@
     };
     let steps = |wanted, in_flight| {
         let local = LocalState {
-            wanted,
+            desired: wanted,
             complete: true,
             in_flight,
             ordered: true,
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -168,7 +168,7 @@
         for part in parts {
             decoder.push(&part);
             loop {
-                match decoder.take::<Have>() {
+                match decoder.next_frame::<Have>() {
                     Ok(Some(_)) => {}
                     Ok(None) => break,
                     Err(_) => return true,
@@ -184,7 +184,7 @@
     let mut decoder = Decoder::default();
     decoder.push(&(FRAME_MAX as u32 + 1).to_be_bytes());
     assert!(matches!(
-        decoder.take::<Have>(),
+        decoder.next_frame::<Have>(),
         Err(wire::Error::TooLong { .. })
     ));
 }
@@ -206,7 +206,7 @@
     };
     let mut decoder = Decoder::default();
     decoder.push(&wire::encode(&later).unwrap());
-    let report: Report = decoder.take().unwrap().unwrap();
+    let report: Report = decoder.next_frame().unwrap().unwrap();
     assert_eq!(
         report,
         Report {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -39,12 +39,12 @@
         read_per_s: 20_700.0,
         pairs_ms_per_million: 0.0,
         stride: 5,
-        usual_prompt: 979.0,
-        usual_answer: 92.0,
+        mean_prompt_tokens: 979.0,
+        mean_answer_tokens: 92.0,
         models: vec![MODEL.into()],
         chunks: 96,
         chunk_bytes: 24_576,
-        guessed: false,
+        incomplete: false,
     }
 }
 
@@ -73,8 +73,8 @@
     ListedReplica {
         record,
         revision: 1,
-        gone: None,
-        doubted: false,
+        removed_at: None,
+        provisional: false,
     }
 }
 
@@ -559,7 +559,7 @@
         tainted: false,
         sent: 1,
         sent_max: 2,
-        unreached: 0,
+        connect_failures: 0,
         time_left: true,
     }
 }
@@ -604,7 +604,7 @@
             tainted,
             sent: u32::from(sent % 4),
             sent_max: 2,
-            unreached: 0,
+            connect_failures: 0,
             time_left: left,
         };
         let may_have_run = tainted || matches!(ended, Ended::Failed | Ended::Broken);
@@ -637,7 +637,7 @@
             let budget = &mut budgets[usize::from(*pick) % entries];
             budget.request(setting, now);
             requests.push(now);
-            let spent = repeat.then(|| budget.spend(setting, entries, now));
+            let spent = repeat.then(|| budget.reserve(setting, entries, now));
             if let Some(repeat) = spent.flatten() {
                 budget.arrived(repeat, now);
                 repeats.push(now);
@@ -745,22 +745,25 @@
 fn a_change_is_ordered_only_when_everything_is_here_and_told() {
     let setting = rollout::Setting::default();
     let state = rollout::State {
-        wanted: 2,
-        named: NOW,
-        held: Some(1),
+        desired: 2,
+        published_at: NOW,
+        loaded: Some(1),
         busy: false,
-        complete: None,
+        complete_since: None,
         wave: 0,
-        noticed: None,
+        notice_since: None,
     };
     let last = rollout::wave_start(setting, setting.waves - 1);
     let late = NOW + last - setting.notice;
     assert_eq!(rollout::step(state, setting, late), rollout::Step::Receive);
     let complete = rollout::State {
-        complete: Some(NOW),
+        complete_since: Some(NOW),
         ..state
     };
-    assert_eq!(rollout::step(complete, setting, NOW), rollout::Step::Await);
+    assert_eq!(
+        rollout::step(complete, setting, NOW),
+        rollout::Step::AwaitWave
+    );
     assert_eq!(
         rollout::step(
             rollout::State {
@@ -770,15 +773,15 @@
             setting,
             late
         ),
-        rollout::Step::Notice
+        rollout::Step::BeginNotice
     );
     let noticed = rollout::State {
-        noticed: Some(late),
+        notice_since: Some(late),
         ..complete
     };
     assert_eq!(
         rollout::step(noticed, setting, late),
-        rollout::Step::Noticed
+        rollout::Step::AwaitNotice
     );
     let told = late + setting.notice;
     assert_eq!(rollout::step(noticed, setting, told), rollout::Step::Order);
@@ -789,15 +792,15 @@
         rollout::Step::Order
     );
     let empty = rollout::State {
-        held: None,
+        loaded: None,
         ..complete
     };
     assert_eq!(rollout::step(empty, setting, NOW), rollout::Step::Order);
     let held = rollout::State {
-        held: Some(2),
+        loaded: Some(2),
         ..complete
     };
-    assert_eq!(rollout::step(held, setting, late), rollout::Step::Rest);
+    assert_eq!(rollout::step(held, setting, late), rollout::Step::Idle);
 }
 
 fn events(count: u64) -> Vec<u8> {
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -328,7 +328,7 @@
     let document: Document = rmp_serde::from_slice(&encode(&document)).unwrap();
     assert_eq!(document.routes[0].kind, Kind::NonIdempotent);
     let engine = document.services[0].engine.as_ref().unwrap();
-    assert!(engine.guessed && engine.read_per_s > 0.0);
+    assert!(engine.incomplete && engine.read_per_s > 0.0);
 }
 
 /// Time after the end of a store's trouble from which a machine is bound by its bounds again.
@@ -389,7 +389,7 @@
         let gone = batch(6, Fact::ReplicaGone("i-1".into()));
         knowledge.take_batch(Topic::Replicas, false, gone);
         let catalog = knowledge.catalog.borrow();
-        catalog.replicas()["i-1"].doubted
+        catalog.replicas()["i-1"].provisional
     };
     assert!(removal_is_doubted(false));
     assert!(!removal_is_doubted(true));
@@ -413,7 +413,7 @@
 fn batch(at: u64, fact: Fact) -> Batch {
     Batch {
         facts: vec![Revisioned { revision: at, fact }],
-        at,
+        revision: at,
         ..Batch::default()
     }
 }
@@ -433,7 +433,7 @@
     let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
     let asked = |knowledge: &Knowledge| {
         let catalog = knowledge.catalog.borrow();
-        catalog.evacuations().asked().cloned().collect::<Vec<_>>()
+        catalog.evacuations().active().cloned().collect::<Vec<_>>()
     };
     let tell = || {
         let news = reader.news_for(&other.sync(false), false);
@@ -441,12 +441,12 @@
     };
     let batch = |at, facts| Batch {
         facts,
-        at,
+        revision: at,
         ..Batch::default()
     };
     let evacuation = Fact::Evacuation {
         hall: hall(2),
-        asked: true,
+        active: true,
     };
     let dated = Revisioned {
         revision: 6,
@@ -490,7 +490,7 @@
     });
     let whole_list = Batch {
         facts: facts.collect(),
-        at: 90,
+        revision: 90,
         ..Batch::default()
     };
     reader.take_batch(Topic::Replicas, true, whole_list);
@@ -516,7 +516,7 @@
     // An entry that read the list while it was empty does not draw it again.
     let early = entry_knowing_nothing(3);
     let empty = Batch {
-        at: 1,
+        revision: 1,
         ..Batch::default()
     };
     early.take_batch(Topic::Replicas, true, empty);
@@ -527,7 +527,7 @@
     reader.take_batch(Topic::Replicas, false, gone);
     let news = reader.news_for(&other.sync(false), false);
     assert!(news.replicas.is_none() && news.list.is_none());
-    assert_eq!(news.changes.unwrap().gone.len(), 1);
+    assert_eq!(news.changes.unwrap().removals.len(), 1);
 }
 
 /// The reply of an entry that knows `each` entries in each of three halls to a heartbeat of the
@@ -619,7 +619,7 @@
         Topic::Replicas,
         true,
         Batch {
-            at: 3,
+            revision: 3,
             ..Batch::default()
         },
     );
@@ -627,7 +627,7 @@
         Topic::Replicas,
         true,
         Batch {
-            at: 3,
+            revision: 3,
             ..Batch::default()
         },
     );
@@ -641,13 +641,13 @@
     assert!(reader.news_since(before).is_none());
     let evacuation = Fact::Evacuation {
         hall: hall(2),
-        asked: true,
+        active: true,
     };
     reader.take_batch(Topic::Operator, false, batch(6, evacuation));
     let news = reader.news_since(before).unwrap();
     assert!(news.routing.is_none());
     other.take_news(entry(1, 1), news);
-    assert_eq!(other.catalog.borrow().evacuations().asked().count(), 1);
+    assert_eq!(other.catalog.borrow().evacuations().active().count(), 1);
 }
 
 /// Guards against answers to other halls that repeat the field names for each replica.
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -70,7 +70,7 @@
             catalog: Catalog::new(true),
             pool: Pool::new("hall".into(), Policy::default()),
             engine: Engine {
-                guessed: false,
+                incomplete: false,
                 ..Engine::default()
             },
             regions: Regions::default(),
@@ -81,7 +81,7 @@
         let fact = Fact::Replica(record);
         let effect = self
             .catalog
-            .learn(Revisioned { revision, fact }, NOW, false);
+            .apply(Revisioned { revision, fact }, NOW, false);
         self.pool.update(self.catalog.replicas(), |_| None);
         effect
     }
@@ -202,7 +202,7 @@
         }
         let listed = &entry.catalog.replicas()["i-1"];
         assert_eq!(
-            (listed.record.born, listed.gone),
+            (listed.record.born, listed.removed_at),
             (SECOND, None),
             "{order:?}"
         );
@@ -226,7 +226,7 @@
         let mut catalog = Catalog::new(true);
         for (revision, record) in order {
             let fact = Fact::Replica(record.clone());
-            catalog.learn(Revisioned { revision, fact }, NOW, false);
+            catalog.apply(Revisioned { revision, fact }, NOW, false);
         }
         catalog.replicas()["i-1"].record.clone()
     };
--- a/tests/named.rs
+++ b/tests/named.rs
@@ -47,7 +47,7 @@
             revision: version,
             fact,
         }],
-        at: version,
+        revision: version,
         ..Batch::default()
     };
     knowledge.take_batch(Topic::Operator, false, batch);
@@ -63,7 +63,7 @@
 fn ages(knowledge: &Knowledge) -> Vec<(u64, Duration)> {
     let now = knowledge.now();
     let catalog = knowledge.catalog.borrow();
-    let named = catalog.named(MODEL).iter();
+    let named = catalog.desired_versions(MODEL).iter();
     named
         .map(|DesiredVersion { version, since, .. }| (*version, now.since(*since)))
         .collect()
--- a/tests/notice.rs
+++ b/tests/notice.rs
@@ -56,8 +56,8 @@
             let listed = ListedReplica {
                 record: record.clone(),
                 revision: 1,
-                gone: None,
-                doubted: false,
+                removed_at: None,
+                provisional: false,
             };
             (record.id.clone(), listed)
         })
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -30,12 +30,12 @@
         read_per_s: 13_800.0,
         pairs_ms_per_million: 0.0,
         stride: 5,
-        usual_prompt: 900.0,
-        usual_answer: 70.0,
+        mean_prompt_tokens: 900.0,
+        mean_answer_tokens: 70.0,
         models: vec!["model".into()],
         chunks: 96,
         chunk_bytes: 24_576,
-        guessed: false,
+        incomplete: false,
     }
 }
 
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -28,7 +28,7 @@
 fn knowing(ends: usize) -> Registry {
     let mut register = Registry::default();
     for number in 0..ends as u8 {
-        register.ended(name(), life(number), NOW);
+        register.record_crash(name(), life(number), NOW);
     }
     register
 }
@@ -62,32 +62,32 @@
     let mut register = knowing(1);
     for seen_by in 1..5 {
         let mut other = Registry::default();
-        other.ended(name(), life(0), after(seen_by * 10));
-        register.hear(&other.take_news(after(100)), after(100));
+        other.record_crash(name(), life(0), after(seen_by * 10));
+        register.merge(&other.take_changes(after(100)), after(100));
     }
     assert_eq!(register.verdict(name(), after(100)), Verdict::Allowed);
-    assert_eq!(register.case(name(), after(100)).unwrap().ends.len(), 1);
+    assert_eq!(register.case(name(), after(100)).unwrap().crashes.len(), 1);
 }
 
 #[test]
 fn a_replica_that_starts_again_under_its_id_is_another_life() {
     let mut register = knowing(MAX_CRASHES - 1);
     let again = Life { born: 2, ..life(0) };
-    register.ended(name(), again, NOW);
+    register.record_crash(name(), again, NOW);
     assert_eq!(register.verdict(name(), NOW), Verdict::Blocked);
 }
 
 #[test]
 fn a_whole_answer_takes_all_ends_before_it_back_at_all_entries() {
     let (mut one, mut other) = (knowing(MAX_CRASHES), Registry::default());
-    other.hear(&one.tell(NOW), NOW);
-    assert!(one.came_good(name(), after(500)));
-    let told = one.take_news(after(500));
-    assert!(!other.hear(&told, after(520)).is_empty());
+    other.merge(&one.reports(NOW), NOW);
+    assert!(one.record_success(name(), after(500)));
+    let told = one.take_changes(after(500));
+    assert!(!other.merge(&told, after(520)).is_empty());
     assert_eq!(other.verdict(name(), after(520)), Verdict::Allowed);
     // Who has not heard it yet tells of the ends once more.
-    let late = knowing(MAX_CRASHES).tell(after(600));
-    assert!(one.hear(&late, after(600)).is_empty());
+    let late = knowing(MAX_CRASHES).reports(after(600));
+    assert!(one.merge(&late, after(600)).is_empty());
     assert_eq!(one.verdict(name(), after(600)), Verdict::Allowed);
 }
 
@@ -98,11 +98,11 @@
     for second in 0..120 {
         let now = after(second * 1_000);
         // All others ask at the same moment.
-        let given = (0..5).filter(|_| register.take_try(name(), now)).count();
+        let given = (0..5).filter(|_| register.claim_trial(name(), now)).count();
         assert!(given <= 1);
         if given == 1 {
             tries.push(second);
-            register.ended(name(), life(100 + tries.len() as u8), now);
+            register.record_crash(name(), life(100 + tries.len() as u8), now);
         }
     }
     assert_eq!(tries, [2, 22]);
@@ -115,10 +115,10 @@
     let mut tries = Vec::new();
     for second in 0..3_600 {
         let now = after(second * 1_000);
-        register.sweep(now);
-        if register.take_try(name(), now) {
+        register.remove_expired(now);
+        if register.claim_trial(name(), now) {
             tries.push(second);
-            register.ended(name(), life(100 + tries.len() as u8), now);
+            register.record_crash(name(), life(100 + tries.len() as u8), now);
         }
     }
     assert_eq!(tries, [2, 22, 622]);
@@ -128,19 +128,19 @@
 #[test]
 fn tries_that_came_to_nothing_are_followed_by_others() {
     let mut register = knowing(MAX_CRASHES);
-    let tried = (0..2_000).filter(|second| register.take_try(name(), after(second * 1_000)));
+    let tried = (0..2_000).filter(|second| register.claim_trial(name(), after(second * 1_000)));
     assert_eq!(tried.collect::<Vec<_>>(), [2, 22, 622, 1_222, 1_822]);
 }
 
 #[test]
 fn what_was_learned_long_ago_is_forgotten() {
     let mut register = knowing(MAX_CRASHES - 1);
-    register.sweep(after(1_000_000));
+    register.remove_expired(after(1_000_000));
     assert!(register.case(name(), after(1_000_000)).is_none());
     let mut barred = knowing(MAX_CRASHES);
-    barred.sweep(after(3_500_000));
+    barred.remove_expired(after(3_500_000));
     assert_eq!(barred.verdict(name(), after(3_500_000)), Verdict::TrialDue);
-    barred.sweep(after(3_700_000));
+    barred.remove_expired(after(3_700_000));
     assert!(barred.case(name(), after(3_700_000)).is_none());
 }
 
@@ -149,20 +149,20 @@
     let mut register = knowing(2);
     for number in 0..5_000_u32 {
         let other = RequestHash::of("test.example", "/", "escola", &number.to_le_bytes());
-        register.ended(other, life(9), after(number.into()));
+        register.record_crash(other, life(9), after(number.into()));
     }
-    assert_eq!(register.case(name(), NOW).unwrap().ends.len(), 2);
+    assert_eq!(register.case(name(), NOW).unwrap().crashes.len(), 2);
     // A single end is told once; heartbeats bring what matters.
-    assert_eq!(register.tell(after(5_000)).len(), 1);
+    assert_eq!(register.reports(after(5_000)).len(), 1);
 }
 
 /// What one entry saw: the end of a life, or a whole answer.
 fn saw(register: &mut Registry, (number, at): (u8, u16)) {
     let at = after(u64::from(at % 64) * 1_000);
     if number % 8 == 7 {
-        register.came_good(name(), at);
+        register.record_success(name(), at);
     } else {
-        register.ended(name(), life(number % 8), at);
+        register.record_crash(name(), life(number % 8), at);
     }
 }
 
@@ -174,8 +174,8 @@
         other.into_iter().for_each(|event| saw(&mut second, event));
         let now = after(64_000);
         for _ in 0..2 {
-            second.hear(&first.tell(now), now);
-            first.hear(&second.tell(now), now);
+            second.merge(&first.reports(now), now);
+            first.merge(&second.reports(now), now);
         }
         first.digest(now) == second.digest(now)
     }
@@ -185,7 +185,7 @@
         let (mut first, mut second) = (Registry::default(), Registry::default());
         events.into_iter().for_each(|event| saw(&mut first, event));
         let now = after(64_000);
-        second.hear(&first.tell(now), now);
-        second.hear(&first.tell(now), now).is_empty()
+        second.merge(&first.reports(now), now);
+        second.merge(&first.reports(now), now).is_empty()
     }
 }
--- a/tests/repeat.rs
+++ b/tests/repeat.rs
@@ -13,7 +13,7 @@
     ratio: 0.2,
     slack: 100.0,
     window: Duration::from_secs(10),
-    all_at_once: true,
+    full_at_start: true,
 };
 
 const ENTRIES: usize = 7;
@@ -44,7 +44,7 @@
             if now >= killed && !again {
                 again = true;
                 let setting = Setting {
-                    all_at_once: false,
+                    full_at_start: false,
                     ..SETTING
                 };
                 budgets[..ENTRIES - 1].fill_with(|| Budget::new(setting, now));
@@ -71,7 +71,7 @@
         tainted: true,
         sent: 1,
         sent_max: 2,
-        unreached: 0,
+        connect_failures: 0,
         time_left: true,
     };
     assert_eq!(
@@ -91,7 +91,7 @@
         requests.push(now);
         if step % 5 < 2 {
             wanted += 1;
-            if let Some(repeat) = budget.spend(SETTING, 1, now) {
+            if let Some(repeat) = budget.reserve(SETTING, 1, now) {
                 budget.arrived(repeat, now);
                 repeats.push(now);
             }
@@ -143,7 +143,7 @@
 
 /// Takes a repeat that is decided at `now` and arrives at `arrives`, if there is one.
 fn repeat(budget: &mut Budget, now: Time, arrives: Time) -> bool {
-    let repeat = budget.spend(SETTING, ENTRIES, now);
+    let repeat = budget.reserve(SETTING, ENTRIES, now);
     if let Some(repeat) = repeat {
         budget.arrived(repeat, arrives);
     }
@@ -160,14 +160,14 @@
     };
     let mut budget = Budget::new(setting, Time::default());
     let at = |seconds: u64| Time::from_millis(50_000 + seconds * 1_000);
-    let unsent = budget.spend(setting, 1, at(0)).unwrap();
-    assert_eq!(budget.spend(setting, 1, at(0)), None);
-    budget.unsent(unsent);
-    let sent = budget.spend(setting, 1, at(0)).unwrap();
-    assert_eq!(budget.spend(setting, 1, at(60)), None);
+    let unsent = budget.reserve(setting, 1, at(0)).unwrap();
+    assert_eq!(budget.reserve(setting, 1, at(0)), None);
+    budget.release(unsent);
+    let sent = budget.reserve(setting, 1, at(0)).unwrap();
+    assert_eq!(budget.reserve(setting, 1, at(60)), None);
     budget.arrived(sent, at(60));
-    assert_eq!(budget.spend(setting, 1, at(70)), None);
-    assert!(budget.spend(setting, 1, at(71)).is_some());
+    assert_eq!(budget.reserve(setting, 1, at(70)), None);
+    assert!(budget.reserve(setting, 1, at(71)).is_some());
 }
 
 /// Incident: repeats piled up beyond what is allowed, the second way.
@@ -199,7 +199,7 @@
             if deaths.first().is_some_and(|death| now >= *death) {
                 deaths.remove(0);
                 let setting = Setting {
-                    all_at_once: false,
+                    full_at_start: false,
                     ..SETTING
                 };
                 budgets.fill_with(|| Budget::new(setting, now));
--- a/tests/stopgap.rs
+++ b/tests/stopgap.rs
@@ -17,7 +17,7 @@
 /// An origin of 4.4 Mbit/s, a box's link of 7.3, and 12.4 s to change a version.
 const TIMES: TransferTimes = TransferTimes {
     origin: Duration::from_millis(4_300),
-    own: Duration::from_millis(2_600),
+    local: Duration::from_millis(2_600),
     bound: Duration::from_millis(12_400),
 };
 
@@ -34,15 +34,15 @@
 fn coming(missing: u32, unseen: u32) -> Availability {
     Availability {
         missing,
-        unseen,
+        unavailable: unseen,
         chunks: 96,
-        quiet: millis(40),
+        since_progress: millis(40),
     }
 }
 
 fn away(outlook: Availability) -> Availability {
     Availability {
-        quiet: millis(1_600),
+        since_progress: millis(1_600),
         ..outlook
     }
 }
@@ -70,7 +70,7 @@
     let hold = [1];
     // Just named: the origin needs 4.3 s, the older version would serve after 3.2.
     let unknown = Availability {
-        quiet: millis(200),
+        since_progress: millis(200),
         ..Availability::default()
     };
     assert_eq!(chosen(&one, &hold, unknown), None);
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -82,9 +82,9 @@
     fn learn(&mut self, revision: u64, fact: Fact, now: Time) -> Effect {
         let effect = self
             .catalog
-            .learn(Revisioned { revision, fact }, now, false);
+            .apply(Revisioned { revision, fact }, now, false);
         self.pool.update(self.catalog.replicas(), |_| None);
-        let halls: BTreeSet<Arc<str>> = self.catalog.evacuations().asked().cloned().collect();
+        let halls: BTreeSet<Arc<str>> = self.catalog.evacuations().active().cloned().collect();
         self.pool.evacuate(halls);
         self.pool.tell_cold(now);
         effect
@@ -92,7 +92,14 @@
 
     fn evacuate(&mut self, revision: u64, hall: &str, asked: bool) -> Effect {
         let hall = hall.into();
-        self.learn(revision, Fact::Evacuation { hall, asked }, NOW)
+        self.learn(
+            revision,
+            Fact::Evacuation {
+                hall,
+                active: asked,
+            },
+            NOW,
+        )
     }
 
     fn ask<'a>(&'a self, residency: &'a Residency) -> Ask<'a> {
@@ -160,10 +167,13 @@
 #[test]
 fn route_and_customer_bind_both() {
     let route = only(&["north", "south"]);
-    assert_eq!(route.and(&only(&["south", "west"])), only(&["south"]));
-    assert_eq!(route.and(&Residency::Anywhere), route);
-    assert_eq!(Residency::Anywhere.and(&route), route);
-    let none = route.and(&only(&["west"]));
+    assert_eq!(
+        route.intersection(&only(&["south", "west"])),
+        only(&["south"])
+    );
+    assert_eq!(route.intersection(&Residency::Anywhere), route);
+    assert_eq!(Residency::Anywhere.intersection(&route), route);
+    let none = route.intersection(&only(&["west"]));
     assert!(!none.allows(Some("north")) && !none.allows(None));
 }
 
@@ -185,7 +195,7 @@
 fn told(revision: u64, asked: bool) -> Evacuation {
     Evacuation {
         hall: "north-a".into(),
-        asked,
+        active: asked,
         revision,
     }
 }
@@ -197,13 +207,13 @@
         let mut newest: Option<(u64, bool)> = None;
         for (revision, asked) in steps {
             let revision = u64::from(revision) + 1;
-            known.learn(told(revision, asked));
+            known.apply(told(revision, asked));
             if newest.is_none_or(|(known, _)| known < revision) {
                 newest = Some((revision, asked));
             }
         }
         let asked = newest.is_some_and(|(_, asked)| asked);
-        (known.asked().count() == 1) == asked
+        (known.active().count() == 1) == asked
             && known.revision() == newest.map_or(0, |(revision, _)| revision)
     }
     quickcheck(property as fn(Vec<(u8, bool)>) -> bool);
@@ -212,12 +222,12 @@
 #[test]
 fn a_store_that_forgot_its_history_ends_evacuations_that_are_not_there_any_more() {
     let mut known = Evacuations::default();
-    assert!(known.learn(told(10, true)));
+    assert!(known.apply(told(10, true)));
     assert!(!known.apply_list(&["north-a".into()], 30));
     assert!(!known.apply_list(&[], 9), "a read of before says nothing");
     assert!(known.apply_list(&[], 30));
-    assert_eq!(known.asked().count(), 0);
-    assert!(!known.learn(told(10, true)), "late news of it");
+    assert_eq!(known.active().count(), 0);
+    assert!(!known.apply(told(10, true)), "late news of it");
 }
 
 /// Most of `sent` within any one second.
