--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -166,13 +166,15 @@
     #[serde(rename = "at")]
     pub revision: u64,
     /// Whether the store was out of reach shortly before.
-    #[serde(default, rename = "shaky")]
+    #[serde(default)]
+    #[serde(rename = "shaky")]
     pub store_unstable: bool,
     /// Entries that were written.
     #[serde(default)]
     pub records: Vec<RevisionedRecord>,
     /// Entries that went.
-    #[serde(default, rename = "gone")]
+    #[serde(default)]
+    #[serde(rename = "gone")]
     pub removals: Vec<Removal>,
 }
 
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -96,21 +96,21 @@
 
     fn take_packed_list(&self, from: SocketAddr, list: PackedReplicaList) {
         let PackedReplicaList {
-            revision: at,
-            store_unstable: shaky,
+            revision,
+            store_unstable,
             packed,
         } = list;
         match pack::unpack(&packed) {
             Ok(records) => self.take_whole_list(
                 from,
                 ReplicaList {
-                    revision: at,
-                    store_unstable: shaky,
+                    revision,
+                    store_unstable,
                     records,
                 },
             ),
             Err(error) => {
-                log::warn!(from:% = from, revision = at; "cannot unpack the list of replicas: {error}");
+                log::warn!(from:% = from, revision; "cannot unpack the list of replicas: {error}");
             }
         }
     }
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -90,16 +90,20 @@
     #[serde(rename = "name")]
     pub request: RequestHash,
     /// The ends of replicas under it.
-    #[serde(default, rename = "ends")]
+    #[serde(default)]
+    #[serde(rename = "ends")]
     pub crashes: Vec<Crash>,
     /// Milliseconds since it was answered whole, if it was.
-    #[serde(default, rename = "good_ms")]
+    #[serde(default)]
+    #[serde(rename = "good_ms")]
     pub success_age_ms: Option<u64>,
     /// Times that it was tried since it is barred.
-    #[serde(default, rename = "tries")]
+    #[serde(default)]
+    #[serde(rename = "tries")]
     pub trials: u32,
     /// Milliseconds since the last of them.
-    #[serde(default, rename = "tried_ms")]
+    #[serde(default)]
+    #[serde(rename = "tried_ms")]
     pub trial_age_ms: Option<u64>,
 }
 
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -31,7 +31,8 @@
     #[serde(default)]
     pub entry: bool,
     /// How fresh its beliefs are.
-    #[serde(default, rename = "marks")]
+    #[serde(default)]
+    #[serde(rename = "marks")]
     pub revisions: Revisions,
     /// Milliseconds since the platform's store answered it, if it ever did.
     #[serde(default)]
@@ -119,7 +120,8 @@
     #[serde(default)]
     pub digests: Vec<HallStatus>,
     /// What was learned since the frame before the previous one, without the configuration.
-    #[serde(default, rename = "news")]
+    #[serde(default)]
+    #[serde(rename = "news")]
     pub update: Option<Update>,
     /// Random identifier of the sending process.
     #[serde(default)]
@@ -211,7 +213,8 @@
     #[serde(rename = "at")]
     pub revision: u64,
     /// Whether the store was out of reach shortly before.
-    #[serde(default, rename = "shaky")]
+    #[serde(default)]
+    #[serde(rename = "shaky")]
     pub store_unstable: bool,
     /// The entries.
     pub records: Vec<RevisionedRecord>,
@@ -224,7 +227,8 @@
     #[serde(rename = "at")]
     pub revision: u64,
     /// Whether the store was out of reach shortly before.
-    #[serde(default, rename = "shaky")]
+    #[serde(default)]
+    #[serde(rename = "shaky")]
     pub store_unstable: bool,
     /// The packed sequence of [`RevisionedRecord`]s.
     #[serde(with = "serde_bytes")]
@@ -272,7 +276,8 @@
     #[serde(default)]
     pub entry: bool,
     /// How fresh its beliefs are.
-    #[serde(default, rename = "marks")]
+    #[serde(default)]
+    #[serde(rename = "marks")]
     pub revisions: Revisions,
     /// Milliseconds since the platform's store answered it, if it ever did.
     #[serde(default)]
@@ -302,7 +307,8 @@
     #[serde(default)]
     pub changes: Option<Changes>,
     /// The newer configuration in brief.
-    #[serde(default, rename = "brief")]
+    #[serde(default)]
+    #[serde(rename = "brief")]
     pub summary: Option<Summary>,
     /// Digest of the poison requests that it knows.
     #[serde(default)]
