--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -54,11 +54,11 @@
 /// Another process of the system asks or tells.
 pub async fn answer(gateway: Rc<Gateway>, mut request: Request) -> Answer {
     match request.path() {
-        SYNC_PATH => match message::<Sync>(&mut request).await {
+        SYNC_PATH => match decode::<Sync>(&mut request).await {
             Ok(sync) => take_sync(&gateway, &sync, false),
             Err(answer) => answer,
         },
-        HALL_PATH => match message::<Sync>(&mut request).await {
+        HALL_PATH => match decode::<Sync>(&mut request).await {
             Ok(sync) => http::pack(StatusCode::OK, &gateway.hall_news(&sync)),
             Err(answer) => answer,
         },
@@ -66,7 +66,7 @@
             Ok(frame) => take_frame(&gateway, &frame),
             Err(answer) => answer,
         },
-        FRAME_FORWARD_PATH => match message::<fanout::ForwardedFrame>(&mut request).await {
+        FRAME_FORWARD_PATH => match decode::<fanout::ForwardedFrame>(&mut request).await {
             Ok(forwarded) => {
                 let frame = Bytes::from(forwarded.frame);
                 let answer = take_frame(&gateway, &frame);
@@ -76,7 +76,7 @@
             }
             Err(answer) => answer,
         },
-        SYNC_FORWARD_PATH => match message::<fanout::ForwardedSync>(&mut request).await {
+        SYNC_FORWARD_PATH => match decode::<fanout::ForwardedSync>(&mut request).await {
             Ok(notice) => {
                 let knowledge = &gateway.knowledge;
                 let answer = http::pack(StatusCode::OK, &knowledge.news_for(&notice.sync, false));
@@ -85,15 +85,15 @@
             }
             Err(answer) => answer,
         },
-        REPORT_PATH => match message::<Report>(&mut request).await {
+        REPORT_PATH => match decode::<Report>(&mut request).await {
             Ok(report) => take_report(&gateway, &report),
             Err(answer) => answer,
         },
-        poison::PATH => match message::<poison::Notice>(&mut request).await {
+        poison::PATH => match decode::<poison::Notice>(&mut request).await {
             Ok(notice) => http::pack(StatusCode::OK, &poison::hear(&gateway.knowledge, &notice)),
             Err(answer) => answer,
         },
-        poison::TRY_PATH => match message::<poison::Ask>(&mut request).await {
+        poison::TRY_PATH => match decode::<poison::Ask>(&mut request).await {
             Ok(ask) => http::pack(
                 StatusCode::OK,
                 &poison::answer_try(&gateway.knowledge, &ask),
@@ -142,7 +142,7 @@
 }
 
 /// Reads a message, or says what is wrong with it.
-pub async fn message<T: DeserializeOwned>(request: &mut Request) -> Result<T, Answer> {
+pub async fn decode<T: DeserializeOwned>(request: &mut Request) -> Result<T, Answer> {
     let body = body(request).await?;
     rmp_serde::from_slice(&body).map_err(not_understood)
 }
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -26,7 +26,7 @@
 use crate::config::belief::first_lacking;
 use crate::daemon;
 use crate::exchange::{self, path::Paths};
-use crate::gateway::control::message;
+use crate::gateway::control::decode;
 use crate::http::{self, Answer, ClientSetting, Server};
 use crate::knowledge::{Identity, Knowledge, traffic};
 use crate::member::Listed;
@@ -347,7 +347,7 @@
         return sidecar.answer_run(call, request).await;
     }
     if path == SYNC_PATH {
-        return match message::<Sync>(&mut request).await {
+        return match decode::<Sync>(&mut request).await {
             Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.news_for(&sync, false)),
             Err(answer) => answer,
         };
@@ -357,7 +357,7 @@
         if ticket.refused() {
             return http::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let answer = match message::<place::Ask>(&mut request).await {
+        let answer = match decode::<place::Ask>(&mut request).await {
             Ok(ask) => http::pack(StatusCode::OK, &sidecar.place(&ask)),
             Err(answer) => answer,
         };
