--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -162,7 +162,7 @@
 }
 
 /// What a gateway works with.
-pub struct Edges {
+pub struct Dependencies {
     /// How callers and replicas speak.
     pub dialect: Rc<dyn Dialect>,
     /// The platform's store.
@@ -243,10 +243,10 @@
     /// Starts a gateway on the present thread.
     pub fn start(
         setting: Setting,
-        edges: Edges,
+        edges: Dependencies,
         listeners: Listeners,
     ) -> Result<Running, metric::Error> {
-        let Edges {
+        let Dependencies {
             dialect,
             source,
             origins,
@@ -563,7 +563,7 @@
     /// A request was refused whose caller tried first at `first`. Only engines are short of places so
     /// often that it matters.
     fn note_refused(&self, job: &Job, first: Time) {
-        if job.ask.work.is_none() {
+        if job.ask.inference.is_none() {
             return;
         }
         let mut refusals = self.refusals.borrow_mut();
