--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -11,7 +11,7 @@
 use actix_http::{RequestHead, Response as HttpResponse};
 use bytes::Bytes;
 
-use super::dialect::{Forward, Reading};
+use super::dialect::{Classification, Forward};
 use super::job::Job;
 use super::poison::Sight;
 use super::reader::{self, Line, Reader};
@@ -130,7 +130,7 @@
             .filter(|replica| !replica.wish().refuses(now))?;
         let (life, address) = (replica.record.life(), replica.record.address);
         let demand = job.demand();
-        let model = job.ask.work.as_ref().map(|work| &*work.model);
+        let model = job.ask.inference.as_ref().map(|work| &*work.model);
         let start_bound = model.and_then(|model| pool.start_bound(choice.key, model, now));
         let number = pool.begin(choice.key, demand, choice.expected, now);
         Some(Self {
@@ -334,7 +334,7 @@
         if self.started.get() {
             return None;
         }
-        let model = job.ask.work.as_ref().map(|work| &*work.model)?;
+        let model = job.ask.inference.as_ref().map(|work| &*work.model)?;
         let pool = self.gateway.pool.borrow();
         let known = pool.start_bound(self.key, model, self.now());
         self.start_bound.into_iter().chain(known).min()
@@ -362,18 +362,18 @@
     async fn read(self, job: &Job, versioned: bool, response: Reader) -> Result<Begun, Failure> {
         let status = response.status.as_u16();
         let dialect = &self.gateway.dialect;
-        let reading = dialect.read(&response, &job.ask.id);
+        let reading = dialect.classify(&response, &job.ask.id);
         let notice = dialect.notice(response.status, &response.headers);
-        if reading != Reading::Misdirected {
+        if reading != Classification::Misdirected {
             self.wants(job, notice);
         }
         match reading {
-            Reading::Success { version } => Ok(Begun {
+            Classification::Success { version } => Ok(Begun {
                 attempt: self,
                 response,
                 version,
             }),
-            Reading::NotRun => {
+            Classification::NotRun => {
                 let detail = format!("the replica answered {status}, not run");
                 // One that asks for rest is as well as it says.
                 let sign = if notice.rest.is_some() {
@@ -383,7 +383,7 @@
                 };
                 Err(self.fail(job, Ended::Refused, sign, detail))
             }
-            Reading::Misdirected => {
+            Classification::Misdirected => {
                 // Without a version in the request, it can only mean that the replica is another.
                 if !versioned {
                     self.gateway.pool.borrow_mut().deny(self.key);
@@ -391,11 +391,11 @@
                 let detail = "another replica has the address, or it holds another version";
                 Err(self.fail(job, Ended::Misdirected, Sign::None, detail.to_owned()))
             }
-            Reading::Foreign => {
+            Classification::Foreign => {
                 let detail = format!("answer {status} is none to this request");
                 Err(self.broken(job, detail, Sign::Broken))
             }
-            Reading::Failure => self.own_failure(job, response).await,
+            Classification::Failure => self.own_failure(job, response).await,
         }
     }
 
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -350,7 +350,7 @@
         let gateway = &self.gateway;
         let now = gateway.knowledge.now();
         let service = self.job.routing.service(&self.job.service);
-        let model = self.job.ask.work.as_ref().map(|work| &*work.model);
+        let model = self.job.ask.inference.as_ref().map(|work| &*work.model);
         let engine = service.and_then(|service| service.engine.as_ref());
         // Replicas that hold models are engines, whatever could be read of their service.
         let engines = || {
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -15,7 +15,7 @@
 
 /// What a request asks of a model engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Work {
+pub struct Inference {
     /// The model.
     pub model: Arc<str>,
     /// Tokens of the prompt.
@@ -30,7 +30,7 @@
 
 /// What a caller's head says.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct Metadata {
     /// Names this try of the request.
     pub id: String,
     /// The host, in lower case and without a port.
@@ -38,11 +38,11 @@
     /// The path, without the query.
     pub path: String,
     /// How long the caller waits.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The caller's key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// What it asks of an engine.
-    pub work: Option<Work>,
+    pub inference: Option<Inference>,
     /// The last event that the caller has of an earlier answer.
     pub last_event: Option<u64>,
     /// Bytes of the body, if it tells.
@@ -51,10 +51,10 @@
 
 /// A head that is no request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{what} is missing or wrong")]
+#[error("{part} is missing or wrong")]
 pub struct Malformed {
     /// Which part.
-    pub what: &'static str,
+    pub part: &'static str,
 }
 
 /// What is added to a request on its way to a replica.
@@ -76,7 +76,7 @@
 
 /// What the head of a replica's answer means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reading {
+pub enum Classification {
     /// A success, of a version of the weights if it tells one.
     Success {
         /// The version.
@@ -210,13 +210,13 @@
 /// Translates between callers, the entry and replicas.
 pub trait Dialect {
     /// Reads a caller's head.
-    fn ask(&self, head: &RequestHead) -> Result<Ask, Malformed>;
+    fn parse(&self, head: &RequestHead) -> Result<Metadata, Malformed>;
 
     /// The head that a replica gets for a caller's `head`.
     fn forward(&self, head: &RequestHead, forward: Forward<'_>) -> RequestHead;
 
     /// What the head of a replica's answer to the request `id` means.
-    fn read(&self, answer: &Reader, id: &str) -> Reading;
+    fn classify(&self, answer: &Reader, id: &str) -> Classification;
 
     /// What an answer of `status` and `headers` tells of what its replica wants.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use super::Gateway;
-use super::dialect::{Ask, Code, Refusal, Work};
+use super::dialect::{Code, Inference, Metadata, Refusal};
 use super::job::Job;
 use super::trace::Trace;
 use crate::clock::Time;
@@ -25,7 +25,7 @@
 
 /// Notes the id of a request that is not looked into.
 pub fn name(gateway: &Gateway, request: &Request, trace: &mut Trace) {
-    if let Ok(ask) = gateway.dialect.ask(request.head()) {
+    if let Ok(ask) = gateway.dialect.parse(request.head()) {
         trace.id = ask.id;
     }
 }
@@ -37,7 +37,7 @@
     trace: &mut Trace,
 ) -> Result<Job, Refusal> {
     let routing = gateway.knowledge.belief.borrow().routing().cloned();
-    let ask = gateway.dialect.ask(request.head());
+    let ask = gateway.dialect.parse(request.head());
     if let Ok(ask) = &ask {
         trace.id.clone_from(&ask.id);
     }
@@ -53,7 +53,7 @@
         .cloned()
         .ok_or_else(|| no_route(&routing))?;
     trace.route = route.name.clone();
-    let customer = match routing.access(&route, ask.key.as_deref()) {
+    let customer = match routing.access(&route, ask.api_key.as_deref()) {
         Access::Customer(customer) => Some(customer),
         Access::Anonymous => None,
         Access::Denied => {
@@ -75,7 +75,7 @@
         .cloned()
         .ok_or_else(|| not_understood("the services of this route"))?;
     let held = Duration::from_millis(route.timeout_ms);
-    let longest = ask.deadline.map_or(held, |deadline| deadline.min(held));
+    let longest = ask.timeout.map_or(held, |deadline| deadline.min(held));
     let arrived = trace.arrived;
     let body = read_body(request, limits, longest, || gateway.knowledge.now()).await?;
     let fingerprint = fingerprint(&ask, body.as_deref());
@@ -100,17 +100,17 @@
 
 /// What stays the same when the caller tries again: everything but the try's id, its deadline, and how
 /// much of an answer the caller has.
-fn fingerprint(ask: &Ask, body: Option<&[u8]>) -> Fingerprint {
+fn fingerprint(ask: &Metadata, body: Option<&[u8]>) -> Fingerprint {
     let body = body.unwrap_or_default();
     let length = (body.len() as u64).to_le_bytes();
-    let work = ask.work.as_ref();
-    let number = |of: fn(&Work) -> u32| work.map_or(0, of).to_le_bytes();
+    let work = ask.inference.as_ref();
+    let number = |of: fn(&Inference) -> u32| work.map_or(0, of).to_le_bytes();
     let (prompt, output) = (number(|work| work.prompt), number(|work| work.output_max));
     let hint = number(|work| work.output_hint.unwrap_or(0));
     Fingerprint::of([
         ask.host.as_bytes(),
         ask.path.as_bytes(),
-        ask.key.as_deref().unwrap_or_default().as_bytes(),
+        ask.api_key.as_deref().unwrap_or_default().as_bytes(),
         work.and_then(|work| work.prefix.as_deref())
             .unwrap_or_default()
             .as_bytes(),
@@ -125,7 +125,7 @@
 /// What stays the same whenever the request comes. A customer may have several keys.
 fn poison_name(
     head: &RequestHead,
-    ask: &Ask,
+    ask: &Metadata,
     customer: Option<&str>,
     body: Option<&[u8]>,
 ) -> poison::Name {
@@ -133,7 +133,7 @@
         .uri
         .path_and_query()
         .map_or(&*ask.path, |path| path.as_str());
-    let caller = customer.or(ask.key.as_deref()).unwrap_or_default();
+    let caller = customer.or(ask.api_key.as_deref()).unwrap_or_default();
     poison::Name::of(&ask.host, path, caller, body.unwrap_or_default())
 }
 
@@ -159,7 +159,7 @@
     copy
 }
 
-fn check_head(head: &RequestHead, ask: &Ask, limits: Limits) -> Result<(), Refusal> {
+fn check_head(head: &RequestHead, ask: &Metadata, limits: Limits) -> Result<(), Refusal> {
     let line = head
         .uri
         .path_and_query()
