--- a/src/agent.rs
+++ b/src/agent.rs
@@ -23,7 +23,7 @@
 use crate::request::Ledger;
 use crate::spread;
 use crate::spread::swarm::Tally;
-use crate::stop::Porter;
+use crate::stop::Tracker;
 use crate::version::{EngineState, Fence};
 use crate::weight::{Digest, Store};
 
@@ -81,7 +81,7 @@
     bursts: RefCell<BTreeMap<Digest, Rc<Burst>>>,
     gate: RefCell<Gate>,
     leaving: Cell<bool>,
-    porter: Rc<Porter>,
+    tracker: Rc<Tracker>,
     in_flight: RefCell<limit::Target>,
     ledger: RefCell<Ledger>,
     keyring: Keyring,
@@ -146,7 +146,7 @@
             bursts: RefCell::default(),
             gate: RefCell::default(),
             leaving: Cell::new(false),
-            porter: Porter::new(node.clock, &node.metrics.meter()),
+            tracker: Tracker::new(node.clock, &node.metrics.meter()),
             in_flight: RefCell::default(),
             ledger: RefCell::new(Ledger::new(boot, KEYS_MAX, KEPT_ANSWER_MAX)),
             keyring: setting.keyring.clone(),
--- a/src/agent/daemon.rs
+++ b/src/agent/daemon.rs
@@ -87,6 +87,6 @@
         reachable: true,
         ..stop::Setting::default()
     };
-    running.agent.porter.stop(setting, &running.server).await;
+    running.agent.tracker.stop(setting, &running.server).await;
     Ok(())
 }
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -52,18 +52,18 @@
 /// Takes an entry's request, unless the agent stops.
 async fn take(agent: Rc<Agent>, request: Request) -> Answer {
     let begun = request.headers().contains_key(header::FROM);
-    let ticket = agent.porter.enter(match begun {
+    let permit = agent.tracker.enter(match begun {
         true => Kind::Continued,
         false => Kind::New,
     });
-    if ticket.refused() {
-        return ticket.hold(door::not_admitted(door::Reason::Leaving));
+    if permit.refused() {
+        return permit.hold(door::not_admitted(door::Reason::Leaving));
     }
     let answer = match request.path().trim_matches('/') {
         "v1/run" => door::run(agent, request).await,
         _ => door::issue_key(&agent, &request),
     };
-    ticket.hold(answer)
+    permit.hold(answer)
 }
 
 fn ready(agent: &Agent) -> Answer {
@@ -80,7 +80,7 @@
 async fn swarm(agent: Rc<Agent>, digest: &str, rest: &[&str]) -> Answer {
     let burst = digest.parse().ok().and_then(|digest| agent.burst(digest));
     match burst {
-        Some(burst) => serve::answer(&agent.host, &agent.porter, burst, rest).await,
+        Some(burst) => serve::answer(&agent.host, &agent.tracker, burst, rest).await,
         None => http::status(StatusCode::NOT_FOUND),
     }
 }
--- a/src/burst/serve.rs
+++ b/src/burst/serve.rs
@@ -8,17 +8,17 @@
 use super::host::Host;
 use super::joined::Joined;
 use crate::http::{self, Answer};
-use crate::stop::{Kind, Porter};
+use crate::stop::{Kind, Tracker};
 
 /// Answers a peer that asks for `path`, if it is of a burst that the process takes part in.
-pub async fn answer_path(joined: &Joined, porter: &Rc<Porter>, path: &str) -> Answer {
+pub async fn answer_path(joined: &Joined, tracker: &Rc<Tracker>, path: &str) -> Answer {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let ["v1", "swarm", label, rest @ ..] = parts.as_slice() else {
         return http::status(StatusCode::NOT_FOUND);
     };
     let burst = label.parse().ok().and_then(|label| joined.get(label));
     match burst {
-        Some(burst) => answer(&joined.host, porter, burst, rest).await,
+        Some(burst) => answer(&joined.host, tracker, burst, rest).await,
         None => http::status(StatusCode::NOT_FOUND),
     }
 }
@@ -26,7 +26,7 @@
 /// Answers a peer; `rest` is the path after the version's name.
 pub async fn answer(
     host: &Rc<Host>,
-    porter: &Rc<Porter>,
+    tracker: &Rc<Tracker>,
     burst: Rc<Burst>,
     rest: &[&str],
 ) -> Answer {
@@ -42,11 +42,11 @@
         ),
         ["chunks", index] => match index.parse() {
             Ok(index) => {
-                let ticket = porter.enter(Kind::Peer);
-                if ticket.refused() {
+                let permit = tracker.enter(Kind::Peer);
+                if permit.refused() {
                     return http::status(StatusCode::SERVICE_UNAVAILABLE);
                 }
-                ticket.hold(burst.upload(host.clone(), index).await)
+                permit.hold(burst.upload(host.clone(), index).await)
             }
             Err(_) => http::status(StatusCode::BAD_REQUEST),
         },
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -15,7 +15,7 @@
 use crate::node::{self, Node};
 use crate::request::RetryBudget;
 use crate::route::{Policy, Table};
-use crate::stop::{self, Porter};
+use crate::stop::{self, Tracker};
 
 mod attempt;
 pub mod call;
@@ -56,7 +56,7 @@
     budget: RefCell<RetryBudget>,
     rng: RefCell<SmallRng>,
     /// Lets requests in.
-    pub porter: Rc<Porter>,
+    pub tracker: Rc<Tracker>,
     counters: status::Counters,
     instruments: status::Instruments,
 }
@@ -92,7 +92,7 @@
             customers: RefCell::default(),
             budget: RefCell::default(),
             rng: RefCell::new(SmallRng::seed_from_u64(setting.seed)),
-            porter: Porter::new(node.clock, &node.metrics.meter()),
+            tracker: Tracker::new(node.clock, &node.metrics.meter()),
             counters: status::Counters::default(),
             instruments: status::Instruments::new(&node.metrics.meter()),
             node: node.clone(),
@@ -111,9 +111,9 @@
     /// Announces that the entry stops: it fails its readiness check, so that the balancer sends
     /// nothing more, and finishes what it has.
     pub fn drain(&self) {
-        if !self.porter.stopping() {
+        if !self.tracker.stopping() {
             self.node.audit(Deed::Draining);
-            self.porter.begin(stop::Setting::default());
+            self.tracker.begin(stop::Setting::default());
         }
     }
 
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -189,7 +189,7 @@
 ) -> Result<(Job, Flight), Failure> {
     let head = Head::read(request)?;
     let in_force = customer_of(entry, &head)?;
-    let body = caller::read_body(&entry.porter, request).await?;
+    let body = caller::read_body(&entry.tracker, request).await?;
     let completion: Completion = serde_json::from_slice(&body).map_err(|error| {
         let message = format!("the body is no completion request: {error}");
         Failure::not_run(Code::BadBody, message)
@@ -247,7 +247,7 @@
             Failure::not_run(Code::UnknownService, message)
         })?;
     let repeatable = head.repeatable.unwrap_or(service.repeatable) && service.repeatable;
-    let body = caller::read_body(&entry.porter, request).await?;
+    let body = caller::read_body(&entry.tracker, request).await?;
     let job = Job {
         path: format!("/{path}"),
         body,
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -10,7 +10,7 @@
 
 use crate::http::{self, Answer, Error};
 use crate::request::{Key, Outcome};
-use crate::stop::{Porter, porter};
+use crate::stop::{Tracker, tracker};
 use crate::template::fleet::Priority;
 use crate::wire::header;
 
@@ -143,7 +143,7 @@
 
     /// The entry stops, and the request did not run.
     pub fn stopping() -> Self {
-        Self::not_run(Code::Stopping, "the entry stops").retry_after(porter::RETRY)
+        Self::not_run(Code::Stopping, "the entry stops").retry_after(tracker::RETRY)
     }
 
     /// The entry ends, and the request may have run.
@@ -204,8 +204,8 @@
 }
 
 /// Reads a request's body.
-pub async fn read_body(porter: &Porter, request: &mut Request) -> Result<Bytes, Failure> {
-    let read = porter.unless_given_up(http::read_request(request, BODY_MAX));
+pub async fn read_body(tracker: &Tracker, request: &mut Request) -> Result<Bytes, Failure> {
+    let read = tracker.unless_given_up(http::read_request(request, BODY_MAX));
     match timeout(BODY_TIMEOUT, read).await {
         Err(_) => {
             let message = format!("the body did not come within {} s", BODY_TIMEOUT.as_secs());
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -80,6 +80,6 @@
         longest: HEAR + common.drain,
         ..stop::Setting::default()
     };
-    running.entry.porter.stop(setting, &running.server).await;
+    running.entry.tracker.stop(setting, &running.server).await;
     Ok(())
 }
--- a/src/entry/key.rs
+++ b/src/entry/key.rs
@@ -42,7 +42,7 @@
 async fn issue(entry: &Rc<Entry>, request: &mut Request) -> Result<String, Failure> {
     let head = Head::read(request)?;
     let in_force = customer_of(entry, &head)?;
-    let body = caller::read_body(&entry.porter, request).await?;
+    let body = caller::read_body(&entry.tracker, request).await?;
     let wanted: KeyRequest = serde_json::from_slice(&body)
         .map_err(|error| Failure::not_run(Code::BadBody, error.to_string()))?;
     let need = key_need(&in_force, &head, &wanted)?;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -42,11 +42,11 @@
 
 /// Takes a caller's request, unless the entry stops.
 async fn take(entry: Rc<Entry>, request: Request, parts: &[&str]) -> Answer {
-    let ticket = entry.porter.enter(Kind::New);
-    if ticket.refused() {
-        return ticket.hold(call::refuse(&entry, &Failure::stopping()));
+    let permit = entry.tracker.enter(Kind::New);
+    if permit.refused() {
+        return permit.hold(call::refuse(&entry, &Failure::stopping()));
     }
-    let porter = entry.porter.clone();
+    let tracker = entry.tracker.clone();
     let work = async {
         match parts {
             ["v1", "completions"] => call::completion(entry, request).await,
@@ -57,12 +57,12 @@
             _ => no_such_path(),
         }
     };
-    let answer = porter.unless_given_up(work).await;
-    ticket.hold(answer.unwrap_or_else(|| Failure::ending().answer()))
+    let answer = tracker.unless_given_up(work).await;
+    permit.hold(answer.unwrap_or_else(|| Failure::ending().answer()))
 }
 
 fn ready(entry: &Entry) -> Answer {
-    if entry.porter.stopping() {
+    if entry.tracker.stopping() {
         return http::body(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping");
     }
     if !*entry.node.ready.borrow() {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -47,7 +47,7 @@
 use crate::route::replica::Due;
 use crate::source::{Source, Topic};
 use crate::spread;
-use crate::stop::{self, Porter};
+use crate::stop::{self, Tracker};
 use crate::version::rollout;
 use crate::weight::Store;
 use crate::wire::sync::Brief;
@@ -148,7 +148,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Lets requests in.
-    pub porter: Rc<Porter>,
+    pub tracker: Rc<Tracker>,
     pool_at: Cell<u64>,
     budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
     began: Time,
@@ -217,7 +217,7 @@
         let in_flight = self.gateway.in_flight();
         log::info!(in_flight; "planned stop begins");
         let setting = stop::Setting::within(grace);
-        self.gateway.porter.stop(setting, &self.front).await;
+        self.gateway.tracker.stop(setting, &self.front).await;
         Ok(())
     }
 }
@@ -279,7 +279,7 @@
                 knowledge.now(),
             )),
             instruments: status::Instruments::new(&metrics.meter()),
-            porter: Porter::new(knowledge.clock, &metrics.meter()),
+            tracker: Tracker::new(knowledge.clock, &metrics.meter()),
             metrics,
             knowledge: knowledge.clone(),
             dialect,
@@ -523,18 +523,18 @@
     /// Whether callers' requests can be served.
     pub fn ready(&self) -> bool {
         let belief = self.knowledge.belief.borrow();
-        !self.porter.stopping() && belief.routing().is_some() && belief.lists_replicas()
+        !self.tracker.stopping() && belief.routing().is_some() && belief.lists_replicas()
     }
 
     /// Announces that the process stops: the balancer hears that it is not ready, and every answer
     /// asks its caller to use another connection.
     pub fn drain(&self) {
-        self.porter.begin(stop::Setting::default());
+        self.tracker.begin(stop::Setting::default());
     }
 
     /// Requests in progress, of callers and of other processes that chunks are handed to.
     pub fn in_flight(&self) -> u64 {
-        self.porter.under_way()
+        self.tracker.under_way()
     }
 
     fn count_request(&self, service: &Arc<str>) {
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -37,7 +37,7 @@
 use crate::run::{Call, Shelf};
 use crate::source::Source;
 use crate::spread;
-use crate::stop::{self, Porter};
+use crate::stop::{self, Tracker};
 use crate::version::rollout;
 use crate::weight::{Digest, Store};
 use crate::wire::sync::{SYNC_PATH, Sync};
@@ -94,7 +94,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Lets requests in.
-    pub porter: Rc<Porter>,
+    pub tracker: Rc<Tracker>,
     engine: Rc<dyn Engine>,
     joined: Joined,
     source: Rc<dyn Source>,
@@ -159,7 +159,7 @@
             hear: Duration::ZERO,
             ..stop::Setting::within(grace)
         };
-        self.sidecar.porter.stop(setting, &self.control).await;
+        self.sidecar.tracker.stop(setting, &self.control).await;
         Ok(())
     }
 }
@@ -260,7 +260,7 @@
             .with_description("Requests at the replica, running and waiting")
             .build();
         let sidecar = Rc::new(Self {
-            porter: Porter::new(knowledge.clock, &metrics.meter()),
+            tracker: Tracker::new(knowledge.clock, &metrics.meter()),
             knowledge,
             joined: Joined::new(host.clone(), edges.origins, setting.first_start),
             host,
@@ -353,15 +353,15 @@
         };
     }
     if path == place::PATH {
-        let ticket = sidecar.porter.enter(stop::Kind::Peer);
-        if ticket.refused() {
+        let permit = sidecar.tracker.enter(stop::Kind::Peer);
+        if permit.refused() {
             return http::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let answer = match message::<place::Ask>(&mut request).await {
             Ok(ask) => http::pack(StatusCode::OK, &sidecar.place(&ask)),
             Err(answer) => answer,
         };
-        return ticket.hold(answer);
+        return permit.hold(answer);
     }
-    burst::serve::answer_path(&sidecar.joined, &sidecar.porter, &path).await
+    burst::serve::answer_path(&sidecar.joined, &sidecar.tracker, &path).await
 }
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -11,9 +11,9 @@
 
 use crate::clock::Time;
 
-pub mod porter;
+pub mod tracker;
 
-pub use porter::{Porter, Ticket};
+pub use tracker::{Tracker, Permit};
 
 /// How long a stopping process goes on taking requests: three times the second in which those who
 /// route to it look whether it is ready.
--- a/src/stop/porter.rs
+++ b/src/stop/tracker.rs
@@ -51,7 +51,7 @@
 
 /// Lets requests in. It lives on one thread.
 #[derive(Debug)]
-pub struct Porter {
+pub struct Tracker {
     clock: Clock,
     stop: RefCell<Stop>,
     phase: watch::Sender<Phase>,
@@ -60,7 +60,7 @@
     requests: Counter<u64>,
 }
 
-impl Porter {
+impl Tracker {
     /// A porter of a process that does not stop yet.
     pub fn new(clock: Clock, meter: &Meter) -> Rc<Self> {
         Rc::new(Self {
@@ -109,12 +109,12 @@
     }
 
     /// A request arrives.
-    pub fn enter(self: &Rc<Self>, kind: Kind) -> Ticket {
+    pub fn enter(self: &Rc<Self>, kind: Kind) -> Permit {
         let verdict = self.stop.borrow_mut().arrive(kind, self.clock.now());
         let late = self.stopping() && kind != Kind::Peer;
         self.late.set(self.late.get() + u64::from(late));
-        Ticket {
-            porter: self.clone(),
+        Permit {
+            tracker: self.clone(),
             verdict,
             late,
             end: End::Cut,
@@ -185,14 +185,14 @@
 
 /// A request, from its arrival to the end of its answer.
 #[derive(Debug)]
-pub struct Ticket {
-    porter: Rc<Porter>,
+pub struct Permit {
+    tracker: Rc<Tracker>,
     verdict: Verdict,
     late: bool,
     end: End,
 }
 
-impl Ticket {
+impl Permit {
     /// Whether it is to be refused.
     pub fn refused(&self) -> bool {
         self.verdict != Verdict::Taken
@@ -201,7 +201,7 @@
     /// How the request ends once `answer` is handed over. An answer of the process's own bears the
     /// request's [`Outcome`].
     fn ends_as(&self, answer: &Answer) -> End {
-        let given_up = self.porter.stop.borrow().phase() >= Phase::Ending;
+        let given_up = self.tracker.stop.borrow().phase() >= Phase::Ending;
         let told = answer.extensions().get::<Outcome>().copied();
         match told {
             _ if self.refused() => End::Stopped,
@@ -214,39 +214,39 @@
 
     /// Keeps the ticket until `answer` is handed over. In a stop, its connection takes no more.
     pub fn hold(self, mut answer: Answer) -> Answer {
-        if self.porter.stopping() {
+        if self.tracker.stopping() {
             answer.head_mut().set_connection_type(ConnectionType::Close);
         }
         let kept = Kept {
             once_whole: self.ends_as(&answer),
-            ticket: self,
+            permit: self,
         };
         answer.map_body(|_, body| Held::new(body, kept).boxed())
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Permit {
     fn drop(&mut self) {
-        let porter = &self.porter;
+        let tracker = &self.tracker;
         if self.verdict != Verdict::Dismissed {
-            porter.stop.borrow_mut().end(porter.clock.now());
+            tracker.stop.borrow_mut().end(tracker.clock.now());
         }
-        let late = porter.late.get();
+        let late = tracker.late.get();
         if self.late && late > 0 {
-            porter.late.set(late - 1);
-            porter.count(self.end);
+            tracker.late.set(late - 1);
+            tracker.count(self.end);
         }
     }
 }
 
 /// A ticket that an answer's body keeps.
 struct Kept {
-    ticket: Ticket,
+    permit: Permit,
     once_whole: End,
 }
 
 impl Keeper for Kept {
     fn whole(&mut self) {
-        self.ticket.end = self.once_whole;
+        self.permit.end = self.once_whole;
     }
 }
--- a/tests/stop_edge.rs
+++ b/tests/stop_edge.rs
@@ -93,8 +93,8 @@
             last_bytes: FOREVER,
             ..stop::Setting::default()
         };
-        let porter = running.entry.porter.clone();
-        let stop = actix_rt::spawn(async move { porter.stop(setting, &running.server).await });
+        let tracker = running.entry.tracker.clone();
+        let stop = actix_rt::spawn(async move { tracker.stop(setting, &running.server).await });
         until_closed(address).await;
         open.write_all(
             b"POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nbegun",
