--- a/src/agent/daemon.rs
+++ b/src/agent/daemon.rs
@@ -6,7 +6,7 @@
 use crate::member::Role;
 use crate::option::{Spec, Values};
 use crate::spread;
-use crate::stop::{self, HEAR};
+use crate::stop::{self, ANNOUNCE_PERIOD};
 
 /// The program's name.
 pub const PROGRAM: &str = "pumicelatch-agent";
@@ -83,7 +83,7 @@
     running.agent.drain();
     // Entries take up and cancel here what this agent has under way.
     let setting = stop::Setting {
-        longest: HEAR + common.drain,
+        time_limit: ANNOUNCE_PERIOD + common.drain,
         reachable: true,
         ..stop::Setting::default()
     };
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -52,18 +52,18 @@
 /// Takes an entry's request, unless the agent stops.
 async fn take(agent: Rc<Agent>, request: Request) -> Answer {
     let begun = request.headers().contains_key(header::FROM);
-    let permit = agent.tracker.enter(match begun {
+    let permit = agent.tracker.admit(match begun {
         true => Kind::Continued,
         false => Kind::New,
     });
-    if permit.refused() {
-        return permit.hold(door::not_admitted(door::Reason::Leaving));
+    if permit.is_refused() {
+        return permit.attach(door::not_admitted(door::Reason::Leaving));
     }
     let answer = match request.path().trim_matches('/') {
         "v1/run" => door::run(agent, request).await,
         _ => door::issue_key(&agent, &request),
     };
-    permit.hold(answer)
+    permit.attach(answer)
 }
 
 fn ready(agent: &Agent) -> Answer {
--- a/src/burst/serve.rs
+++ b/src/burst/serve.rs
@@ -42,11 +42,11 @@
         ),
         ["chunks", index] => match index.parse() {
             Ok(index) => {
-                let permit = tracker.enter(Kind::Peer);
-                if permit.refused() {
+                let permit = tracker.admit(Kind::Peer);
+                if permit.is_refused() {
                     return http::status(StatusCode::SERVICE_UNAVAILABLE);
                 }
-                permit.hold(burst.upload(host.clone(), index).await)
+                permit.attach(burst.upload(host.clone(), index).await)
             }
             Err(_) => http::status(StatusCode::BAD_REQUEST),
         },
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -111,7 +111,7 @@
     /// Announces that the entry stops: it fails its readiness check, so that the balancer sends
     /// nothing more, and finishes what it has.
     pub fn drain(&self) {
-        if !self.tracker.stopping() {
+        if !self.tracker.is_stopping() {
             self.node.audit(Deed::Draining);
             self.tracker.begin(stop::Setting::default());
         }
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -143,7 +143,7 @@
 
     /// The entry stops, and the request did not run.
     pub fn stopping() -> Self {
-        Self::not_run(Code::Stopping, "the entry stops").retry_after(tracker::RETRY)
+        Self::not_run(Code::Stopping, "the entry stops").retry_after(tracker::RETRY_DELAY)
     }
 
     /// The entry ends, and the request may have run.
@@ -205,7 +205,7 @@
 
 /// Reads a request's body.
 pub async fn read_body(tracker: &Tracker, request: &mut Request) -> Result<Bytes, Failure> {
-    let read = tracker.unless_given_up(http::read_request(request, BODY_MAX));
+    let read = tracker.until_abort(http::read_request(request, BODY_MAX));
     match timeout(BODY_TIMEOUT, read).await {
         Err(_) => {
             let message = format!("the body did not come within {} s", BODY_TIMEOUT.as_secs());
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -8,7 +8,7 @@
 use crate::member::Role;
 use crate::option::{self, Spec, Values};
 use crate::route::Policy;
-use crate::stop::{self, HEAR};
+use crate::stop::{self, ANNOUNCE_PERIOD};
 
 /// The program's name.
 pub const PROGRAM: &str = "pumicelatch-entry";
@@ -77,7 +77,7 @@
     log::info!("planned stop");
     running.entry.drain();
     let setting = stop::Setting {
-        longest: HEAR + common.drain,
+        time_limit: ANNOUNCE_PERIOD + common.drain,
         ..stop::Setting::default()
     };
     running.entry.tracker.stop(setting, &running.server).await;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -42,9 +42,9 @@
 
 /// Takes a caller's request, unless the entry stops.
 async fn take(entry: Rc<Entry>, request: Request, parts: &[&str]) -> Answer {
-    let permit = entry.tracker.enter(Kind::New);
-    if permit.refused() {
-        return permit.hold(call::refuse(&entry, &Failure::stopping()));
+    let permit = entry.tracker.admit(Kind::New);
+    if permit.is_refused() {
+        return permit.attach(call::refuse(&entry, &Failure::stopping()));
     }
     let tracker = entry.tracker.clone();
     let work = async {
@@ -57,12 +57,12 @@
             _ => no_such_path(),
         }
     };
-    let answer = tracker.unless_given_up(work).await;
-    permit.hold(answer.unwrap_or_else(|| Failure::ending().answer()))
+    let answer = tracker.until_abort(work).await;
+    permit.attach(answer.unwrap_or_else(|| Failure::ending().answer()))
 }
 
 fn ready(entry: &Entry) -> Answer {
-    if entry.tracker.stopping() {
+    if entry.tracker.is_stopping() {
         return http::body(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping");
     }
     if !*entry.node.ready.borrow() {
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -100,7 +100,7 @@
         hall: node.setting.hall.to_string(),
         revision: book.revision().0,
         ready: *node.ready.borrow(),
-        leaving: entry.tracker.stopping(),
+        leaving: entry.tracker.is_stopping(),
         in_flight: counters.in_flight.get(),
         ran: counters.ran.get(),
         not_run: counters.not_run.get(),
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -523,7 +523,7 @@
     /// Whether callers' requests can be served.
     pub fn ready(&self) -> bool {
         let belief = self.knowledge.belief.borrow();
-        !self.tracker.stopping() && belief.routing().is_some() && belief.lists_replicas()
+        !self.tracker.is_stopping() && belief.routing().is_some() && belief.lists_replicas()
     }
 
     /// Announces that the process stops: the balancer hears that it is not ready, and every answer
@@ -534,7 +534,7 @@
 
     /// Requests in progress, of callers and of other processes that chunks are handed to.
     pub fn in_flight(&self) -> u64 {
-        self.tracker.under_way()
+        self.tracker.in_flight()
     }
 
     fn count_request(&self, service: &Arc<str>) {
--- a/src/gateway/call.rs
+++ b/src/gateway/call.rs
@@ -14,15 +14,15 @@
 
 /// Takes one caller's request.
 pub async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Answer {
-    let permit = gateway.tracker.enter(stop::Kind::New);
+    let permit = gateway.tracker.admit(stop::Kind::New);
     let arrived = gateway.knowledge.now();
     let mut trace = Trace::begin(&gateway, arrived);
-    let prepared = if permit.refused() {
+    let prepared = if permit.is_refused() {
         intake::name(&gateway, &request, &mut trace);
         Err(stopping())
     } else {
         let work = intake::prepare(&gateway, &mut request, &mut trace);
-        let prepared = gateway.tracker.unless_given_up(work).await;
+        let prepared = gateway.tracker.until_abort(work).await;
         prepared.unwrap_or_else(|| Err(stopping()))
     };
     let answer = match prepared {
@@ -32,7 +32,7 @@
         }
         Err(refusal) => refuse(&gateway, &mut trace, &refusal),
     };
-    permit.hold(answer)
+    permit.attach(answer)
 }
 
 /// Takes a request through its attempts until one is answered or none may follow.
@@ -42,7 +42,7 @@
         return course.give_up(&refusal);
     }
     loop {
-        let choice = match tracker.unless_given_up(course.admit()).await {
+        let choice = match tracker.until_abort(course.admit()).await {
             Some(Ok(choice)) => choice,
             Some(Err(refusal)) => return course.give_up(&refusal),
             None => return course.give_up(&course.untold()),
@@ -51,11 +51,11 @@
             return course.give_up(&refusal);
         }
         let attempt = course.attempt(choice, course.job.ask.last_event);
-        let failure = match tracker.unless_given_up(attempt).await {
+        let failure = match tracker.until_abort(attempt).await {
             Some(Ok(begun)) if course.job.route.kind == Kind::Streaming => {
                 return Relay::new(course, begun).answer();
             }
-            Some(Ok(begun)) => match tracker.unless_given_up(begun.gather(&course.job)).await {
+            Some(Ok(begun)) => match tracker.until_abort(begun.gather(&course.job)).await {
                 Some(Ok(answer)) => {
                     course.gateway.came_good(course.job.name);
                     course.trace.ended("whole");
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -42,7 +42,7 @@
 
 /// The process stops, and the request has not run.
 pub(super) fn stopping() -> Refusal {
-    Refusal::new(Code::Stopping, "the process stops").retry_after(stop::tracker::RETRY)
+    Refusal::new(Code::Stopping, "the process stops").retry_after(stop::tracker::RETRY_DELAY)
 }
 
 /// The process ends, and the request may have run.
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -156,7 +156,7 @@
         daemon::stop_signal().await?;
         log::info!("planned stop begins");
         let setting = stop::Setting {
-            hear: Duration::ZERO,
+            announce_period: Duration::ZERO,
             ..stop::Setting::within(grace)
         };
         self.sidecar.tracker.stop(setting, &self.control).await;
@@ -353,15 +353,15 @@
         };
     }
     if path == place::PATH {
-        let permit = sidecar.tracker.enter(stop::Kind::Peer);
-        if permit.refused() {
+        let permit = sidecar.tracker.admit(stop::Kind::Peer);
+        if permit.is_refused() {
             return http::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let answer = match message::<place::Ask>(&mut request).await {
             Ok(ask) => http::pack(StatusCode::OK, &sidecar.place(&ask)),
             Err(answer) => answer,
         };
-        return permit.hold(answer);
+        return permit.attach(answer);
     }
     burst::serve::answer_path(&sidecar.joined, &sidecar.tracker, &path).await
 }
--- a/src/sidecar/carry.rs
+++ b/src/sidecar/carry.rs
@@ -205,51 +205,51 @@
     }
 
     async fn start_run(self: Rc<Self>, key: Key, target: &str, mut request: Request) -> Answer {
-        let permit = self.tracker.enter(stop::Kind::New);
-        if permit.refused() {
-            return permit.hold(own(Told::NotSent));
+        let permit = self.tracker.admit(stop::Kind::New);
+        if permit.is_refused() {
+            return permit.attach(own(Told::NotSent));
         }
         let body = http::read_request(&mut request, BODY_MAX).await;
         let Ok((head, body)) = body.and_then(|body| Ok((head(&request, target)?, body))) else {
-            return permit.hold(own(Told::NotSent));
+            return permit.attach(own(Told::NotSent));
         };
         let now = self.knowledge.now();
         let wish = self.wish.get();
         if wish.refuses(now) {
-            return permit.hold(turned_away(wish.notice(now)));
+            return permit.attach(turned_away(wish.notice(now)));
         }
         let run = Rc::new(Run::default());
         let tape = run.tape.clone();
         let verdict = self.runs.borrow_mut().start(key, tape, run.clone());
         match verdict {
             Verdict::Run => {}
-            Verdict::NotRun => return permit.hold(own(Told::NotSent)),
-            Verdict::Known => return permit.hold(own(Told::Broken)),
+            Verdict::NotRun => return permit.attach(own(Told::NotSent)),
+            Verdict::Known => return permit.attach(own(Told::Broken)),
         }
         let body = (!body.is_empty()).then_some(body);
         let carried = actix_rt::spawn(carry(self.clone(), run.clone(), key, head, body));
         run.task.replace(Some(carried));
         match Reader::open(&self, run, 0) {
-            Some(reader) => permit.hold(reader.answer().await),
-            None => permit.hold(own(Told::Broken)),
+            Some(reader) => permit.attach(reader.answer().await),
+            None => permit.attach(own(Told::Broken)),
         }
     }
 
     async fn read_run(self: Rc<Self>, key: Key, from: u64) -> Answer {
-        let permit = self.tracker.enter(stop::Kind::Continued);
+        let permit = self.tracker.admit(stop::Kind::Continued);
         let now = self.knowledge.now();
         let found = self.runs.borrow_mut().get(key, now);
         let run = match found {
             Found::Kept(run) => run,
-            Found::Over => return permit.hold(own(Told::Broken)),
+            Found::Over => return permit.attach(own(Told::Broken)),
             Found::Unknown => {
                 let up = now.since(self.began);
-                return permit.hold(own(Told::Unknown { up }));
+                return permit.attach(own(Told::Unknown { up }));
             }
         };
         match Reader::open(&self, run, from) {
-            Some(reader) if !permit.refused() => permit.hold(reader.answer().await),
-            _ => permit.hold(own(Told::Broken)),
+            Some(reader) if !permit.is_refused() => permit.attach(reader.answer().await),
+            _ => permit.attach(own(Told::Broken)),
         }
     }
 
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -17,7 +17,7 @@
 
 /// How long a stopping process goes on taking requests: three times the second in which those who
 /// route to it look whether it is ready.
-pub const HEAR: Duration = Duration::from_secs(3);
+pub const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3);
 
 /// Time for the last answers to leave the process: two round trips of a slow link.
 const LAST_BYTES: Duration = Duration::from_millis(200);
@@ -39,9 +39,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Setting {
     /// How long requests are still taken, so that those who send them hear of the stop.
-    pub hear: Duration,
+    pub announce_period: Duration,
     /// Time from the beginning after which what is under way is given up.
-    pub longest: Duration,
+    pub time_limit: Duration,
     /// Time for the last answers to leave the process.
     pub last_bytes: Duration,
     /// Time for connections at rest to be closed.
@@ -53,8 +53,8 @@
 impl Default for Setting {
     fn default() -> Self {
         Self {
-            hear: HEAR,
-            longest: HEAR + LONGEST,
+            announce_period: ANNOUNCE_PERIOD,
+            time_limit: ANNOUNCE_PERIOD + LONGEST,
             last_bytes: LAST_BYTES,
             close: CLOSE,
             reachable: false,
@@ -66,14 +66,14 @@
     /// A stop that is over within `grace`.
     pub fn within(grace: Duration) -> Self {
         Self {
-            longest: grace.saturating_sub(MARGIN).max(HEAR),
+            time_limit: grace.saturating_sub(MARGIN).max(ANNOUNCE_PERIOD),
             ..Self::default()
         }
     }
 
     /// The end of the stop, whatever is under way then.
     fn end(&self) -> Duration {
-        self.longest + self.last_bytes + self.close
+        self.time_limit + self.last_bytes + self.close
     }
 }
 
@@ -110,7 +110,7 @@
 
 /// What becomes of a request that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum Decision {
     /// It is taken.
     Taken,
     /// It is refused, and the process waits until the refusal has left.
@@ -128,7 +128,7 @@
     closing: Time,
     looks: u32,
     last: Time,
-    under_way: u64,
+    in_flight: u64,
 }
 
 impl Stop {
@@ -142,32 +142,32 @@
     }
 
     /// A request arrives. Unless it is dismissed, [`Stop::end`] follows.
-    pub fn arrive(&mut self, kind: Kind, now: Time) -> Verdict {
+    pub fn arrive(&mut self, kind: Kind, now: Time) -> Decision {
         let taken = match kind {
             Kind::New | Kind::Peer => self.phase < Phase::Refusing,
             Kind::Continued => self.phase < Phase::Ending,
         };
         if !taken && kind == Kind::Peer {
-            return Verdict::Dismissed;
+            return Decision::Dismissed;
         }
-        self.under_way += 1;
+        self.in_flight += 1;
         self.last = now;
         if taken {
-            Verdict::Taken
+            Decision::Taken
         } else {
-            Verdict::Refused
+            Decision::Refused
         }
     }
 
     /// A request's answer was handed over, or given up.
     pub fn end(&mut self, now: Time) {
-        self.under_way -= 1;
+        self.in_flight -= 1;
         self.last = now;
     }
 
     /// Requests whose answers are not handed over.
-    pub fn under_way(&self) -> u64 {
-        self.under_way
+    pub fn in_flight(&self) -> u64 {
+        self.in_flight
     }
 
     /// How far the stop has come.
@@ -192,13 +192,13 @@
             self.looks = QUIET_LOOKS.min(self.looks + 1);
         }
         let spent = now.since(self.began);
-        let idle = self.under_way == 0;
+        let idle = self.in_flight == 0;
         let quiet = idle && now.since(self.last) >= self.setting.last_bytes;
         let closed = self.looks >= QUIET_LOOKS && now.since(self.closing) >= self.setting.close;
         self.phase = match self.phase {
-            Phase::Announced if spent >= self.setting.hear => Phase::Refusing,
+            Phase::Announced if spent >= self.setting.announce_period => Phase::Refusing,
             Phase::Refusing | Phase::Ending if idle => Phase::LastBytes,
-            Phase::Refusing if spent >= self.setting.longest => Phase::Ending,
+            Phase::Refusing if spent >= self.setting.time_limit => Phase::Ending,
             Phase::LastBytes if quiet => {
                 self.closing = now;
                 self.looks = 0;
--- a/src/stop/tracker.rs
+++ b/src/stop/tracker.rs
@@ -15,7 +15,7 @@
 use opentelemetry::metrics::{Counter, Meter};
 use tokio::sync::watch;
 
-use super::{Kind, Phase, Setting, Stop, Verdict};
+use super::{Kind, Phase, Setting, Stop, Decision};
 use crate::clock::Clock;
 use crate::http::held::{Held, Keeper};
 use crate::http::{Answer, Server};
@@ -25,7 +25,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// When a refused caller should come back: others take it at once, and have heard of the stop.
-pub const RETRY: Duration = Duration::from_millis(150);
+pub const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// What became of the requests that arrived within a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -94,13 +94,13 @@
     }
 
     /// Whether the process stops.
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stop.borrow().phase() > Phase::Serving
     }
 
     /// Requests whose answers are not handed over.
-    pub fn under_way(&self) -> u64 {
-        self.stop.borrow().under_way()
+    pub fn in_flight(&self) -> u64 {
+        self.stop.borrow().in_flight()
     }
 
     /// What became of the requests that arrived within the stop so far.
@@ -109,9 +109,9 @@
     }
 
     /// A request arrives.
-    pub fn enter(self: &Rc<Self>, kind: Kind) -> Permit {
+    pub fn admit(self: &Rc<Self>, kind: Kind) -> Permit {
         let verdict = self.stop.borrow_mut().arrive(kind, self.clock.now());
-        let late = self.stopping() && kind != Kind::Peer;
+        let late = self.is_stopping() && kind != Kind::Peer;
         self.late.set(self.late.get() + u64::from(late));
         Permit {
             tracker: self.clone(),
@@ -122,7 +122,7 @@
     }
 
     /// Does `work` unless what is under way is given up before it is done.
-    pub async fn unless_given_up<T>(&self, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn until_abort<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let mut phase = self.phase.subscribe();
         let given_up = phase.wait_for(|phase| *phase >= Phase::Ending);
         match select(pin!(work), pin!(given_up)).await {
@@ -153,7 +153,7 @@
 
     /// What is under way when the process ends is cut.
     fn count_rest(&self) {
-        let under_way = self.under_way();
+        let under_way = self.in_flight();
         if under_way > 0 {
             log::warn!(under_way; "requests were still in progress at the end of the stop");
         }
@@ -187,15 +187,15 @@
 #[derive(Debug)]
 pub struct Permit {
     tracker: Rc<Tracker>,
-    verdict: Verdict,
+    verdict: Decision,
     late: bool,
     end: End,
 }
 
 impl Permit {
     /// Whether it is to be refused.
-    pub fn refused(&self) -> bool {
-        self.verdict != Verdict::Taken
+    pub fn is_refused(&self) -> bool {
+        self.verdict != Decision::Taken
     }
 
     /// How the request ends once `answer` is handed over. An answer of the process's own bears the
@@ -204,7 +204,7 @@
         let given_up = self.tracker.stop.borrow().phase() >= Phase::Ending;
         let told = answer.extensions().get::<Outcome>().copied();
         match told {
-            _ if self.refused() => End::Stopped,
+            _ if self.is_refused() => End::Stopped,
             Some(Outcome::NotRun) if given_up => End::Stopped,
             Some(Outcome::NotRun) => End::Refused,
             Some(Outcome::Unknown) => End::Cut,
@@ -213,8 +213,8 @@
     }
 
     /// Keeps the ticket until `answer` is handed over. In a stop, its connection takes no more.
-    pub fn hold(self, mut answer: Answer) -> Answer {
-        if self.tracker.stopping() {
+    pub fn attach(self, mut answer: Answer) -> Answer {
+        if self.tracker.is_stopping() {
             answer.head_mut().set_connection_type(ConnectionType::Close);
         }
         let kept = Kept {
@@ -228,7 +228,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let tracker = &self.tracker;
-        if self.verdict != Verdict::Dismissed {
+        if self.verdict != Decision::Dismissed {
             tracker.stop.borrow_mut().end(tracker.clock.now());
         }
         let late = tracker.late.get();
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::stop::{Kind, Phase, Setting, Stop, Verdict};
+use pumicelatch::stop::{Kind, Phase, Setting, Stop, Decision};
 
 /// A step of time.
 const STEP: Duration = Duration::from_millis(1);
 
 const SETTING: Setting = Setting {
-    hear: Duration::from_millis(1),
-    longest: Duration::from_millis(5),
+    announce_period: Duration::from_millis(1),
+    time_limit: Duration::from_millis(5),
     last_bytes: Duration::from_millis(2),
     close: Duration::from_millis(1),
     reachable: false,
@@ -32,8 +32,8 @@
 /// Who decides about a stop.
 trait Rule: Copy + Eq + Hash + Debug {
     fn begin(now: Time) -> Self;
-    fn arrive(&mut self, kind: Kind, now: Time) -> Verdict;
-    fn end(&mut self, verdict: Verdict, now: Time);
+    fn arrive(&mut self, kind: Kind, now: Time) -> Decision;
+    fn end(&mut self, verdict: Decision, now: Time);
     fn look(&mut self, now: Time) -> Phase;
 }
 
@@ -44,11 +44,11 @@
         stop
     }
 
-    fn arrive(&mut self, kind: Kind, now: Time) -> Verdict {
+    fn arrive(&mut self, kind: Kind, now: Time) -> Decision {
         Stop::arrive(self, kind, now)
     }
 
-    fn end(&mut self, _: Verdict, now: Time) {
+    fn end(&mut self, _: Decision, now: Time) {
         Stop::end(self, now);
     }
 
@@ -74,18 +74,18 @@
         }
     }
 
-    fn arrive(&mut self, _: Kind, _: Time) -> Verdict {
+    fn arrive(&mut self, _: Kind, _: Time) -> Decision {
         self.under_way += 1;
-        Verdict::Taken
+        Decision::Taken
     }
 
-    fn end(&mut self, _: Verdict, _: Time) {
+    fn end(&mut self, _: Decision, _: Time) {
         self.under_way -= 1;
     }
 
     fn look(&mut self, now: Time) -> Phase {
         let spent = now.since(self.began);
-        if spent >= SETTING.longest || (spent >= SETTING.hear && self.under_way == 0) {
+        if spent >= SETTING.time_limit || (spent >= SETTING.announce_period && self.under_way == 0) {
             self.idle.get_or_insert(now);
         }
         match self.idle {
@@ -104,17 +104,17 @@
         Self(Rule::begin(now))
     }
 
-    fn arrive(&mut self, kind: Kind, now: Time) -> Verdict {
+    fn arrive(&mut self, kind: Kind, now: Time) -> Decision {
         let mut tried = self.0;
         let verdict = tried.arrive(kind, now);
-        if verdict == Verdict::Taken {
+        if verdict == Decision::Taken {
             self.0 = tried;
         }
         verdict
     }
 
-    fn end(&mut self, verdict: Verdict, now: Time) {
-        if verdict == Verdict::Taken {
+    fn end(&mut self, verdict: Decision, now: Time) {
+        if verdict == Decision::Taken {
             self.0.end(now);
         }
     }
@@ -130,7 +130,7 @@
     /// The connection is open and rests.
     Resting(Kind),
     /// It was read and is not answered.
-    Read(Verdict),
+    Read(Decision),
     /// Its answer was handed over.
     Answered(Time),
     /// Its answer has left, or its connection was closed at rest.
@@ -200,7 +200,7 @@
                 let mut read = *self;
                 let verdict = read.rule.arrive(kind, self.now);
                 read.requests[index] = Request::Read(verdict);
-                if verdict == Verdict::Taken && self.phase >= Phase::Ending {
+                if verdict == Decision::Taken && self.phase >= Phase::Ending {
                     return Err(format!("taken too late: {self:?}"));
                 }
                 let mut both = vec![read];
@@ -274,12 +274,12 @@
 fn a_peer_is_dismissed_and_holds_nobody_up() {
     let now = Time::default();
     let mut stop = <Stop as Rule>::begin(now);
-    assert_eq!(stop.arrive(Kind::Peer, now), Verdict::Taken);
+    assert_eq!(stop.arrive(Kind::Peer, now), Decision::Taken);
     stop.end(now);
-    let later = now + SETTING.hear;
+    let later = now + SETTING.announce_period;
     assert_eq!(stop.look(later), Phase::Refusing);
-    assert_eq!(stop.arrive(Kind::Peer, later), Verdict::Dismissed);
-    assert_eq!(stop.under_way(), 0);
+    assert_eq!(stop.arrive(Kind::Peer, later), Decision::Dismissed);
+    assert_eq!(stop.in_flight(), 0);
     assert_eq!(stop.look(later), Phase::LastBytes);
 }
 
@@ -294,11 +294,11 @@
         };
         stop.begin(setting, now);
         assert!(stop.accepts());
-        assert_eq!(stop.arrive(Kind::New, now), Verdict::Taken);
-        let later = now + SETTING.hear;
+        assert_eq!(stop.arrive(Kind::New, now), Decision::Taken);
+        let later = now + SETTING.announce_period;
         assert_eq!(stop.look(later), Phase::Refusing);
         assert_eq!(stop.accepts(), reachable);
-        assert_eq!(stop.arrive(Kind::Continued, later), Verdict::Taken);
+        assert_eq!(stop.arrive(Kind::Continued, later), Decision::Taken);
         stop.end(later);
         stop.end(later);
         assert_eq!(stop.look(later), Phase::LastBytes);
@@ -313,13 +313,13 @@
         let mut stop = Stop::default();
         let began = Time::default();
         stop.begin(Setting::within(grace), began);
-        assert_eq!(stop.arrive(Kind::New, began), Verdict::Taken);
+        assert_eq!(stop.arrive(Kind::New, began), Decision::Taken);
         let mut now = began;
         while stop.look(now) != Phase::Over {
             now = now + Duration::from_millis(50);
         }
         // Who routes here hears of it in any case.
-        let least = Setting::default().hear + Duration::from_millis(700);
+        let least = Setting::default().announce_period + Duration::from_millis(700);
         assert!(now.since(began) <= grace.max(least), "{grace_ms}: {now:?}");
     }
 }
--- a/tests/stop_edge.rs
+++ b/tests/stop_edge.rs
@@ -88,8 +88,8 @@
         let mut open = TcpStream::connect(address).unwrap();
         running.entry.drain();
         let setting = stop::Setting {
-            hear: Duration::ZERO,
-            longest: FOREVER,
+            announce_period: Duration::ZERO,
+            time_limit: FOREVER,
             last_bytes: FOREVER,
             ..stop::Setting::default()
         };
