--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
 use crate::config::routing::Kind;
 use crate::exchange::{self, Note, Options, Reuse, Unframed};
 use crate::http::Answer;
-use crate::member::replica::Life;
+use crate::member::replica::Incarnation;
 use crate::patience;
 use crate::request::attempt::Ended;
 use crate::request::poison::Name;
@@ -93,7 +93,7 @@
     gateway: Rc<Gateway>,
     key: Key,
     /// The life of its replica.
-    pub life: Life,
+    pub life: Incarnation,
     /// What it is an attempt of.
     request: Name,
     choice: Choice,
@@ -128,7 +128,7 @@
         let replica = pool
             .get(choice.key)
             .filter(|replica| !replica.wish().refuses(now))?;
-        let (life, address) = (replica.record.life(), replica.record.address);
+        let (life, address) = (replica.record.incarnation(), replica.record.address);
         let demand = job.demand();
         let model = job.ask.work.as_ref().map(|work| &*work.model);
         let start_bound = model.and_then(|model| pool.start_bound(choice.key, model, now));
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -13,7 +13,7 @@
 use super::{CONNECT_TIMEOUT, Gateway};
 use crate::clock::Time;
 use crate::knowledge::poison;
-use crate::member::replica::Life;
+use crate::member::replica::Incarnation;
 use crate::request::poison::{ENDS_MAX, Name, Told, Verdict};
 
 /// When it is looked whether the list or the process beside a replica tells of its end or of a new life: one that starts again within a
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct Suspect {
     name: Name,
-    life: Life,
+    life: Incarnation,
     sight: Sight,
     at: Time,
     /// The replicas that were known at the address then.
@@ -87,7 +87,7 @@
     pub(super) fn suspect(
         self: &Rc<Self>,
         name: Name,
-        life: Life,
+        life: Incarnation,
         address: SocketAddr,
         sight: Sight,
     ) {
--- a/src/member/replica.rs
+++ b/src/member/replica.rs
@@ -7,7 +7,7 @@
 
 /// What a replica holds of one model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct LoadedModel {
     /// The model.
     pub model: Arc<str>,
     /// The version of its weights.
@@ -15,14 +15,14 @@
 }
 
 /// The version of `model` among what a replica holds.
-pub fn version_of(models: &[Held], model: &str) -> Option<u64> {
+pub fn version_of(models: &[LoadedModel], model: &str) -> Option<u64> {
     let held = models.iter().find(|held| &*held.model == model);
     held.map(|held| held.version)
 }
 
 /// One life of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// The replica's id.
     pub id: Arc<str>,
     /// When it started, in milliseconds since the Unix epoch; 0 if it does not tell.
@@ -53,7 +53,7 @@
     pub leaving: bool,
     /// The models that it holds.
     #[serde(default)]
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Milliseconds that it is still cold for, by its own word.
     #[serde(default)]
     pub cold_ms: u64,
@@ -61,7 +61,7 @@
 
 impl Record {
     /// The record of a later life that began at `born`, of which nothing else is known yet.
-    pub fn reborn(&self, born: u64) -> Self {
+    pub fn restarted(&self, born: u64) -> Self {
         Self {
             born,
             models: Vec::new(),
@@ -71,8 +71,8 @@
     }
 
     /// The life that it is about.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation {
             id: self.id.clone(),
             born: self.born,
         }
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -16,7 +16,7 @@
 
 use crate::clock::Time;
 use crate::hash;
-use crate::member::replica::Life;
+use crate::member::replica::Incarnation;
 
 /// Replicas that end under a request before it is sent to no other.
 pub const ENDS_MAX: usize = 3;
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
     /// What ended.
-    pub life: Life,
+    pub life: Incarnation,
     /// Milliseconds since.
     pub age_ms: u64,
 }
@@ -115,7 +115,7 @@
 /// What is known of one request.
 #[derive(Debug, Clone, Default)]
 struct Case {
-    ends: BTreeMap<Life, Time>,
+    ends: BTreeMap<Incarnation, Time>,
     /// When it was answered whole last.
     good: Option<Time>,
     tries: u32,
@@ -124,7 +124,7 @@
 
 impl Case {
     /// A replica ended under it. Returns whether that is news.
-    fn end(&mut self, life: Life, at: Time) -> bool {
+    fn end(&mut self, life: Incarnation, at: Time) -> bool {
         let taken_back = self.good.is_some_and(|good| at <= good + DATED_WITHIN);
         let full = self.ends.len() >= LIVES_MAX;
         if taken_back || full || self.ends.contains_key(&life) {
@@ -237,7 +237,7 @@
 
 impl Register {
     /// The replica's life `life` ended at `at` while `name` ran there. Returns whether that is news.
-    pub fn ended(&mut self, name: Name, life: Life, at: Time) -> bool {
+    pub fn ended(&mut self, name: Name, life: Incarnation, at: Time) -> bool {
         self.make_room(name);
         let news = self.cases.entry(name).or_default().end(life, at);
         if news {
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -20,7 +20,7 @@
 use crate::clock::Time;
 use crate::config::residency::{Regions, Residency};
 use crate::config::routing::Engine;
-use crate::member::replica::Life;
+use crate::member::replica::Incarnation;
 use crate::policy::Policy;
 use crate::wire::sync::Reported;
 
@@ -299,7 +299,7 @@
     }
 
     /// The replica `key` told `notice`, in its life `life`. Returns whether that is news.
-    pub fn take_notice(&mut self, key: Key, life: &Life, notice: Notice, now: Time) -> bool {
+    pub fn take_notice(&mut self, key: Key, life: &Incarnation, notice: Notice, now: Time) -> bool {
         if notice.is_empty() {
             return false;
         }
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -49,7 +49,7 @@
                 None => {
                     let mut replica = Replica::new(listed.record.clone());
                     // The entry of a life may lapse and come back, and what it wants holds all the same.
-                    replica.wish = self.wishes.of(&listed.record.life());
+                    replica.wish = self.wishes.of(&listed.record.incarnation());
                     let key = self.replicas.insert(replica);
                     self.ids.insert(id.clone(), key);
                     key
@@ -132,12 +132,12 @@
         for key in here {
             let record = &self.replicas[key].record;
             if load.born == 0 || load.born == record.born {
-                let life = record.life();
+                let life = record.incarnation();
                 self.take_notice(key, &life, load.notice(), at);
                 self.replicas[key].report(load, at);
             } else if !known && record.born < load.born {
                 // The list does not tell of this life yet.
-                let record = record.reborn(load.born);
+                let record = record.restarted(load.born);
                 let due = self.replicas[key].due.clone();
                 let key = self.begin_life(key, record);
                 self.replicas[key].due = due;
--- a/src/route/replica.rs
+++ b/src/route/replica.rs
@@ -10,7 +10,7 @@
 use super::notice::{Notice, Wish};
 use crate::clock::Time;
 use crate::config::belief::{self, Wanted};
-use crate::member::replica::{self, Held, Record};
+use crate::member::replica::{self, LoadedModel, Record};
 use crate::version::TAKING_IN;
 
 /// A report older than this says nothing of the load any more.
@@ -52,7 +52,7 @@
     /// Factor on the replica's times; above 1 it is slow.
     pub pace: f64,
     /// The models that it holds.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Whether it is about to change its weights, or does so, and takes nothing new meanwhile.
     pub switching: bool,
     /// Whether it answers.
--- a/src/sidecar/engine.rs
+++ b/src/sidecar/engine.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
 
-use crate::member::replica::{self, Held};
+use crate::member::replica::{self, LoadedModel};
 use crate::route::notice::Notice;
 
 /// What a replica reports of itself.
@@ -17,7 +17,7 @@
     /// When it started, in milliseconds since the Unix epoch; 0 if it does not tell.
     pub born: u64,
     /// The models that it holds.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Whether it carries an order out.
     pub busy: bool,
     /// Requests that run.
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -11,7 +11,7 @@
 use pumicelatch::config::routing::Engine;
 use pumicelatch::gateway::event::Cutter;
 use pumicelatch::limit::admission::{self, Bounds, Case, Verdict};
-use pumicelatch::member::replica::{Held, Record};
+use pumicelatch::member::replica::{LoadedModel, Record};
 use pumicelatch::policy::Policy;
 use pumicelatch::request::Outcome;
 use pumicelatch::request::attempt::{self, Ended, Next, Situation};
@@ -61,7 +61,7 @@
         hall: "lis-a".into(),
         slots: 16,
         leaving: false,
-        models: vec![Held {
+        models: vec![LoadedModel {
             model: MODEL.into(),
             version,
         }],
@@ -143,7 +143,7 @@
         running,
         queued,
         pace: 1.0,
-        models: vec![Held {
+        models: vec![LoadedModel {
             model: MODEL.into(),
             version,
         }],
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -18,7 +18,7 @@
 use pumicelatch::knowledge::{Identity, Knowledge};
 use pumicelatch::member::peer::{ALIVE, Peers};
 use pumicelatch::member::rank::rank;
-use pumicelatch::member::replica::{Held, Record};
+use pumicelatch::member::replica::{LoadedModel, Record};
 use pumicelatch::metric::Metrics;
 use pumicelatch::policy::Policy;
 use pumicelatch::route::replica::Load;
@@ -659,7 +659,7 @@
             born: 1_769_398_072_020 + u64::from(index),
             running: u32::from(index % 8),
             pace: 1.0,
-            models: vec![Held {
+            models: vec![LoadedModel {
                 model: "tutor-model".into(),
                 version: 3,
             }],
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -9,7 +9,7 @@
 use pumicelatch::config::belief::{Belief, Dated, Effect, Fact};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
-use pumicelatch::member::replica::{Held, Record};
+use pumicelatch::member::replica::{LoadedModel, Record};
 use pumicelatch::policy::Policy;
 use pumicelatch::route::estimate::Demand;
 use pumicelatch::route::health::Sign;
@@ -24,14 +24,14 @@
 const FIRST: u64 = 1_764_720_000_000;
 const SECOND: u64 = FIRST + 700;
 
-fn holding(version: u64) -> Vec<Held> {
-    vec![Held {
+fn holding(version: u64) -> Vec<LoadedModel> {
+    vec![LoadedModel {
         model: "model".into(),
         version,
     }]
 }
 
-fn record(born: u64, models: Vec<Held>) -> Record {
+fn record(born: u64, models: Vec<LoadedModel>) -> Record {
     Record {
         id: "i-1".into(),
         born,
@@ -45,7 +45,7 @@
     }
 }
 
-fn load(born: u64, models: Vec<Held>) -> Load {
+fn load(born: u64, models: Vec<LoadedModel>) -> Load {
     Load {
         born,
         running: 3,
--- a/tests/notice.rs
+++ b/tests/notice.rs
@@ -95,7 +95,7 @@
 /// Has the replica that is chosen tell `notice`.
 fn tell(pool: &mut Pool, notice: Notice, now: Time) -> Key {
     let key = choose(pool, now).unwrap();
-    let life = pool.get(key).unwrap().record.life();
+    let life = pool.get(key).unwrap().record.incarnation();
     assert!(pool.take_notice(key, &life, notice, now));
     key
 }
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -6,7 +6,7 @@
 use pumicelatch::clock::Time;
 use pumicelatch::config::routing::Engine;
 use pumicelatch::limit::returning::{Fingerprint, Refused};
-use pumicelatch::member::replica::Held;
+use pumicelatch::member::replica::LoadedModel;
 use pumicelatch::place::{Answer, Ask, Ledger};
 use pumicelatch::route::estimate::{self, Demand, Work};
 use pumicelatch::route::pool::Key;
@@ -45,7 +45,7 @@
         queued,
         pace: 1.0,
         alive: true,
-        models: vec![Held {
+        models: vec![LoadedModel {
             model: "model".into(),
             version: 1,
         }],
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::member::replica::Life;
+use pumicelatch::member::replica::Incarnation;
 use pumicelatch::request::poison::{ENDS_MAX, Name, Register, Verdict};
 use quickcheck::quickcheck;
 
@@ -13,8 +13,8 @@
     Name::of("test.example", "/stream/x", "escola", b"body")
 }
 
-fn life(number: u8) -> Life {
-    Life {
+fn life(number: u8) -> Incarnation {
+    Incarnation {
         id: format!("i-{number}").into(),
         born: 1,
     }
@@ -69,7 +69,7 @@
 #[test]
 fn a_replica_that_starts_again_under_its_id_is_another_life() {
     let mut register = knowing(ENDS_MAX - 1);
-    let again = Life { born: 2, ..life(0) };
+    let again = Incarnation { born: 2, ..life(0) };
     register.ended(name(), again, NOW);
     assert_eq!(register.verdict(name(), NOW), Verdict::Barred);
 }
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -9,7 +9,7 @@
 use pumicelatch::config::belief::{Belief, Dated, Effect, Fact};
 use pumicelatch::config::evacuation::{Evacuation, Evacuations};
 use pumicelatch::config::residency::{Regions, Residency};
-use pumicelatch::member::replica::{Held, Record};
+use pumicelatch::member::replica::{LoadedModel, Record};
 use pumicelatch::place::{self, Ledger, Ration};
 use pumicelatch::policy::Policy;
 use pumicelatch::route::cold::Allowance;
@@ -239,7 +239,7 @@
     let load = Load {
         alive: true,
         pace: 1.0,
-        models: vec![Held {
+        models: vec![LoadedModel {
             model: "model".into(),
             version: 1,
         }],
