--- a/src/agent.rs
+++ b/src/agent.rs
@@ -16,7 +16,7 @@
 use crate::auth::Keyring;
 use crate::http::{Server, Wrap};
 use crate::limit;
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::metric;
 use crate::node::{self, Node};
 use crate::placement::{self, Assignment};
@@ -231,7 +231,7 @@
     fn reconcile_bursts(
         self: &Rc<Self>,
         assignment: &Assignment,
-        lookup: impl Fn(&str) -> Option<Listed>,
+        lookup: impl Fn(&str) -> Option<Descriptor>,
     ) {
         let own = &self.node.setting.name;
         let carried = assignment
@@ -246,7 +246,7 @@
                 favour: carry.favour,
                 holders: Holders::Nobody,
             };
-            let members: Vec<Listed> = assignment
+            let members: Vec<Descriptor> = assignment
                 .carriers(carry.digest)
                 .filter_map(|name| lookup(name))
                 .collect();
--- a/src/burst.rs
+++ b/src/burst.rs
@@ -19,7 +19,7 @@
 
 use crate::audit::Deed;
 use crate::clock::{Clock, Time};
-use crate::member::{Listed, Role};
+use crate::member::{Descriptor, Role};
 use crate::spread::Favour;
 use crate::spread::ring::Member;
 use crate::spread::swarm::{Action, FetchKey, Outcome, PeerKey, Source, Swarm, Tally};
@@ -99,7 +99,7 @@
     at_rest: Cell<bool>,
     began: Time,
     clock: Clock,
-    members: RefCell<BTreeMap<Arc<str>, Listed>>,
+    members: RefCell<BTreeMap<Arc<str>, Descriptor>>,
     swarm: RefCell<Option<Swarm>>,
     gained: RefCell<Vec<u32>>,
     /// Counts what followers are to be told.
@@ -227,7 +227,7 @@
     }
 
     /// Sets the boxes that carry the version.
-    pub fn set_members(self: &Rc<Self>, host: &Rc<Host>, members: Vec<Listed>) {
+    pub fn set_members(self: &Rc<Self>, host: &Rc<Host>, members: Vec<Descriptor>) {
         let members: BTreeMap<_, _> = members
             .into_iter()
             .map(|listed| (listed.name.clone(), listed))
@@ -362,7 +362,7 @@
         }
     }
 
-    fn follow(self: &Rc<Self>, host: &Rc<Host>, peer: &Listed) {
+    fn follow(self: &Rc<Self>, host: &Rc<Host>, peer: &Descriptor) {
         let key = Rc::new(Cell::new(None));
         let task = actix_rt::spawn(follow::follow(
             host.clone(),
--- a/src/burst/follow.rs
+++ b/src/burst/follow.rs
@@ -13,7 +13,7 @@
 
 use super::Burst;
 use super::host::{Host, swarm_url};
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::spread::swarm::{Notice, PeerKey};
 use crate::wire::{self, Have};
 
@@ -69,7 +69,7 @@
 pub(super) async fn follow(
     host: Rc<Host>,
     burst: Weak<Burst>,
-    peer: Listed,
+    peer: Descriptor,
     key: Rc<Cell<Option<PeerKey>>>,
 ) {
     let mut pause = FOLLOW_PAUSE;
@@ -102,7 +102,7 @@
 async fn follow_once(
     host: &Rc<Host>,
     burst: &Weak<Burst>,
-    peer: &Listed,
+    peer: &Descriptor,
     key: &Cell<Option<PeerKey>>,
 ) -> bool {
     let Some(version) = burst.upgrade().map(|burst| burst.version) else {
@@ -143,7 +143,7 @@
     fn hear(
         self: &Rc<Self>,
         host: &Rc<Host>,
-        peer: &Listed,
+        peer: &Descriptor,
         key: &Cell<Option<PeerKey>>,
         have: &Have,
     ) {
--- a/src/burst/joined.rs
+++ b/src/burst/joined.rs
@@ -12,7 +12,7 @@
 use crate::audit::Deed;
 use crate::clock::Time;
 use crate::knowledge::Knowledge;
-use crate::member::{Listed, Role, State};
+use crate::member::{Descriptor, Role, State};
 use crate::spread::Favour;
 use crate::weight::Digest;
 
@@ -74,11 +74,11 @@
 
 /// The members of the burst around the replicas of `service`: the processes beside them, which
 /// listen at `port`, and the entries as relays.
-pub fn members(knowledge: &Knowledge, service: Option<&str>, port: u16) -> Vec<Listed> {
+pub fn members(knowledge: &Knowledge, service: Option<&str>, port: u16) -> Vec<Descriptor> {
     let belief = knowledge.belief.borrow();
     let records = belief.replicas().values().map(|listed| &listed.record);
     let fellows = records.filter(|record| Some(&*record.service) == service);
-    let mut members: Vec<Listed> = fellows
+    let mut members: Vec<Descriptor> = fellows
         .map(|record| {
             let address = SocketAddr::new(record.address.ip(), port);
             let name = address.ip().to_string();
@@ -99,8 +99,8 @@
 }
 
 /// One member.
-pub fn member(name: String, hall: Arc<str>, address: SocketAddr, role: Role) -> Listed {
-    Listed {
+pub fn member(name: String, hall: Arc<str>, address: SocketAddr, role: Role) -> Descriptor {
+    Descriptor {
         name: name.into(),
         hall,
         rack: "".into(),
@@ -128,13 +128,13 @@
     /// How long a chunk takes over its link, if that is known.
     pub origin_chunk: Option<Duration>,
     /// The members, this process included or not.
-    pub members: Vec<Listed>,
+    pub members: Vec<Descriptor>,
     /// This process.
-    pub own: Listed,
+    pub own: Descriptor,
 }
 
 impl Crew {
-    fn all(mut self) -> Vec<Listed> {
+    fn all(mut self) -> Vec<Descriptor> {
         let own = self.own;
         self.members.retain(|listed| listed.name != own.name);
         self.members.push(own);
--- a/src/ctl/fleet.rs
+++ b/src/ctl/fleet.rs
@@ -4,7 +4,7 @@
 
 use super::Error;
 use crate::http::{self, ClientSetting};
-use crate::member::{Listed, Listing};
+use crate::member::{Descriptor, Listing};
 use crate::option::{Spec, Values};
 
 /// How long a process may take to begin its answer.
@@ -24,7 +24,7 @@
 ];
 
 /// The boxes.
-pub async fn boxes(values: &Values) -> Result<Vec<Listed>, Error> {
+pub async fn boxes(values: &Values) -> Result<Vec<Descriptor>, Error> {
     let path: Option<String> = values.optional("boxes", "a file's name")?;
     if let Some(path) = path {
         return read(&path);
@@ -45,7 +45,7 @@
     }
 }
 
-fn read(path: &str) -> Result<Vec<Listed>, Error> {
+fn read(path: &str) -> Result<Vec<Descriptor>, Error> {
     let text = std::fs::read_to_string(path).map_err(|source| Error::Read {
         path: path.to_owned(),
         source,
--- a/src/ctl/plan.rs
+++ b/src/ctl/plan.rs
@@ -7,7 +7,7 @@
 
 use super::directory::Directory;
 use super::{Error, fleet, to_json, values};
-use crate::member::{Listed, Role, State};
+use crate::member::{Descriptor, Role, State};
 use crate::option::Spec;
 use crate::placement::{self, Assignment, Shortfall};
 use crate::weight::Digest;
@@ -32,7 +32,7 @@
     pub shortfalls: Vec<Shortfall>,
 }
 
-fn assign(directory: Option<&Directory>, boxes: &[Listed]) -> Result<Assignment, Error> {
+fn assign(directory: Option<&Directory>, boxes: &[Descriptor]) -> Result<Assignment, Error> {
     let mut demands = Vec::new();
     if let Some(directory) = directory {
         for (customer, fleet) in directory.fleets()? {
@@ -170,7 +170,7 @@
     Ok(0)
 }
 
-fn reason(listed: &Listed, demand: &placement::Demand, held: bool) -> String {
+fn reason(listed: &Descriptor, demand: &placement::Demand, held: bool) -> String {
     if listed.role != Role::Model {
         return "not held: no model engine stands in this box".to_owned();
     }
--- a/src/ctl/show.rs
+++ b/src/ctl/show.rs
@@ -13,7 +13,7 @@
 use crate::audit;
 use crate::entry;
 use crate::http::{self, ClientSetting};
-use crate::member::{Listed, Role};
+use crate::member::{Descriptor, Role};
 use crate::option::Spec;
 use crate::weight::Digest;
 
@@ -40,7 +40,7 @@
     chunks: usize,
 }
 
-async fn overview(boxes: &[Listed]) -> Overview {
+async fn overview(boxes: &[Descriptor]) -> Overview {
     let client = http::client(ClientSetting::default());
     let mut overview = Overview::default();
     let asked = boxes.iter().map(|listed| {
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 
 use super::Entry;
-use crate::member::{Listed, Role, State};
+use crate::member::{Descriptor, Role, State};
 use crate::route::{Load, Need, ReplicaKey, hash_of};
 use crate::wire::{self, Report};
 
@@ -77,11 +77,11 @@
 
 /// All targets of the entry's hall, and of every other hall the first few by rendezvous hashing, so
 /// that entries differ in whom they follow.
-fn wanted(entry: &Entry) -> Vec<Listed> {
+fn wanted(entry: &Entry) -> Vec<Descriptor> {
     let view = entry.node.view.borrow();
     let own_hall = &entry.node.setting.hall;
     let mut wanted = Vec::new();
-    let mut remote: BTreeMap<Arc<str>, Vec<(u64, Listed)>> = BTreeMap::new();
+    let mut remote: BTreeMap<Arc<str>, Vec<(u64, Descriptor)>> = BTreeMap::new();
     for listed in view.boxes().filter(|listed| listed.role != Role::Entry) {
         if listed.hall == *own_hall {
             wanted.push(listed.clone());
--- a/src/member.rs
+++ b/src/member.rs
@@ -37,7 +37,7 @@
 
 /// One box of the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct Descriptor {
     /// Its name, unique in the fleet.
     pub name: Arc<str>,
     /// The data hall it stands in.
@@ -62,14 +62,14 @@
     /// Grows with each change.
     pub version: u64,
     /// Live and leaving boxes.
-    pub boxes: Vec<Listed>,
+    pub boxes: Vec<Descriptor>,
 }
 
 /// The boxes that a process knows of.
 #[derive(Debug, Default)]
 pub struct View {
     version: u64,
-    boxes: BTreeMap<Arc<str>, Listed>,
+    boxes: BTreeMap<Arc<str>, Descriptor>,
 }
 
 impl View {
@@ -93,17 +93,17 @@
     }
 
     /// One box.
-    pub fn get(&self, name: &str) -> Option<&Listed> {
+    pub fn get(&self, name: &str) -> Option<&Descriptor> {
         self.boxes.get(name)
     }
 
     /// All boxes, by name.
-    pub fn boxes(&self) -> impl Iterator<Item = &Listed> {
+    pub fn boxes(&self) -> impl Iterator<Item = &Descriptor> {
         self.boxes.values()
     }
 
     /// Boxes of model engines that may take work.
-    pub fn live_model_boxes(&self) -> impl Iterator<Item = &Listed> {
+    pub fn live_model_boxes(&self) -> impl Iterator<Item = &Descriptor> {
         self.boxes()
             .filter(|listed| listed.role == Role::Model && listed.state == State::Live)
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::config::Book;
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::spread::{Favour, ring};
 use crate::template::fleet::{Fleet, Model, Version};
 use crate::weight::Digest;
@@ -132,8 +132,8 @@
 }
 
 /// Places `demands` on `boxes`.
-pub fn assign<'a>(demands: &[Demand], boxes: impl Iterator<Item = &'a Listed>) -> Assignment {
-    let boxes: Vec<&Listed> = boxes.collect();
+pub fn assign<'a>(demands: &[Demand], boxes: impl Iterator<Item = &'a Descriptor>) -> Assignment {
+    let boxes: Vec<&Descriptor> = boxes.collect();
     let mut loads: BTreeMap<Arc<str>, Load> = boxes
         .iter()
         .map(|listed| {
@@ -167,7 +167,7 @@
     }
 }
 
-fn place(demand: &Demand, boxes: &[&Listed], loads: &mut BTreeMap<Arc<str>, Load>) -> u32 {
+fn place(demand: &Demand, boxes: &[&Descriptor], loads: &mut BTreeMap<Arc<str>, Load>) -> u32 {
     let mut placed = 0;
     for listed in candidates(demand, boxes) {
         if placed == demand.replicas {
@@ -184,14 +184,14 @@
 
 /// The hall's boxes in the order in which they are tried: the best of each rack, then the second
 /// best of each, and so on.
-fn candidates<'a>(demand: &Demand, boxes: &[&'a Listed]) -> Vec<&'a Listed> {
+fn candidates<'a>(demand: &Demand, boxes: &[&'a Descriptor]) -> Vec<&'a Descriptor> {
     let score = |kind: &[u8], name: &str| {
         ring::weight(
             demand.version,
             &[kind, demand.customer.as_bytes(), name.as_bytes()],
         )
     };
-    let mut racks: BTreeMap<&str, Vec<(u64, &'a Listed)>> = BTreeMap::new();
+    let mut racks: BTreeMap<&str, Vec<(u64, &'a Descriptor)>> = BTreeMap::new();
     for listed in boxes.iter().filter(|listed| listed.hall == demand.hall) {
         let entry = (score(b"place", &listed.name), *listed);
         racks.entry(&listed.rack).or_default().push(entry);
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -29,7 +29,7 @@
 use crate::gateway::control::message;
 use crate::http::{self, Answer, ClientSetting, Server};
 use crate::knowledge::{Identity, Knowledge, traffic};
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::metric::{self, Metrics};
 use crate::place::{self, Ledger};
 use crate::policy::Policy;
@@ -111,7 +111,7 @@
     /// The version that was complete last, and since when.
     complete: Cell<Option<(Digest, Time)>>,
     roll: RefCell<Option<reconcile::Roll>>,
-    joined_with: RefCell<Option<(Digest, Rc<[Listed]>)>>,
+    joined_with: RefCell<Option<(Digest, Rc<[Descriptor]>)>>,
     trips: RefCell<trip::Trips>,
     ledger: RefCell<Ledger>,
     told: Cell<u64>,
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -15,7 +15,7 @@
 use crate::clock::Time;
 use crate::config::belief::first_lacking;
 use crate::config::routing::over_link;
-use crate::member::{Listed, Role};
+use crate::member::{Descriptor, Role};
 use crate::version::rollout::{self, Step};
 use crate::version::stopgap;
 use crate::weight::Digest;
@@ -40,7 +40,7 @@
 pub struct Roll {
     changes: u64,
     at: Time,
-    members: Rc<[Listed]>,
+    members: Rc<[Descriptor]>,
 }
 
 /// What lies staged at the replica, as far as this process put it there.
@@ -104,7 +104,7 @@
         self.joined_with.replace(Some((label, members)));
     }
 
-    fn crew(&self, members: &[Listed]) -> Option<joined::Crew> {
+    fn crew(&self, members: &[Descriptor]) -> Option<joined::Crew> {
         let brief = self.knowledge.brief()?;
         let identity = &self.setting.identity;
         let own = joined::member(
@@ -180,7 +180,7 @@
     }
 
     /// The members of the burst, listed anew when what is known of them changed, and now and then.
-    fn listed(&self) -> Rc<[Listed]> {
+    fn listed(&self) -> Rc<[Descriptor]> {
         let changes = *self.knowledge.changed.borrow();
         let now = self.knowledge.now();
         if let Some(known) = self.roll.borrow().as_ref()
@@ -189,7 +189,7 @@
         {
             return known.members.clone();
         }
-        let members: Rc<[Listed]> = self.members().into();
+        let members: Rc<[Descriptor]> = self.members().into();
         self.roll.replace(Some(Roll {
             changes,
             at: now,
@@ -199,7 +199,7 @@
     }
 
     /// The processes beside the replicas of the own service, and the entries.
-    fn members(&self) -> Vec<Listed> {
+    fn members(&self) -> Vec<Descriptor> {
         let service = {
             let belief = self.knowledge.belief.borrow();
             let mut records = belief.replicas().values().map(|listed| &listed.record);
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -21,7 +21,7 @@
 use crate::auth::Keyring;
 use crate::entry::{self, Entry};
 use crate::http;
-use crate::member::{Listed, Role, State};
+use crate::member::{Descriptor, Role, State};
 use crate::node;
 use crate::route::Policy;
 use crate::spread;
@@ -109,7 +109,7 @@
     /// Its hall.
     pub hall: String,
     /// What the list says of it.
-    pub listed: Listed,
+    pub listed: Descriptor,
     /// Its link.
     pub link: Arc<Link>,
     /// Where its engine or service listens.
@@ -176,7 +176,7 @@
 #[derive(Debug)]
 pub struct EntryBox {
     /// What the list says of it.
-    pub listed: Listed,
+    pub listed: Descriptor,
     arbiter: Option<Arbiter>,
 }
 
@@ -301,7 +301,7 @@
     }
 
     /// Starts a box, without listing it.
-    pub fn add_box(&mut self, role: Role) -> Result<&Listed, http::Error> {
+    pub fn add_box(&mut self, role: Role) -> Result<&Descriptor, http::Error> {
         let index = self.boxes.len();
         let started = self.start_box(index, role)?;
         self.boxes.push(started);
@@ -326,7 +326,7 @@
         let link = self.net.add(ip, &hall_name, self.setting.box_rate, seed);
         let listener = http::bind(any_port(ip))?;
         let target_listener = http::bind(any_port(ip))?;
-        let listed = Listed {
+        let listed = Descriptor {
             name: format!("{hall_name}-{place:03}").into(),
             hall: hall_name.as_str().into(),
             rack: format!("rack-{}", place % RACKS).into(),
@@ -378,7 +378,7 @@
         let hall_name = self.setting.halls[hall].clone();
         self.net.add(ip, &hall_name, UNSHAPED, self.setting.seed);
         let listener = http::bind(any_port(ip))?;
-        let listed = Listed {
+        let listed = Descriptor {
             name: format!("{hall_name}-entry-{index}").into(),
             hall: hall_name.as_str().into(),
             rack: "".into(),
@@ -414,7 +414,7 @@
         Ok(&self.entries[index])
     }
 
-    fn node_setting(&self, listed: &Listed) -> node::Setting {
+    fn node_setting(&self, listed: &Descriptor) -> node::Setting {
         node::Setting {
             name: listed.name.clone(),
             hall: listed.hall.clone(),
@@ -426,7 +426,7 @@
     }
 
     /// Settings of the agent of box `listed`, whose target listens at `target`.
-    pub fn agent_setting(&self, listed: &Listed, target: SocketAddr) -> agent::Setting {
+    pub fn agent_setting(&self, listed: &Descriptor, target: SocketAddr) -> agent::Setting {
         agent::Setting {
             node: self.node_setting(listed),
             origin_url: format!("http://{}", self.origin_address),
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -11,7 +11,7 @@
 
 use crate::config::{Delta, Revision, Value};
 use crate::http::{self, Answer, Server, Wrap};
-use crate::member::{Listed, Listing, State};
+use crate::member::{Descriptor, Listing, State};
 use crate::template::VALUE_MAX;
 
 /// Longest wait of one watch.
@@ -92,7 +92,7 @@
     }
 
     /// Replaces the list of boxes.
-    pub fn set_boxes(&self, boxes: Vec<Listed>) {
+    pub fn set_boxes(&self, boxes: Vec<Descriptor>) {
         self.change_list(|listing| listing.boxes = boxes);
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Adds a box.
-    pub fn add_box(&self, listed: Listed) {
+    pub fn add_box(&self, listed: Descriptor) {
         self.change_list(|listing| listing.boxes.push(listed));
     }
 
--- a/tests/template.rs
+++ b/tests/template.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use pumicelatch::ctl::directory::Directory;
-use pumicelatch::member::{Listed, Role, State};
+use pumicelatch::member::{Descriptor, Role, State};
 use pumicelatch::placement::{self, Assignment, Demand};
 use pumicelatch::spread::Favour;
 use pumicelatch::template::fleet::{Fleet, Stage};
@@ -206,9 +206,9 @@
     }
 }
 
-fn boxes(count: usize, racks: usize, capacity: u64) -> Vec<Listed> {
+fn boxes(count: usize, racks: usize, capacity: u64) -> Vec<Descriptor> {
     (0..count)
-        .map(|index| Listed {
+        .map(|index| Descriptor {
             name: format!("box-{index:03}").into(),
             hall: "hall".into(),
             rack: format!("rack-{}", index % racks).into(),
