--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -358,7 +358,7 @@
             engine.is_some() || belief.held_model(Some(&self.job.service)).is_some()
         };
         let model = model.filter(|_| engines());
-        let entries = gateway.knowledge.peers.borrow().bound() as u32;
+        let entries = gateway.knowledge.peers.borrow().upper_bound() as u32;
         let connections = service.map_or(u32::MAX, |service| service.connections_max);
         let regions = gateway.knowledge.regions.borrow();
         then(pool::Ask {
@@ -387,7 +387,7 @@
 
     /// Part of it that this entry may send where the process beside the replica deals none out.
     fn own_cold_per_s(&self) -> f64 {
-        let entries = self.gateway.knowledge.peers.borrow().bound();
+        let entries = self.gateway.knowledge.peers.borrow().upper_bound();
         self.cold_per_s() / entries.max(1) as f64
     }
 
--- a/src/gateway/repeat.rs
+++ b/src/gateway/repeat.rs
@@ -20,7 +20,7 @@
     /// Takes one, if there is one.
     pub fn take(gateway: &Rc<Gateway>, service: &Arc<str>) -> Option<Self> {
         let now = gateway.knowledge.now();
-        let entries = gateway.knowledge.peers.borrow().bound();
+        let entries = gateway.knowledge.peers.borrow().upper_bound();
         let mut budget = gateway.budget(service);
         let key = budget.spend(gateway.setting.budget, entries, now)?;
         Some(Self {
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -228,7 +228,7 @@
     /// in this hall, how long ago the store answered it.
     fn hear(&self, entry: SocketAddr, hall: &Arc<str>, store_age_ms: Option<u64>) {
         let now = self.now();
-        self.update_peers(|peers| peers.heard(entry, hall, now));
+        self.update_peers(|peers| peers.observe(entry, hall, now));
         if *hall != self.identity.hall {
             return;
         }
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -290,7 +290,7 @@
                 }
             });
         }
-        knowledge.peers.borrow_mut().sweep(knowledge.now());
+        knowledge.peers.borrow_mut().remove_expired(knowledge.now());
         let jitter = knowledge.rng.borrow_mut().random_range(0.8..1.2);
         sleep(round.pause.mul_f64(jitter)).await;
     }
--- a/src/knowledge/halls.rs
+++ b/src/knowledge/halls.rs
@@ -55,7 +55,7 @@
         rng: &mut impl Rng,
     ) -> Vec<Ask> {
         let mut asks = Vec::new();
-        for (hall, entries) in peers.elsewhere(own_hall, now) {
+        for (hall, entries) in peers.by_other_hall(own_hall, now) {
             let asked = self.asked.entry(hall.clone()).or_default();
             if asked.waiting || asked.at.is_some_and(|at| now.since(at) < PERIOD) {
                 continue;
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -11,7 +11,7 @@
 use super::rounds::PeerExchange;
 use crate::clock::Time;
 use crate::config::belief::{Belief, Changes, Dated, DatedRecord, Effect, Fact, Marks, Wanted};
-use crate::member::peer::Told;
+use crate::member::peer::Advertisement;
 use crate::wire::pack;
 use crate::wire::sync::{DatedDocument, List, Named, News, PackedList, Sync};
 
@@ -22,10 +22,10 @@
 impl Knowledge {
     /// Takes what another process answered.
     pub fn take_news(&self, from: SocketAddr, news: News) {
-        self.update_peers(|peers| peers.learn(&news.peers, self.now()));
+        self.update_peers(|peers| peers.merge(&news.peers, self.now()));
         if let Some(packed) = &news.packed_peers {
-            match pack::unpack::<Vec<Told>>(packed) {
-                Ok(told) => self.update_peers(|peers| peers.learn(&told, self.now())),
+            match pack::unpack::<Vec<Advertisement>>(packed) {
+                Ok(told) => self.update_peers(|peers| peers.merge(&told, self.now())),
                 Err(error) => {
                     log::warn!(from:% = from; "cannot unpack the list of entries: {error}");
                 }
@@ -153,7 +153,7 @@
             store_age_ms: self.store_age_ms(now),
             peers: match exchange {
                 _ if !self.identity.entry => Vec::new(),
-                PeerExchange::PushPull => self.peers.borrow().tell(now),
+                PeerExchange::PushPull => self.peers.borrow().advertise(now),
                 PeerExchange::PushPullHall => self.hall_peers(now),
                 PeerExchange::Skip | PeerExchange::Pull => Vec::new(),
             },
@@ -192,10 +192,10 @@
     }
 
     /// What this process tells others about the other entries of its own hall.
-    fn hall_peers(&self, now: Time) -> Vec<Told> {
+    fn hall_peers(&self, now: Time) -> Vec<Advertisement> {
         let fellows = self.fellows();
         let peers = self.peers.borrow();
-        peers.tell_filtered(now, |entry| fellows.contains(&entry))
+        peers.advertise_filtered(now, |entry| fellows.contains(&entry))
     }
 
     /// The answer to a heartbeat: what its sender lacks. `brief` for one that does not keep the
@@ -209,10 +209,10 @@
         &self,
         sync: &Sync,
         brief: bool,
-        entries: impl FnOnce(Time) -> Vec<Told>,
+        entries: impl FnOnce(Time) -> Vec<Advertisement>,
     ) -> News {
         let now = self.now();
-        self.update_peers(|peers| peers.learn(&sync.peers, now));
+        self.update_peers(|peers| peers.merge(&sync.peers, now));
         if sync.entry {
             self.hear(sync.from, &sync.hall, sync.store_age_ms);
         }
@@ -276,13 +276,13 @@
 
     /// The entries that the reply to `sync` lists: all known ones if the sender is an entry, a
     /// bounded subset if it is a sidecar, unless sidecars report to all entries.
-    fn entries_to_send(&self, sync: &Sync, now: Time) -> Vec<Told> {
+    fn entries_to_send(&self, sync: &Sync, now: Time) -> Vec<Advertisement> {
         let peers = self.peers.borrow();
         if sync.entry || !self.policy.digests {
-            return peers.tell(now);
+            return peers.advertise(now);
         }
         let selected = Readers::entries_for_sidecar(sync.from, &sync.hall, &peers, now);
-        peers.tell_filtered(now, |entry| selected.contains(&entry))
+        peers.advertise_filtered(now, |entry| selected.contains(&entry))
     }
 
     /// The configuration as others draw it.
@@ -333,7 +333,7 @@
 }
 
 /// Encodes `told` for [`News::packed_peers`]. Returns `None` if it is empty or cannot be packed.
-fn pack_peers(told: &[Told]) -> Option<ByteBuf> {
+fn pack_peers(told: &[Advertisement]) -> Option<ByteBuf> {
     if told.is_empty() {
         return None;
     }
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -79,7 +79,7 @@
 /// The entries of other halls to tell.
 fn far(knowledge: &Knowledge) -> Vec<SocketAddr> {
     let peers = knowledge.peers.borrow();
-    let halls = peers.elsewhere(&knowledge.identity.hall, knowledge.now());
+    let halls = peers.by_other_hall(&knowledge.identity.hall, knowledge.now());
     let ranked = halls.into_values().map(|entries| Readers::ranked(&entries));
     ranked
         .flat_map(|entries| entries.into_iter().take(FAR))
--- a/src/knowledge/readers.rs
+++ b/src/knowledge/readers.rs
@@ -151,7 +151,7 @@
         others.sort_by_cached_key(|entry| std::cmp::Reverse(weight(*entry, &subject)));
         selected.extend(others.into_iter().take(SIDECAR_HASHED_ENTRIES));
         let (hash, _) = weight(sidecar, SUBJECT);
-        for entries in peers.elsewhere(hall, now).into_values() {
+        for entries in peers.by_other_hall(hall, now).into_values() {
             selected.push(entries[hash as usize % entries.len()]);
         }
         selected
--- a/src/member/peer.rs
+++ b/src/member/peer.rs
@@ -11,17 +11,17 @@
 use crate::clock::Time;
 
 /// An entry that was not heard of for so long takes no part.
-pub const ALIVE: Duration = Duration::from_millis(4_000);
+pub const ALIVE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// An entry that was not heard of for so long is forgotten.
-pub const FORGET: Duration = Duration::from_secs(60);
+pub const EXPIRY: Duration = Duration::from_secs(60);
 
 /// Entries that may be added without being known yet.
-const UNKNOWN: usize = 3;
+const UNDISCOVERED_MAX: usize = 3;
 
 /// An entry as told to others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Advertisement {
     /// Where it listens to other processes of the system.
     pub address: SocketAddr,
     /// The data hall that it stands in.
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone)]
 struct Peer {
     hall: Arc<str>,
-    heard: Time,
+    last_seen: Time,
 }
 
 /// The entries that a process knows.
@@ -61,7 +61,7 @@
     }
 
     /// An entry was heard at `at`, directly or through another.
-    pub fn heard(&mut self, address: SocketAddr, hall: &Arc<str>, at: Time) {
+    pub fn observe(&mut self, address: SocketAddr, hall: &Arc<str>, at: Time) {
         if self.own == Some(address) {
             return;
         }
@@ -70,52 +70,52 @@
             *added += 1;
             Peer {
                 hall: hall.clone(),
-                heard: at,
+                last_seen: at,
             }
         });
-        peer.heard = peer.heard.max(at);
+        peer.last_seen = peer.last_seen.max(at);
         if !hall.is_empty() {
             peer.hall = hall.clone();
         }
     }
 
     /// Takes what another process tells of the entries.
-    pub fn learn(&mut self, told: &[Told], now: Time) {
+    pub fn merge(&mut self, told: &[Advertisement], now: Time) {
         for entry in told {
             let age = Duration::from_millis(entry.age_ms);
-            if age < FORGET {
+            if age < EXPIRY {
                 let at = now - age;
-                self.heard(entry.address, &entry.hall, at);
+                self.observe(entry.address, &entry.hall, at);
             }
         }
     }
 
     /// What others are told.
-    pub fn tell(&self, now: Time) -> Vec<Told> {
-        self.tell_filtered(now, |_| true)
+    pub fn advertise(&self, now: Time) -> Vec<Advertisement> {
+        self.advertise_filtered(now, |_| true)
     }
 
     /// What others are told of the entries whose addresses satisfy `includes`.
-    pub fn tell_filtered(&self, now: Time, includes: impl Fn(SocketAddr) -> bool) -> Vec<Told> {
+    pub fn advertise_filtered(&self, now: Time, includes: impl Fn(SocketAddr) -> bool) -> Vec<Advertisement> {
         let peers = self.peers.iter();
         let included = peers.filter(|(address, _)| includes(**address));
-        let told = included.map(|(address, peer)| Told {
+        let told = included.map(|(address, peer)| Advertisement {
             address: *address,
             hall: peer.hall.clone(),
-            age_ms: now.since(peer.heard).as_millis() as u64,
+            age_ms: now.since(peer.last_seen).as_millis() as u64,
         });
         told.collect()
     }
 
     /// Forgets entries that were silent for long.
-    pub fn sweep(&mut self, now: Time) {
-        self.peers.retain(|_, peer| now.since(peer.heard) < FORGET);
+    pub fn remove_expired(&mut self, now: Time) {
+        self.peers.retain(|_, peer| now.since(peer.last_seen) < EXPIRY);
     }
 
     /// Entries heard of lately.
     pub fn alive(&self, now: Time) -> impl Iterator<Item = (SocketAddr, &Arc<str>)> {
         let heard = self.peers.iter();
-        let heard = heard.filter(move |(_, peer)| now.since(peer.heard) < ALIVE);
+        let heard = heard.filter(move |(_, peer)| now.since(peer.last_seen) < ALIVE_TIMEOUT);
         heard.map(|(address, peer)| (*address, &peer.hall))
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// The entries of each hall but `own_hall` that were heard of lately.
-    pub fn elsewhere(&self, own_hall: &str, now: Time) -> BTreeMap<Arc<str>, Vec<SocketAddr>> {
+    pub fn by_other_hall(&self, own_hall: &str, now: Time) -> BTreeMap<Arc<str>, Vec<SocketAddr>> {
         let mut halls: BTreeMap<Arc<str>, Vec<SocketAddr>> = BTreeMap::new();
         for (address, hall) in self.alive(now) {
             if **hall != *own_hall {
@@ -146,8 +146,8 @@
     /// Upper bound of the entries that may be at work, this one included: all that are not
     /// forgotten, and some that were added without being known yet. What is shared among entries
     /// is divided by it.
-    pub fn bound(&self) -> usize {
-        self.peers.len() + 1 + UNKNOWN
+    pub fn upper_bound(&self) -> usize {
+        self.peers.len() + 1 + UNDISCOVERED_MAX
     }
 
     /// Up to `count` entries to ask, at random among those that were heard of lately.
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -311,7 +311,7 @@
             tell_if_due(&sidecar, &told, entry, place == 0);
         }
         let now = sidecar.knowledge.now();
-        sidecar.knowledge.peers.borrow_mut().sweep(now);
+        sidecar.knowledge.peers.borrow_mut().remove_expired(now);
         sleep(TELL_LOOK).await;
     }
 }
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -9,7 +9,7 @@
 use crate::config::belief::{Changes, DatedRecord, Marks};
 use crate::config::evacuation::Evacuation;
 use crate::config::routing::{Engine, over_link};
-use crate::member::peer::Told;
+use crate::member::peer::Advertisement;
 use crate::route::replica::Load;
 use crate::wire::pack;
 
@@ -38,7 +38,7 @@
     pub store_age_ms: Option<u64>,
     /// The entries that it knows.
     #[serde(default)]
-    pub peers: Vec<Told>,
+    pub peers: Vec<Advertisement>,
     /// Whether it wants to be told of entries.
     #[serde(default)]
     pub wants_peers: bool,
@@ -274,7 +274,7 @@
     pub store_age_ms: Option<u64>,
     /// The entries that it knows, if that was asked for.
     #[serde(default)]
-    pub peers: Vec<Told>,
+    pub peers: Vec<Advertisement>,
     /// The entries in packed form, instead of `peers`, if the receiver supports it.
     #[serde(default)]
     pub packed_peers: Option<serde_bytes::ByteBuf>,
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -10,7 +10,7 @@
 use pumicelatch::config::routing::{
     Access, Customer, Document, Gaps, Kind, Limits, Route, Routing, Share,
 };
-use pumicelatch::member::peer::{FORGET, Peers, Told};
+use pumicelatch::member::peer::{EXPIRY, Peers, Advertisement};
 use pumicelatch::member::replica::Record;
 use quickcheck::{TestResult, quickcheck};
 
@@ -248,19 +248,19 @@
     let own = "10.0.0.1:8000".parse().unwrap();
     let mut peers = Peers::new(Some(own));
     let now = Time::from_millis(100_000);
-    let told: Vec<Told> = (1..=6)
-        .map(|index| Told {
+    let told: Vec<Advertisement> = (1..=6)
+        .map(|index| Advertisement {
             address: format!("10.0.0.{index}:8000").parse().unwrap(),
             hall: "lis-a".into(),
             age_ms: 0,
         })
         .collect();
-    peers.learn(&told, now);
+    peers.merge(&told, now);
     // Itself and five others; more may have been added that nobody has told of.
-    assert!(peers.bound() > 6);
-    peers.sweep(now + FORGET);
-    assert!(peers.alive(now + FORGET).next().is_none());
-    assert!(peers.bound() >= 1);
+    assert!(peers.upper_bound() > 6);
+    peers.remove_expired(now + EXPIRY);
+    assert!(peers.alive(now + EXPIRY).next().is_none());
+    assert!(peers.upper_bound() >= 1);
 }
 
 #[test]
@@ -268,12 +268,12 @@
     let now = Clock::default().now();
     let own: SocketAddr = "10.0.0.1:80".parse().unwrap();
     let mut peers = Peers::new(Some(own));
-    let told = Told {
+    let told = Advertisement {
         address: "10.0.0.2:80".parse().unwrap(),
         hall: "lis-a".into(),
         age_ms: 1_500,
     };
-    peers.learn(&[told], now);
+    peers.merge(&[told], now);
     assert_eq!(peers.alive(now).count(), 1);
     assert_eq!(peers.added(), 1);
 
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -16,7 +16,7 @@
 use pumicelatch::knowledge::rounds::{PeerExchange, RoundInput, RoundPlanner};
 use pumicelatch::knowledge::traffic::{Purpose, Traffic};
 use pumicelatch::knowledge::{Identity, Knowledge};
-use pumicelatch::member::peer::{ALIVE, Peers};
+use pumicelatch::member::peer::{ALIVE_TIMEOUT, Peers};
 use pumicelatch::member::rank::rank;
 use pumicelatch::member::replica::{LoadedModel, Record};
 use pumicelatch::metric::Metrics;
@@ -43,7 +43,7 @@
     let mut peers = Peers::new(Some(own));
     for number in 1..=3 {
         for index in 1..=each {
-            peers.heard(entry(number, index), &hall(number), at);
+            peers.observe(entry(number, index), &hall(number), at);
         }
     }
     peers
@@ -184,7 +184,7 @@
 #[test]
 fn a_hall_that_nobody_hears_of_is_not_asked() {
     let peers = peers(entry(1, 1), 2, NOW);
-    assert!(asked(&mut Halls::default(), &peers, NOW + ALIVE).is_empty());
+    assert!(asked(&mut Halls::default(), &peers, NOW + ALIVE_TIMEOUT).is_empty());
 }
 
 fn fellows(index: u8, count: u8) -> Vec<SocketAddr> {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -65,7 +65,7 @@
     }
 
     fn hears(&mut self, address: SocketAddr, hall: &Arc<str>, answered: Option<Time>, now: Time) {
-        self.peers.heard(address, hall, now);
+        self.peers.observe(address, hall, now);
         if let Some(at) = answered.filter(|_| *hall == self.hall) {
             self.readers.told(address, at);
         }
@@ -199,14 +199,14 @@
         for (teller, listener) in [(from, to), (to, from)] {
             let entry = &self.entries[&teller];
             let told = if names_entries {
-                entry.peers.tell(now)
+                entry.peers.advertise(now)
             } else {
                 Vec::new()
             };
             let (hall, answered) = (entry.hall.clone(), entry.answered);
             let known = [0, 1].map(|topic| entry.knows(topic, now));
             let entry = self.entries.get_mut(&listener).unwrap();
-            entry.peers.learn(&told, now);
+            entry.peers.merge(&told, now);
             entry.hears(teller, &hall, answered, now);
             for (topic, known) in known.into_iter().enumerate() {
                 if known && hall == entry.hall {
