--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -79,7 +79,7 @@
         SYNC_FORWARD_PATH => match message::<fanout::ForwardedSync>(&mut request).await {
             Ok(notice) => {
                 let knowledge = &gateway.knowledge;
-                let answer = http::pack(StatusCode::OK, &knowledge.news_for(&notice.sync, false));
+                let answer = http::pack(StatusCode::OK, &knowledge.update_for(&notice.sync, false));
                 actix_rt::spawn(fanout::forward_news(knowledge.clone(), notice));
                 answer
             }
@@ -121,11 +121,11 @@
 /// Answers a heartbeat; `from_hub` says whether it came in a frame to the whole hall.
 fn take_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
-    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.lacks(sync.marks) {
+    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.is_behind(sync.marks) {
         let fetch = gossip::fetch_news(knowledge.clone(), sync.from, sync.marks, from_hub);
         actix_rt::spawn(fetch);
     }
-    http::pack(StatusCode::OK, &knowledge.news_for(sync, !sync.entry))
+    http::pack(StatusCode::OK, &knowledge.update_for(sync, !sync.entry))
 }
 
 fn take_report(gateway: &Gateway, report: &Report) -> Answer {
@@ -137,7 +137,7 @@
         .report(report.address, &report.load, now);
     http::pack(
         StatusCode::OK,
-        &gateway.knowledge.news_for(&report.sync, true),
+        &gateway.knowledge.update_for(&report.sync, true),
     )
 }
 
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -76,7 +76,7 @@
         let knowledge = &self.knowledge;
         let now = knowledge.now();
         let own = knowledge.identity.address;
-        let fellows = knowledge.fellows();
+        let fellows = knowledge.local_peers();
         let place = Readers::place(own, &fellows);
         if !self.hub.borrow().tells(place, now) {
             return;
@@ -106,7 +106,7 @@
         let header = self.hub.borrow_mut().next_header(sync.marks);
         let frame = Frame {
             digests: self.digests(extent, now),
-            news: knowledge.news_since(header.baseline),
+            news: knowledge.update_since(header.baseline),
             incarnation: header.incarnation,
             number: header.number,
             sync,
@@ -114,7 +114,7 @@
         match pack::pack(&frame) {
             Ok(packed) => {
                 let message = Message::Frame(packed.into());
-                fanout::send(knowledge, &message, knowledge.fellows());
+                fanout::send(knowledge, &message, knowledge.local_peers());
             }
             Err(error) => log::error!("frame of the hall: {error}"),
         }
@@ -152,7 +152,7 @@
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
         let replicas = least_loaded(self.pool.borrow().reports(&hall, now));
-        let news = self.knowledge.news_for_hall(sync);
+        let news = self.knowledge.update_for_hall(sync);
         HallNews::new(Digest { hall, replicas }, news, sync.takes_packed_digest)
     }
 
@@ -168,7 +168,7 @@
                 self.take_digest(digest);
             }
             if let Some(news) = frame.news {
-                self.knowledge.take_news(from, news);
+                self.knowledge.apply_update(from, news);
             }
         }
         frame.sync
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -180,7 +180,7 @@
                 self.log_if_barred(name);
             }
         }
-        self.knowledge.poison_news.notify_one();
+        self.knowledge.poison_changed.notify_one();
     }
 
     fn log_if_barred(&self, name: Name) {
@@ -200,7 +200,7 @@
         let news = self.knowledge.poison.borrow_mut().came_good(name, now);
         if news {
             log::info!(name:% = name; "came to an end after replicas had ended under it");
-            self.knowledge.poison_news.notify_one();
+            self.knowledge.poison_changed.notify_one();
         }
     }
 }
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -132,7 +132,7 @@
     /// Requests under which replicas ended.
     pub poison: RefCell<Register>,
     /// Wakes those who tell the other entries of them.
-    pub poison_news: Notify,
+    pub poison_changed: Notify,
     poison_comparing: Cell<bool>,
 }
 
@@ -171,7 +171,7 @@
             readers: RefCell::new(Readers::new(Clock::default().now())),
             answered: Cell::new(None),
             poison: RefCell::default(),
-            poison_news: Notify::new(),
+            poison_changed: Notify::new(),
             poison_comparing: Cell::new(false),
             identity,
         })
@@ -183,7 +183,7 @@
     }
 
     /// The other entries of the own hall.
-    pub fn fellows(&self) -> Vec<SocketAddr> {
+    pub fn local_peers(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         peers.of_hall(&self.identity.hall, self.now())
     }
@@ -198,7 +198,7 @@
         if readers.awaits_seeds(own, &peers, &seeds, now) {
             return false;
         }
-        readers.reads(topic, own, &self.fellows(), now)
+        readers.reads(topic, own, &self.local_peers(), now)
     }
 
     /// Whether this entry lacks the configuration or the list of replicas. It needs both to serve
@@ -248,12 +248,12 @@
     }
 
     /// An entry does not answer.
-    pub fn lost(&self, entry: SocketAddr) {
+    pub fn mark_unreachable(&self, entry: SocketAddr) {
         self.readers.borrow_mut().lost(entry);
     }
 
     /// Whether another process with these marks knows something newer.
-    pub fn lacks(&self, marks: Marks) -> bool {
+    pub fn is_behind(&self, marks: Marks) -> bool {
         marks.any_newer_than(self.belief.borrow().marks())
     }
 
@@ -261,7 +261,7 @@
     fn place_of(&self, hall: &str) -> Place {
         if *hall == *self.identity.hall {
             Place::Near
-        } else if rank(self.identity.address, self.fellows().into_iter(), hall) == 0 {
+        } else if rank(self.identity.address, self.local_peers().into_iter(), hall) == 0 {
             Place::FarForAll
         } else {
             Place::Far
@@ -271,7 +271,7 @@
     /// The place of an entry in the own hall; `is_hub` says whether it sends frames to all others.
     /// Halls in which it reaches every entry directly make no distinction.
     fn place_in_own_hall(&self, is_hub: bool) -> Place {
-        if is_hub && self.fellows().len() > fanout::DEGREE {
+        if is_hub && self.local_peers().len() > fanout::DEGREE {
             Place::NearHub
         } else {
             Place::Near
@@ -322,7 +322,7 @@
 
     /// The store was out of reach of this process. While it answers others of the hall, that is no
     /// trouble of the store, and what it tells through them is as sure as ever.
-    pub fn trouble(&self) {
+    pub fn record_store_failure(&self) {
         let now = self.now();
         if self.readers.borrow().answered_within(ANSWERS_OTHERS, now) {
             return;
@@ -359,7 +359,7 @@
     }
 
     /// Takes what the store answered; `whole` if that is everything of its topic.
-    pub fn take_batch(&self, topic: Topic, whole: bool, batch: Batch) {
+    pub fn apply_batch(&self, topic: Topic, whole: bool, batch: Batch) {
         self.store_is_answering();
         if self.learn_batch(topic, whole, batch) {
             self.news.notify_one();
--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -201,7 +201,7 @@
 
 async fn wait_until_known(knowledge: &Knowledge, marks: Marks) {
     let mut changed = knowledge.changed.subscribe();
-    while knowledge.lacks(marks) {
+    while knowledge.is_behind(marks) {
         let _ = changed.changed().await;
     }
 }
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -93,7 +93,7 @@
 pub fn take(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: News) {
     let (hall, marks, entry) = (news.hall.clone(), news.marks, news.entry);
     let digest = news.poison;
-    knowledge.take_news(peer, news);
+    knowledge.apply_update(peer, news);
     if entry {
         draw(knowledge, peer, marks, || knowledge.place_of(&hall));
     }
@@ -245,10 +245,10 @@
                 let bytes = news.routing.as_ref().map_or(0, |dated| dated.packed.len());
                 let list_bytes = news.list.as_ref().map_or(0, |list| list.packed.len());
                 log::info!(peer:% = peer, bytes, list_bytes, ms; "configuration drawn");
-                knowledge.take_news(peer, news);
+                knowledge.apply_update(peer, news);
                 if far {
                     // The hall's readers of the store may be cut off from it.
-                    fanout::send(&knowledge, &Message::News, knowledge.fellows());
+                    fanout::send(&knowledge, &Message::News, knowledge.local_peers());
                 }
             }
             Err(Error::Patience(patience::Error::NotNeeded)) => {}
@@ -283,7 +283,7 @@
             actix_rt::spawn(async move {
                 let sync = knowledge.sync_exchanging(round.peer_exchange);
                 if let Err(error) = post(&knowledge, peer, SYNC_PATH, &sync).await {
-                    knowledge.lost(peer);
+                    knowledge.mark_unreachable(peer);
                     if let Some(lost) = knowledge.lost_heartbeats.count() {
                         log::warn!(peer:% = peer, lost; "heartbeat lost: {error}");
                     }
@@ -317,12 +317,12 @@
 pub async fn tell_news(knowledge: Rc<Knowledge>) {
     loop {
         knowledge.news.notified().await;
-        let fellows = knowledge.fellows();
-        let reader = Readers::is_reader(knowledge.identity.address, &fellows);
+        let local_peers = knowledge.local_peers();
+        let reader = Readers::is_reader(knowledge.identity.address, &local_peers);
         if !reader && !knowledge.reads(Topic::Operator) {
             continue;
         }
-        fanout::send(&knowledge, &Message::News, fellows);
+        fanout::send(&knowledge, &Message::News, local_peers);
         sleep(NEWS_GAP).await;
     }
 }
@@ -349,7 +349,7 @@
         knowledge.place_in_own_hall(is_hub)
     });
     // A draw brings all the rest too, but later.
-    if !knowledge.lacks(marks.without_routing()) {
+    if !knowledge.is_behind(marks.without_routing()) {
         return;
     }
     // Several tell of the same news.
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -21,7 +21,7 @@
 
 impl Knowledge {
     /// Takes what another process answered.
-    pub fn take_news(&self, from: SocketAddr, news: News) {
+    pub fn apply_update(&self, from: SocketAddr, news: News) {
         self.update_peers(|peers| peers.merge(&news.peers, self.now()));
         if let Some(packed) = &news.packed_peers {
             match pack::unpack::<Vec<Advertisement>>(packed) {
@@ -169,7 +169,7 @@
     }
 
     /// The news since `marks` without the configuration, if there is any.
-    pub fn news_since(&self, marks: Marks) -> Option<News> {
+    pub fn update_since(&self, marks: Marks) -> Option<News> {
         let has_news = {
             let belief = self.belief.borrow();
             let own = belief.marks().without_routing();
@@ -181,26 +181,26 @@
                 marks,
                 ..self.sync(false)
             };
-            self.news_for(&sync, false)
+            self.update_for(&sync, false)
         })
     }
 
     /// The answer to an entry of another hall that polls this one: what its sender lacks. It lists
     /// only entries of this hall, because the sender polls the other halls as well.
-    pub fn news_for_hall(&self, sync: &Sync) -> News {
+    pub fn update_for_hall(&self, sync: &Sync) -> News {
         self.news_with_entries(sync, false, |now| self.hall_peers(now))
     }
 
     /// What this process tells others about the other entries of its own hall.
     fn hall_peers(&self, now: Time) -> Vec<Advertisement> {
-        let fellows = self.fellows();
+        let local_peers = self.local_peers();
         let peers = self.peers.borrow();
-        peers.advertise_filtered(now, |entry| fellows.contains(&entry))
+        peers.advertise_filtered(now, |entry| local_peers.contains(&entry))
     }
 
     /// The answer to a heartbeat: what its sender lacks. `brief` for one that does not keep the
     /// whole configuration.
-    pub fn news_for(&self, sync: &Sync, brief: bool) -> News {
+    pub fn update_for(&self, sync: &Sync, brief: bool) -> News {
         self.news_with_entries(sync, brief, |now| self.entries_to_send(sync, now))
     }
 
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -64,13 +64,13 @@
 /// Tells the others what is learned here, until dropped.
 pub async fn run(knowledge: Rc<Knowledge>) {
     loop {
-        knowledge.poison_news.notified().await;
+        knowledge.poison_changed.notified().await;
         sleep(GATHERED).await;
         let cases = knowledge.poison.borrow_mut().take_news(knowledge.now());
         if cases.is_empty() {
             continue;
         }
-        let mut told = knowledge.fellows();
+        let mut told = knowledge.local_peers();
         told.extend(far(&knowledge));
         send(&knowledge, told, cases);
     }
@@ -109,7 +109,7 @@
     let news = knowledge.poison.borrow_mut().hear(&notice.cases, now);
     // Whoever learned of it in this hall has told all of it.
     if !news.is_empty() && notice.hall != knowledge.identity.hall {
-        send(knowledge, knowledge.fellows(), news);
+        send(knowledge, knowledge.local_peers(), news);
     }
     let known = || knowledge.poison.borrow().tell(now);
     Notice {
@@ -186,7 +186,7 @@
         .take_try(name, knowledge.now());
     if given {
         log::info!(name:% = name; "a barred request is tried once");
-        knowledge.poison_news.notify_one();
+        knowledge.poison_changed.notify_one();
     }
     given
 }
--- a/src/knowledge/readers.rs
+++ b/src/knowledge/readers.rs
@@ -90,12 +90,12 @@
     }
 
     /// Whether the entry at `own` reads `topic` itself, beside the other entries of its hall.
-    pub fn reads(&self, topic: Topic, own: SocketAddr, fellows: &[SocketAddr], now: Time) -> bool {
-        let rank = Self::place(own, fellows);
+    pub fn reads(&self, topic: Topic, own: SocketAddr, local_peers: &[SocketAddr], now: Time) -> bool {
+        let rank = Self::place(own, local_peers);
         if rank < readers(topic) {
             return true;
         }
-        let answered = fellows.iter().filter_map(|entry| self.answered.get(entry));
+        let answered = local_peers.iter().filter_map(|entry| self.answered.get(entry));
         let (last, missing) = match answered.max() {
             Some(at) => (*at, MISSING),
             None => (self.began, missing_at_start(topic)),
@@ -123,8 +123,8 @@
 
     /// The place of the entry at `own` among those of its hall: 0 for the one that reads everything
     /// from the store and tells the others.
-    pub fn place(own: SocketAddr, fellows: &[SocketAddr]) -> u32 {
-        rank(own, fellows.iter().copied(), SUBJECT)
+    pub fn place(own: SocketAddr, local_peers: &[SocketAddr]) -> u32 {
+        rank(own, local_peers.iter().copied(), SUBJECT)
     }
 
     /// The `entries` of a hall, those first that read the store.
@@ -158,13 +158,13 @@
     }
 
     /// Whether the entry at `own` is one of those whom the others ask.
-    pub fn is_reader(own: SocketAddr, fellows: &[SocketAddr]) -> bool {
-        Self::place(own, fellows) < ASKED as u32
+    pub fn is_reader(own: SocketAddr, local_peers: &[SocketAddr]) -> bool {
+        Self::place(own, local_peers) < ASKED as u32
     }
 
     /// The entries of the hall to ask for news.
-    pub fn asked(fellows: &[SocketAddr]) -> Vec<SocketAddr> {
-        let mut ranked = Self::ranked(fellows);
+    pub fn asked(local_peers: &[SocketAddr]) -> Vec<SocketAddr> {
+        let mut ranked = Self::ranked(local_peers);
         ranked.truncate(ASKED);
         ranked
     }
--- a/src/knowledge/rounds.rs
+++ b/src/knowledge/rounds.rs
@@ -84,11 +84,11 @@
     ) -> Round {
         let number = self.next_number;
         self.next_number = number.saturating_add(1);
-        let fellows = input.peers.of_hall(input.hall, now);
+        let local_peers = input.peers.of_hall(input.hall, now);
         let is_seed_round = number.is_multiple_of(SEED_ROUNDS);
-        let may_be_wide = fellows.is_empty() || Readers::is_reader(input.own, &fellows);
+        let may_be_wide = local_peers.is_empty() || Readers::is_reader(input.own, &local_peers);
         let wide = may_be_wide && is_seed_round;
-        let mut targets = Readers::asked(&fellows);
+        let mut targets = Readers::asked(&local_peers);
         // Limits traffic between halls, which is expensive.
         if wide || targets.is_empty() {
             targets.extend(input.peers.sample(1, now, rng));
@@ -108,7 +108,7 @@
         targets.sort_unstable();
         targets.dedup();
         let is_start_round = number < START_ROUNDS;
-        let is_fast = is_start_round && (fellows.is_empty() || input.lacks_initial_state);
+        let is_fast = is_start_round && (local_peers.is_empty() || input.lacks_initial_state);
         let peer_exchange = if alone || (is_start_round && is_seed_round) {
             PeerExchange::PushPull
         } else if wide {
--- a/src/knowledge/store.rs
+++ b/src/knowledge/store.rs
@@ -57,7 +57,7 @@
                     let ms = knowledge.now().since(began).as_millis() as u64;
                     log::info!(topic:? = topic, after:? = after, bytes = batch.bytes, ms; "long answer of the store");
                 }
-                knowledge.take_batch(topic, after.is_none(), batch);
+                knowledge.apply_batch(topic, after.is_none(), batch);
                 reads_whole = false;
                 after = Some(at);
                 sleep(pace.answered()).await;
@@ -68,7 +68,7 @@
                 reads_whole = true;
             }
             Ended::Call(Err(error)) => {
-                knowledge.trouble();
+                knowledge.record_store_failure();
                 if pace.reached() {
                     log::warn!(topic:? = topic; "store lost: {error}");
                 } else {
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -348,7 +348,7 @@
     }
     if path == SYNC_PATH {
         return match message::<Sync>(&mut request).await {
-            Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.news_for(&sync, false)),
+            Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.update_for(&sync, false)),
             Err(answer) => answer,
         };
     }
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -255,7 +255,7 @@
     /// The entries to tell, the first of them first.
     fn entries(&self, told: &BTreeMap<SocketAddr, Told>) -> Vec<SocketAddr> {
         let silent = |entry| told.get(&entry).is_some_and(|last| last.failed);
-        let near = self.knowledge.fellows();
+        let near = self.knowledge.local_peers();
         let digests = self.knowledge.policy.digests;
         let known = if digests && !near.is_empty() {
             near
@@ -403,7 +403,7 @@
     let call = sidecar.source.read(topic, progress.clone());
     let waits = patience::Setting::beginning_within(ALONE_READ);
     match patience::wait(call, &progress, waits).await {
-        Ok(Ok(batch)) => sidecar.knowledge.take_batch(topic, true, batch),
+        Ok(Ok(batch)) => sidecar.knowledge.apply_batch(topic, true, batch),
         Ok(Err(error)) => log::info!(topic:? = topic; "{error}"),
         Err(error) => log::info!(topic:? = topic; "store: {error}"),
     }
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -88,9 +88,9 @@
         let mut hub = Hub::new(1, NOW);
         hub.heard(NOW);
         let now = NOW + hub::PERIOD;
-        if !hub.tells(Readers::place(own, &fellows(index, 4)), now) {
+        if !hub.tells(Readers::place(own, &local_peers(index, 4)), now) {
             assert_eq!(
-                hub.due(Readers::place(own, &fellows(index, 4)), Some(now), now),
+                hub.due(Readers::place(own, &local_peers(index, 4)), Some(now), now),
                 None
             );
             continue;
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_process_beside_a_replica_tells_two_entries_that_answer_however_many_there_are() {
-    let ranked = Readers::ranked(&fellows(0, 30));
+    let ranked = Readers::ranked(&local_peers(0, 30));
     let told = hub::told(&ranked, |_| false);
     assert_eq!(told, ranked[..2]);
     let first_gone = hub::told(&ranked, |entry| entry == ranked[0]);
@@ -158,7 +158,7 @@
 #[test]
 fn messages_of_a_hall_grow_with_its_replicas_plus_its_entries() {
     let messages = |replicas: usize, entries: u8| {
-        let ranked = Readers::ranked(&fellows(0, entries));
+        let ranked = Readers::ranked(&local_peers(0, entries));
         let reports = replicas * hub::told(&ranked, |_| false).len();
         reports + usize::from(entries) - 1
     };
@@ -187,7 +187,7 @@
     assert!(asked(&mut Halls::default(), &peers, NOW + ALIVE_TIMEOUT).is_empty());
 }
 
-fn fellows(index: u8, count: u8) -> Vec<SocketAddr> {
+fn local_peers(index: u8, count: u8) -> Vec<SocketAddr> {
     let others = (1..=count).filter(|other| *other != index);
     others.map(|other| entry(1, other)).collect()
 }
@@ -201,7 +201,7 @@
             let at = NOW - Duration::from_millis(*age_ms);
             readers.told(entry(1, *other), at);
         }
-        readers.reads(topic, entry(1, *index), &fellows(*index, count), NOW)
+        readers.reads(topic, entry(1, *index), &local_peers(*index, count), NOW)
     };
     (1..=count).filter(reads).collect()
 }
@@ -222,7 +222,7 @@
     let index = (1..=4)
         .find(|index| !reading(Topic::Operator, 4, &[(1, 0)]).contains(index))
         .unwrap();
-    let others = fellows(index, 4);
+    let others = local_peers(index, 4);
     let mut readers = Readers::default();
     readers.told(others[0], NOW);
     let own = entry(1, index);
@@ -237,14 +237,14 @@
     let mut reading_list = 0;
     for index in 1..=6 {
         let readers = Readers::new(NOW);
-        let (own, fellows) = (entry(1, index), fellows(index, 6));
-        reading += u32::from(readers.reads(Topic::Operator, own, &fellows, NOW));
+        let (own, local_peers) = (entry(1, index), local_peers(index, 6));
+        reading += u32::from(readers.reads(Topic::Operator, own, &local_peers, NOW));
         let later = NOW + Duration::from_millis(2_100);
-        assert!(readers.reads(Topic::Operator, own, &fellows, later));
+        assert!(readers.reads(Topic::Operator, own, &local_peers, later));
         // An entry cannot serve requests without the list, so it waits less for this topic.
-        reading_list += u32::from(readers.reads(Topic::Replicas, own, &fellows, NOW));
+        reading_list += u32::from(readers.reads(Topic::Replicas, own, &local_peers, NOW));
         let after_list_wait = NOW + Duration::from_millis(1_000);
-        assert!(readers.reads(Topic::Replicas, own, &fellows, after_list_wait));
+        assert!(readers.reads(Topic::Replicas, own, &local_peers, after_list_wait));
     }
     assert_eq!((reading, reading_list), (2, 1));
 }
@@ -378,16 +378,16 @@
         };
         let paths = Rc::default();
         let knowledge = Knowledge::new(identity, Vec::new(), 7, Policy::default(), paths);
-        knowledge.take_batch(Topic::Replicas, false, batch(5, Fact::Replica(record(1))));
+        knowledge.apply_batch(Topic::Replicas, false, batch(5, Fact::Replica(record(1))));
         if answers_another {
             let mut sync = knowledge.sync(false);
             sync.from = entry(1, 2);
             sync.store_age_ms = Some(300);
-            knowledge.news_for(&sync, false);
+            knowledge.update_for(&sync, false);
         }
-        knowledge.trouble();
+        knowledge.record_store_failure();
         let gone = batch(6, Fact::ReplicaGone("i-1".into()));
-        knowledge.take_batch(Topic::Replicas, false, gone);
+        knowledge.apply_batch(Topic::Replicas, false, gone);
         let belief = knowledge.belief.borrow();
         belief.replicas()["i-1"].doubted
     };
@@ -436,8 +436,8 @@
         belief.evacuations().asked().cloned().collect::<Vec<_>>()
     };
     let tell = || {
-        let news = reader.news_for(&other.sync(false), false);
-        other.take_news(entry(1, 1), news);
+        let news = reader.update_for(&other.sync(false), false);
+        other.apply_update(entry(1, 1), news);
     };
     let batch = |at, facts| Batch {
         facts,
@@ -452,14 +452,14 @@
         revision: 6,
         fact: evacuation,
     };
-    reader.take_batch(Topic::Operator, false, batch(6, vec![dated]));
-    assert!(other.lacks(reader.sync(false).marks));
+    reader.apply_batch(Topic::Operator, false, batch(6, vec![dated]));
+    assert!(other.is_behind(reader.sync(false).marks));
     tell();
     assert_eq!(asked(&other), [hall(2)]);
     // A configuration of before may still be on its way: it is not skipped in the store.
     assert_eq!(other.revision(Topic::Operator), 0);
     // The store forgot what happened since: the whole that is read then shows that it is over.
-    reader.take_batch(Topic::Operator, true, batch(9, Vec::new()));
+    reader.apply_batch(Topic::Operator, true, batch(9, Vec::new()));
     tell();
     assert_eq!(asked(&reader), []);
     assert_eq!(asked(&other), []);
@@ -493,24 +493,24 @@
         at: 90,
         ..Batch::default()
     };
-    reader.take_batch(Topic::Replicas, true, whole_list);
+    reader.apply_batch(Topic::Replicas, true, whole_list);
     let size = |news: &News| rmp_serde::to_vec_named(news).unwrap().len();
-    let heartbeat = reader.news_for(&other.sync(false), false);
+    let heartbeat = reader.update_for(&other.sync(false), false);
     assert!(heartbeat.replicas.is_none() && heartbeat.list.is_none());
     // The previous release cannot draw the list and gets it with each heartbeat.
     let older = Sync {
         draws_list: false,
         ..other.sync(false)
     };
-    let whole = reader.news_for(&older, false);
+    let whole = reader.update_for(&older, false);
     assert_eq!(whole.replicas.as_ref().unwrap().records.len(), 90);
     let draws = Sync {
         wants_list: true,
         ..other.sync(false)
     };
-    let drawn = reader.news_for(&draws, false);
+    let drawn = reader.update_for(&draws, false);
     assert!(size(&drawn) * 3 < size(&whole), "{}", size(&drawn));
-    other.take_news(entry(1, 1), drawn);
+    other.apply_update(entry(1, 1), drawn);
     assert_eq!(other.belief.borrow().replicas().len(), 90);
     assert_eq!(other.sync(false).marks, reader.sync(false).marks);
     // An entry that read the list while it was empty does not draw it again.
@@ -519,13 +519,13 @@
         at: 1,
         ..Batch::default()
     };
-    early.take_batch(Topic::Replicas, true, empty);
-    early.take_news(entry(1, 1), reader.news_for(&early.sync(false), false));
+    early.apply_batch(Topic::Replicas, true, empty);
+    early.apply_update(entry(1, 1), reader.update_for(&early.sync(false), false));
     assert_eq!(early.belief.borrow().replicas().len(), 90);
     // After the first list, only changes are sent.
     let gone = batch(91, Fact::ReplicaGone("i-7".into()));
-    reader.take_batch(Topic::Replicas, false, gone);
-    let news = reader.news_for(&other.sync(false), false);
+    reader.apply_batch(Topic::Replicas, false, gone);
+    let news = reader.update_for(&other.sync(false), false);
     assert!(news.replicas.is_none() && news.list.is_none());
     assert_eq!(news.changes.unwrap().gone.len(), 1);
 }
@@ -545,7 +545,7 @@
         peers: Vec::new(),
         ..sync
     };
-    sender.news_for(&sync, true)
+    sender.update_for(&sync, true)
 }
 
 /// Guards against control traffic to each sidecar that grows with the number of entries.
@@ -567,7 +567,7 @@
         local.retain(|told| told.hall == hall(1));
         local.into_iter().map(|told| told.address).collect()
     };
-    let ranked = Readers::ranked(&fellows(1, 40));
+    let ranked = Readers::ranked(&local_peers(1, 40));
     for sidecar in ["10.1.0.250:8000", "10.1.0.251:8000"] {
         assert!(
             ranked[..4]
@@ -615,7 +615,7 @@
 #[test]
 fn news_for_frames_omits_the_configuration() {
     let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
-    reader.take_batch(
+    reader.apply_batch(
         Topic::Replicas,
         true,
         Batch {
@@ -623,7 +623,7 @@
             ..Batch::default()
         },
     );
-    other.take_batch(
+    other.apply_batch(
         Topic::Replicas,
         true,
         Batch {
@@ -632,21 +632,21 @@
         },
     );
     let before = reader.sync(false).marks;
-    assert!(reader.news_since(before).is_none());
+    assert!(reader.update_since(before).is_none());
     let document = Arc::new(Document {
         version: 1,
         ..Document::default()
     });
-    reader.take_batch(Topic::Operator, false, batch(4, Fact::Routing(document)));
-    assert!(reader.news_since(before).is_none());
+    reader.apply_batch(Topic::Operator, false, batch(4, Fact::Routing(document)));
+    assert!(reader.update_since(before).is_none());
     let evacuation = Fact::Evacuation {
         hall: hall(2),
         asked: true,
     };
-    reader.take_batch(Topic::Operator, false, batch(6, evacuation));
-    let news = reader.news_since(before).unwrap();
+    reader.apply_batch(Topic::Operator, false, batch(6, evacuation));
+    let news = reader.update_since(before).unwrap();
     assert!(news.routing.is_none());
-    other.take_news(entry(1, 1), news);
+    other.apply_update(entry(1, 1), news);
     assert_eq!(other.belief.borrow().evacuations().asked().count(), 1);
 }
 
@@ -673,7 +673,7 @@
         replicas: (1..=64).map(reported).collect(),
     };
     let entry = entry_knowing_nothing(1);
-    let news = || entry.news_for(&entry.sync(false), false);
+    let news = || entry.update_for(&entry.sync(false), false);
     let answer = |pack_replicas| {
         let answer = HallNews::new(digest.clone(), news(), pack_replicas);
         rmp_serde::to_vec_named(&answer).unwrap()
@@ -704,7 +704,7 @@
             takes_packed_peers,
             ..responder.sync(true)
         };
-        responder.news_for_hall(&Sync {
+        responder.update_for_hall(&Sync {
             peers: Vec::new(),
             ..sync
         })
@@ -722,8 +722,8 @@
         size(&plain)
     );
     let receiver = entry_knowing_nothing(2);
-    receiver.take_news(entry(1, 1), packed);
-    assert_eq!(receiver.fellows().len(), 59);
+    receiver.apply_update(entry(1, 1), packed);
+    assert_eq!(receiver.local_peers().len(), 59);
 }
 
 /// Guards against entries that send their whole list of entries for as long as they run.
@@ -746,7 +746,7 @@
         assert!(first.contains(&PeerExchange::PushPull));
         let later: Vec<PeerExchange> = (0..20).map(|_| plan()).collect();
         assert!(!later.contains(&PeerExchange::PushPull));
-        let is_reader = Readers::is_reader(own, &fellows(index, 6));
+        let is_reader = Readers::is_reader(own, &local_peers(index, 6));
         assert_eq!(later.contains(&PeerExchange::Pull), is_reader);
     }
 }
@@ -760,14 +760,14 @@
         model: "tutor-model".into(),
         version: 2,
     };
-    sender.take_batch(Topic::Operator, false, batch(9, version));
-    receiver.take_news(entry(1, 1), sender.news_for(&receiver.sync(false), false));
+    sender.apply_batch(Topic::Operator, false, batch(9, version));
+    receiver.apply_update(entry(1, 1), sender.update_for(&receiver.sync(false), false));
     assert_eq!(receiver.belief.borrow().versions().count(), 1);
     assert_eq!(receiver.revision(Topic::Operator), 0);
     let document = Arc::new(Document {
         version: 1,
         ..Document::default()
     });
-    receiver.take_batch(Topic::Operator, true, batch(4, Fact::Routing(document)));
+    receiver.apply_batch(Topic::Operator, true, batch(4, Fact::Routing(document)));
     assert_eq!(receiver.revision(Topic::Operator), 9);
 }
--- a/tests/named.rs
+++ b/tests/named.rs
@@ -50,13 +50,13 @@
         at: version,
         ..Batch::default()
     };
-    knowledge.take_batch(Topic::Operator, false, batch);
+    knowledge.apply_batch(Topic::Operator, false, batch);
 }
 
 /// `knowledge` asks `other` for its news.
 fn asks(knowledge: &Knowledge, other: &Knowledge) {
-    let news = other.news_for(&knowledge.sync(false), false);
-    knowledge.take_news(other.identity.address, news);
+    let news = other.update_for(&knowledge.sync(false), false);
+    knowledge.apply_update(other.identity.address, news);
 }
 
 /// How long it has known each version.
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -141,18 +141,18 @@
                 entry.reads_until[index] = None;
                 entry.answered = Some(now);
                 entry.learns(index, now);
-                self.tell_fellows(own, now);
+                self.notify_local_peers(own, now);
             }
             let entry = self.entries.get_mut(&own).unwrap();
             if entry.reads_until[index].is_some() || entry.next_check[index] > now {
                 continue;
             }
-            let fellows = entry.peers.of_hall(&entry.hall, now);
+            let local_peers = entry.peers.of_hall(&entry.hall, now);
             let waits = {
                 let (peers, seeds) = (&entry.peers, &self.seeds);
                 entry.readers.awaits_seeds(own, peers, seeds, now)
             };
-            if waits || !entry.readers.reads(topic, own, &fellows, now) {
+            if waits || !entry.readers.reads(topic, own, &local_peers, now) {
                 entry.next_check[index] = now + CHECK_INTERVAL;
                 continue;
             }
@@ -162,10 +162,10 @@
         }
     }
 
-    fn tell_fellows(&mut self, own: SocketAddr, now: Time) {
+    fn notify_local_peers(&mut self, own: SocketAddr, now: Time) {
         let teller = &self.entries[&own];
-        for fellow in teller.peers.of_hall(&teller.hall, now) {
-            self.exchange(own, fellow, false, now);
+        for peer in teller.peers.of_hall(&teller.hall, now) {
+            self.exchange(own, peer, false, now);
         }
     }
 
