--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -293,7 +293,7 @@
                 Topic::Operator,
             )),
             actix_rt::spawn(store::follow(knowledge.clone(), source, Topic::Replicas)),
-            actix_rt::spawn(gossip::tell_news(knowledge.clone())),
+            actix_rt::spawn(gossip::announce_updates(knowledge.clone())),
             actix_rt::spawn(traffic::log(knowledge.clone())),
             actix_rt::spawn(knowledge::poison::run(knowledge.clone())),
             actix_rt::spawn(gossip::run(knowledge, move || others.sidecars())),
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -80,7 +80,7 @@
             Ok(notice) => {
                 let knowledge = &gateway.knowledge;
                 let answer = http::pack(StatusCode::OK, &knowledge.update_for(&notice.sync, false));
-                actix_rt::spawn(fanout::forward_news(knowledge.clone(), notice));
+                actix_rt::spawn(fanout::forward_notice(knowledge.clone(), notice));
                 answer
             }
             Err(answer) => answer,
@@ -122,7 +122,7 @@
 fn take_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
     if sync.entry && sync.hall == knowledge.identity.hall && knowledge.is_behind(sync.marks) {
-        let fetch = gossip::fetch_news(knowledge.clone(), sync.from, sync.marks, from_hub);
+        let fetch = gossip::fetch_update(knowledge.clone(), sync.from, sync.marks, from_hub);
         actix_rt::spawn(fetch);
     }
     http::pack(StatusCode::OK, &knowledge.update_for(sync, !sync.entry))
--- a/src/gateway/greet.rs
+++ b/src/gateway/greet.rs
@@ -32,7 +32,7 @@
         sleep(LOOK).await;
     }
     for _ in 0..ROUNDS {
-        gossip::tell(&gateway.knowledge, gateway.silent_sidecars(), true);
+        gossip::send_heartbeats(&gateway.knowledge, gateway.silent_sidecars(), true);
         sleep(EVERY).await;
     }
 }
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -40,12 +40,12 @@
     } else {
         PeerExchange::Skip
     });
-    let answer = gossip::ask::<_, HallNews>(knowledge, ask.entry, HALL_PATH, &sync).await;
+    let answer = gossip::call::<_, HallNews>(knowledge, ask.entry, HALL_PATH, &sync).await;
     gateway.halls.borrow_mut().answered(&ask.hall);
     match answer {
         Ok(answer) => {
             let digest = answer.digest();
-            gossip::take(knowledge, ask.entry, answer.news);
+            gossip::apply_answer(knowledge, ask.entry, answer.news);
             match digest {
                 Ok(digest) => gateway.take_digest(&digest),
                 Err(error) => {
--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -132,13 +132,13 @@
         unresponsive.record(first, sent.is_ok(), now);
         drop(unresponsive);
         match sent {
-            Ok(news) => return gossip::take(&knowledge, first, news),
+            Ok(news) => return gossip::apply_answer(&knowledge, first, news),
             Err(Error::Status { status }) if status == StatusCode::NOT_FOUND => {
                 // Entries of earlier releases cannot forward and get the plain message.
                 let (knowledge, message) = (knowledge.clone(), message.clone());
                 actix_rt::spawn(async move {
                     if let Ok(news) = message.send(&knowledge, first, &[]).await {
-                        gossip::take(&knowledge, first, news);
+                        gossip::apply_answer(&knowledge, first, news);
                     }
                 });
             }
@@ -162,33 +162,33 @@
     ) -> Result<News, Error> {
         match self {
             Self::Frame(frame) if rest.is_empty() => {
-                gossip::ask_packed(knowledge, to, FRAME_PATH, frame.clone()).await
+                gossip::call_encoded(knowledge, to, FRAME_PATH, frame.clone()).await
             }
             Self::Frame(frame) => {
                 let forwarded = ForwardedFrame {
                     receivers: rest.to_vec(),
                     frame: frame.to_vec(),
                 };
-                gossip::ask(knowledge, to, FRAME_FORWARD_PATH, &forwarded).await
+                gossip::call(knowledge, to, FRAME_FORWARD_PATH, &forwarded).await
             }
             Self::News if rest.is_empty() => {
-                gossip::ask(knowledge, to, SYNC_PATH, &knowledge.sync(false)).await
+                gossip::call(knowledge, to, SYNC_PATH, &knowledge.sync(false)).await
             }
             Self::News => {
                 let forwarded = ForwardedSync {
                     receivers: rest.to_vec(),
                     sync: knowledge.sync(false),
                 };
-                gossip::ask(knowledge, to, SYNC_FORWARD_PATH, &forwarded).await
+                gossip::call(knowledge, to, SYNC_FORWARD_PATH, &forwarded).await
             }
         }
     }
 }
 
 /// Fetches the news announced by another entry and forwards the notice.
-pub async fn forward_news(knowledge: Rc<Knowledge>, notice: ForwardedSync) {
+pub async fn forward_notice(knowledge: Rc<Knowledge>, notice: ForwardedSync) {
     let marks = notice.sync.marks;
-    let fetch = gossip::fetch_news(knowledge.clone(), notice.sync.from, marks, false);
+    let fetch = gossip::fetch_update(knowledge.clone(), notice.sync.from, marks, false);
     actix_rt::spawn(fetch);
     if timeout(FETCH_TIMEOUT, wait_until_known(&knowledge, marks))
         .await
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -85,12 +85,12 @@
 ) -> Result<(), Error> {
     let call = Call::new(peer, path, packed(message)?);
     let news = call.exchange(knowledge, note, || true).await?;
-    take(knowledge, peer, news);
+    apply_answer(knowledge, peer, news);
     Ok(())
 }
 
 /// Takes what `peer` answered, and draws the configuration from it if that is newer there.
-pub fn take(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: News) {
+pub fn apply_answer(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: News) {
     let (hall, marks, entry) = (news.hall.clone(), news.marks, news.entry);
     let digest = news.poison;
     knowledge.apply_update(peer, news);
@@ -104,7 +104,7 @@
 }
 
 /// Sends `message` to another process of the system and reads its answer.
-pub async fn ask<T: Serialize, A: DeserializeOwned>(
+pub async fn call<T: Serialize, A: DeserializeOwned>(
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
@@ -117,7 +117,7 @@
 /// Sends `message` to another process of the system and reads its answer, which is due `within`. If
 /// a used connection brings none, it is sent again on a new one, over which it is due within `again`.
 /// Notes which connection it takes.
-pub async fn ask_within<T: Serialize, A: DeserializeOwned>(
+pub async fn call_within<T: Serialize, A: DeserializeOwned>(
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
@@ -135,7 +135,7 @@
 }
 
 /// Sends an already encoded message to another process of the system and reads its answer.
-pub async fn ask_packed(
+pub async fn call_encoded(
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
@@ -314,7 +314,7 @@
 
 /// Tells the other entries of the hall at once that there is news, if this one reads the store for
 /// them, for good or in place of one that hears nothing. Runs until dropped.
-pub async fn tell_news(knowledge: Rc<Knowledge>) {
+pub async fn announce_updates(knowledge: Rc<Knowledge>) {
     loop {
         knowledge.news.notified().await;
         let local_peers = knowledge.local_peers();
@@ -329,7 +329,7 @@
 
 /// Sends a heartbeat to each of `processes`, which may well not answer. With `names_entries` it
 /// tells the entries that this process knows, and wants to be told.
-pub fn tell(knowledge: &Rc<Knowledge>, processes: Vec<SocketAddr>, names_entries: bool) {
+pub fn send_heartbeats(knowledge: &Rc<Knowledge>, processes: Vec<SocketAddr>, names_entries: bool) {
     for process in processes {
         let knowledge = knowledge.clone();
         actix_rt::spawn(async move {
@@ -344,7 +344,7 @@
 /// Fetches news from `peer` of the own hall, whose `marks` are newer than those of this process.
 /// With `is_hub`, the peer sends frames to the whole hall, and the configuration is drawn from it
 /// only after a delay.
-pub async fn fetch_news(knowledge: Rc<Knowledge>, peer: SocketAddr, marks: Marks, is_hub: bool) {
+pub async fn fetch_update(knowledge: Rc<Knowledge>, peer: SocketAddr, marks: Marks, is_hub: bool) {
     draw(&knowledge, peer, marks, || {
         knowledge.place_in_own_hall(is_hub)
     });
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -95,7 +95,7 @@
     for entry in entries {
         let (knowledge, notice) = (knowledge.clone(), notice.clone());
         actix_rt::spawn(async move {
-            let told = gossip::ask::<_, Notice>(&knowledge, entry, PATH, &*notice).await;
+            let told = gossip::call::<_, Notice>(&knowledge, entry, PATH, &*notice).await;
             if let Err(error) = told {
                 log::info!(entry:% = entry; "poison requests not told: {error}");
             }
@@ -129,7 +129,7 @@
         cases: knowledge.poison.borrow().tell(knowledge.now()),
         asks: true,
     };
-    match gossip::ask::<_, Notice>(&knowledge, peer, PATH, &notice).await {
+    match gossip::call::<_, Notice>(&knowledge, peer, PATH, &notice).await {
         Ok(answer) => {
             hear(&knowledge, &answer);
         }
@@ -159,7 +159,7 @@
     };
     let (ask, note) = (Ask { case }, Note::default());
     let answer =
-        gossip::ask_within::<_, Answer>(knowledge, first, TRY_PATH, &ask, ANSWERS_WITHIN, &note);
+        gossip::call_within::<_, Answer>(knowledge, first, TRY_PATH, &ask, ANSWERS_WITHIN, &note);
     match answer.await {
         Ok(answer) => answer.given,
         Err(error) => {
