--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -29,7 +29,7 @@
 use tokio::sync::watch;
 
 use crate::clock::Time;
-use crate::silence::{self, Use};
+use crate::silence::{self, Status};
 
 pub mod answer;
 pub mod path;
@@ -460,8 +460,8 @@
             let connection = silence::Connection {
                 peer,
                 opened: kept.opened,
-                heard: kept.heard,
-                is: Use::Rests,
+                last_received: kept.heard,
+                status: Status::Idle,
             };
             if kept.usable(options.idle_max, now) && !self.paths.doubts(connection) {
                 let rested = now.since(kept.heard);
--- a/src/exchange/path.rs
+++ b/src/exchange/path.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 use crate::clock::{Clock, Time};
-use crate::silence::{Connection, Extent, Findings, Others, Suspicion, Use};
+use crate::silence::{Connection, Detector, Others, Scope, Status, Suspicion};
 
 /// How much later than a silence began bytes may come that were on their way: a few milliseconds
 /// between halls.
@@ -32,7 +32,7 @@
     peer: SocketAddr,
     opened: Time,
     heard: Cell<Time>,
-    is: Cell<Use>,
+    is: Cell<Status>,
 }
 
 impl Carrier {
@@ -40,8 +40,8 @@
         Connection {
             peer: self.peer,
             opened: self.opened,
-            heard: self.heard.get(),
-            is: self.is.get(),
+            last_received: self.heard.get(),
+            status: self.is.get(),
         }
     }
 }
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub struct Paths {
     clock: Clock,
-    findings: RefCell<Findings>,
+    findings: RefCell<Detector>,
     under_way: RefCell<Vec<Weak<Carrier>>>,
     ended: RefCell<VecDeque<Connection>>,
     suspicion: RefCell<Suspicion>,
@@ -86,7 +86,7 @@
         let now = self.now();
         let others = self.others(since);
         let mut findings = self.findings.borrow_mut();
-        let extent = findings.found_silent(peer, since, others, now);
+        let extent = findings.report_silent(peer, since, others, now);
         drop(findings);
         log::warn!(
             peer:% = peer, extent:? = extent, others:? = others,
@@ -94,14 +94,14 @@
             "a used connection is silent, a new one to the same peer works"
         );
         self.found.send_modify(|count| *count += 1);
-        if extent == Extent::All && others == Others::Silent {
+        if extent == Scope::All && others == Others::Silent {
             self.found_all.send_modify(|count| *count += 1);
         }
     }
 
     /// Whether a connection that rests is doubted.
     pub(super) fn doubts(&self, connection: Connection) -> bool {
-        self.findings.borrow().gives_up(connection).is_some()
+        self.findings.borrow().close_deadline(connection).is_some()
     }
 
     /// A new connection to `peer` brought what a used one may yet bring.
@@ -129,7 +129,7 @@
     /// Whether connections that were opened before `since` have brought anything from then on.
     fn others(&self, since: Time) -> Others {
         let heard = |connection: Connection| {
-            connection.opened < since && connection.heard > since + ON_THE_WAY
+            connection.opened < since && connection.last_received > since + ON_THE_WAY
         };
         let under_way = self.under_way.borrow();
         let mut under_way = under_way.iter().filter_map(Weak::upgrade);
@@ -150,7 +150,7 @@
             peer,
             opened,
             heard: Cell::new(heard),
-            is: Cell::new(Use::Waits),
+            is: Cell::new(Status::Waiting),
         });
         let mut under_way = self.under_way.borrow_mut();
         if under_way.len() >= UNDER_WAY && under_way.len() == under_way.capacity() {
@@ -170,7 +170,7 @@
     let mut found = paths.found.subscribe();
     loop {
         found.borrow_and_update();
-        let due = paths.findings.borrow().gives_up(carrier.connection());
+        let due = paths.findings.borrow().close_deadline(carrier.connection());
         match due.map(|due| due.since(paths.now())) {
             Some(left) if left.is_zero() => return,
             Some(left) => sleep(left).await,
@@ -207,7 +207,7 @@
     /// Bytes came.
     pub fn heard(&self) {
         self.carrier.heard.set(self.now());
-        self.carrier.is.set(Use::Receives);
+        self.carrier.is.set(Status::Receiving);
     }
 
     /// The present instant.
--- a/src/silence.rs
+++ b/src/silence.rs
@@ -55,7 +55,7 @@
 
 /// How many connections a finding is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Extent {
+pub enum Scope {
     /// Those to one peer.
     Peer,
     /// All of the process.
@@ -73,13 +73,13 @@
 
 /// What a connection is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Use {
+pub enum Status {
     /// It rests. It is given up for little: another is opened in its place.
-    Rests,
+    Idle,
     /// Its exchange waits for the first byte, which may take long where there is a queue.
-    Waits,
+    Waiting,
     /// The answer of its exchange is coming in.
-    Receives,
+    Receiving,
 }
 
 /// A connection, as far as its silence is concerned.
@@ -90,29 +90,29 @@
     /// When it was opened.
     pub opened: Time,
     /// When it brought something last, or was opened.
-    pub heard: Time,
+    pub last_received: Time,
     /// What it is doing.
-    pub is: Use,
+    pub status: Status,
 }
 
 /// What a process has found of its connections.
 #[derive(Debug, Clone, Default)]
-pub struct Findings {
+pub struct Detector {
     peers: BTreeMap<SocketAddr, Finding>,
     /// Findings of one silence of all connections, the earliest sent first.
     all: Vec<Finding>,
 }
 
-impl Findings {
+impl Detector {
     /// `peer` answered on a new connection, and until `now` not on a used one, what was sent there at
     /// `since`.
-    pub fn found_silent(
+    pub fn report_silent(
         &mut self,
         peer: SocketAddr,
         since: Time,
         others: Others,
         now: Time,
-    ) -> Extent {
+    ) -> Scope {
         let finding = Finding {
             since,
             at: now,
@@ -124,7 +124,7 @@
         }
         if self.all.iter().any(explained) {
             self.remember(vec![finding]);
-            return Extent::All;
+            return Scope::All;
         }
         let concluded = self.all.iter().map(|found| found.at).max();
         let fresh = |found: &Finding| concluded.is_none_or(|at| found.since > at);
@@ -134,11 +134,11 @@
             .filter(|found| lately(found) && fresh(found))
             .collect();
         if together.len() < 2 {
-            return Extent::Peer;
+            return Scope::Peer;
         }
         self.all.clear();
         self.remember(together);
-        Extent::All
+        Scope::All
     }
 
     fn remember(&mut self, findings: Vec<Finding>) {
@@ -148,14 +148,14 @@
     }
 
     /// When a connection is given up, unless something comes before; `None` if it is not doubted.
-    pub fn gives_up(&self, connection: Connection) -> Option<Time> {
+    pub fn close_deadline(&self, connection: Connection) -> Option<Time> {
         let of_peer = self.peers.get(&connection.peer);
-        let of_peer = of_peer.and_then(|found| found.gives_up(connection, found.since));
+        let of_peer = of_peer.and_then(|found| found.close_deadline(connection, found.since));
         // All went silent before what was left unanswered first was sent.
         let first = self.all.first().map(|found| found.since);
         let of_all = first.and_then(|first| {
             let due = self.all.iter();
-            due.filter_map(|found| found.gives_up(connection, first))
+            due.filter_map(|found| found.close_deadline(connection, first))
                 .min()
         });
         of_peer.into_iter().chain(of_all).min()
@@ -164,16 +164,16 @@
 
 impl Finding {
     /// When it gives up a connection, if that was opened before `first` and has brought nothing since.
-    fn gives_up(self, connection: Connection, first: Time) -> Option<Time> {
-        if connection.opened >= first || connection.heard >= self.since {
+    fn close_deadline(self, connection: Connection, first: Time) -> Option<Time> {
+        if connection.opened >= first || connection.last_received >= self.since {
             return None;
         }
-        match (connection.is, self.others) {
-            (Use::Rests, _) => Some(self.at),
+        match (connection.status, self.others) {
+            (Status::Idle, _) => Some(self.at),
             (_, Others::Silent) => Some(self.at + GRACE),
-            (Use::Receives, Others::Heard) => Some(self.at + GRACE_DIVIDED),
+            (Status::Receiving, Others::Heard) => Some(self.at + GRACE_DIVIDED),
             // It may wait in a queue, and other old connections work.
-            (Use::Waits, Others::Heard) => None,
+            (Status::Waiting, Others::Heard) => None,
         }
     }
 }
