--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -34,8 +34,8 @@
 use crate::exchange::{self, path::Paths};
 use crate::http::{self, ClientSetting, Server, Timing};
 use crate::knowledge;
-use crate::knowledge::halls::Halls;
 use crate::knowledge::hub::Hub;
+use crate::knowledge::polls::Polls;
 use crate::knowledge::{Identity, Knowledge, gossip, store, traffic};
 use crate::limit::returning::{Refusals, Refused};
 use crate::member::Role;
@@ -154,7 +154,7 @@
     began: Time,
     instruments: status::Instruments,
     joined: Joined,
-    halls: RefCell<Halls>,
+    halls: RefCell<Polls>,
     hub: RefCell<Hub>,
     /// Requests that were refused lately, here or as others told.
     refusals: RefCell<Refusals>,
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -90,7 +90,10 @@
             Err(answer) => answer,
         },
         poison::PATH => match message::<poison::Notice>(&mut request).await {
-            Ok(notice) => http::pack(StatusCode::OK, &poison::hear(&gateway.knowledge, &notice)),
+            Ok(notice) => http::pack(
+                StatusCode::OK,
+                &poison::apply_notice(&gateway.knowledge, &notice),
+            ),
             Err(answer) => answer,
         },
         poison::TRY_PATH => match message::<poison::Ask>(&mut request).await {
--- a/src/gateway/greet.rs
+++ b/src/gateway/greet.rs
@@ -46,7 +46,10 @@
         let hall = &self.knowledge.identity.hall;
         let hosts = self.pool.borrow().silent(hall, now);
         let port = self.setting.sidecar_port;
-        let (own, fellows) = (self.knowledge.identity.address, self.knowledge.local_peers());
+        let (own, fellows) = (
+            self.knowledge.identity.address,
+            self.knowledge.local_peers(),
+        );
         let greets = |host: &IpAddr| {
             let subject = host.to_string();
             rank(own, fellows.iter().copied(), &subject) < GREETED_BY
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -9,8 +9,8 @@
 use crate::clock::Time;
 use crate::knowledge::fanout::{self, Message};
 use crate::knowledge::gossip;
-use crate::knowledge::halls::Ask;
-use crate::knowledge::hub::Extent;
+use crate::knowledge::hub::Content;
+use crate::knowledge::polls::Poll;
 use crate::knowledge::readers::Readers;
 use crate::knowledge::rounds::PeerExchange;
 use crate::wire::pack;
@@ -33,7 +33,7 @@
     }
 }
 
-async fn ask_hall(gateway: Rc<Gateway>, ask: Ask) {
+async fn ask_hall(gateway: Rc<Gateway>, ask: Poll) {
     let knowledge = &gateway.knowledge;
     let sync = knowledge.sync_exchanging(if ask.wants_peers {
         PeerExchange::PushPullHall
@@ -41,7 +41,7 @@
         PeerExchange::Skip
     });
     let answer = gossip::call::<_, HallNews>(knowledge, ask.entry, HALL_PATH, &sync).await;
-    gateway.halls.borrow_mut().answered(&ask.hall);
+    gateway.halls.borrow_mut().finished(&ask.hall);
     match answer {
         Ok(answer) => {
             let digest = answer.digest();
@@ -77,8 +77,8 @@
         let now = knowledge.now();
         let own = knowledge.identity.address;
         let fellows = knowledge.local_peers();
-        let place = Readers::place(own, &fellows);
-        if !self.hub.borrow().tells(place, now) {
+        let place = Readers::rank(own, &fellows);
+        if !self.hub.borrow().is_active(place, now) {
             return;
         }
         for ask in self.due_halls(now) {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn due_halls(&self, now: Time) -> Vec<Ask> {
+    fn due_halls(&self, now: Time) -> Vec<Poll> {
         let knowledge = &self.knowledge;
         let peers = knowledge.peers.borrow();
         let mut rng = knowledge.rng.borrow_mut();
@@ -100,9 +100,9 @@
     }
 
     /// Sends one frame, written once, to each other entry of the hall.
-    fn tell_hall(&self, extent: Extent, now: Time) {
+    fn tell_hall(&self, extent: Content, now: Time) {
         let knowledge = &self.knowledge;
-        let sync = knowledge.sync(extent == Extent::Whole { entries: true });
+        let sync = knowledge.sync(extent == Content::Whole { entries: true });
         let header = self.hub.borrow_mut().next_header(sync.marks);
         let frame = Frame {
             digests: self.digests(extent, now),
@@ -120,14 +120,14 @@
         }
     }
 
-    fn digests(&self, extent: Extent, now: Time) -> Vec<Digest> {
+    fn digests(&self, extent: Content, now: Time) -> Vec<Digest> {
         let own = &self.knowledge.identity.hall;
         match extent {
-            Extent::Since(since) => vec![Digest {
+            Content::Since(since) => vec![Digest {
                 hall: own.clone(),
                 replicas: self.pool.borrow().reports_since(own, since, now),
             }],
-            Extent::Whole { .. } => {
+            Content::Whole { .. } => {
                 let halls = self.pool.borrow().halls();
                 let digests = halls.into_iter().map(|hall| Digest {
                     replicas: self.reports(&hall, now),
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -45,11 +45,11 @@
 pub mod draws;
 pub mod fanout;
 pub mod gossip;
-pub mod halls;
 pub mod hub;
 pub mod news;
 pub mod pace;
 pub mod poison;
+pub mod polls;
 pub mod readers;
 pub mod rounds;
 pub mod store;
@@ -233,7 +233,7 @@
             return;
         }
         if let Some(age) = store_age_ms.map(Duration::from_millis) {
-            self.readers.borrow_mut().told(entry, now - age);
+            self.readers.borrow_mut().record_answer(entry, now - age);
         }
     }
 
@@ -249,7 +249,7 @@
 
     /// An entry does not answer.
     pub fn mark_unreachable(&self, entry: SocketAddr) {
-        self.readers.borrow_mut().lost(entry);
+        self.readers.borrow_mut().remove(entry);
     }
 
     /// Whether another process with these marks knows something newer.
--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -106,7 +106,7 @@
     /// A packed [`crate::wire::sync::Frame`].
     Frame(Bytes),
     /// A notice that this entry has news.
-    News,
+    Notice,
 }
 
 /// Sends `message` to all `receivers`, directly or through other entries.
@@ -171,10 +171,10 @@
                 };
                 gossip::call(knowledge, to, FRAME_FORWARD_PATH, &forwarded).await
             }
-            Self::News if rest.is_empty() => {
+            Self::Notice if rest.is_empty() => {
                 gossip::call(knowledge, to, SYNC_PATH, &knowledge.sync(false)).await
             }
-            Self::News => {
+            Self::Notice => {
                 let forwarded = ForwardedSync {
                     receivers: rest.to_vec(),
                     sync: knowledge.sync(false),
@@ -196,7 +196,7 @@
     {
         log::info!(from:% = notice.sync.from; "notice of news forwarded before the news was fetched");
     }
-    send(&knowledge, &Message::News, notice.receivers);
+    send(&knowledge, &Message::Notice, notice.receivers);
 }
 
 async fn wait_until_known(knowledge: &Knowledge, marks: Marks) {
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -209,8 +209,8 @@
 fn purpose(path: &str) -> Purpose {
     match path {
         REPORT_PATH => Purpose::Report,
-        HALL_PATH => Purpose::Hall,
-        FRAME_PATH | FRAME_FORWARD_PATH => Purpose::PassOn,
+        HALL_PATH => Purpose::HallPoll,
+        FRAME_PATH | FRAME_FORWARD_PATH => Purpose::Forward,
         place::PATH => Purpose::Place,
         poison::PATH | poison::TRY_PATH => Purpose::Poison,
         _ => Purpose::Heartbeat,
@@ -248,7 +248,7 @@
                 knowledge.apply_update(peer, news);
                 if far {
                     // The hall's readers of the store may be cut off from it.
-                    fanout::send(&knowledge, &Message::News, knowledge.local_peers());
+                    fanout::send(&knowledge, &Message::Notice, knowledge.local_peers());
                 }
             }
             Err(Error::Patience(patience::Error::NotNeeded)) => {}
@@ -322,7 +322,7 @@
         if !reader && !knowledge.reads(Topic::Operator) {
             continue;
         }
-        fanout::send(&knowledge, &Message::News, local_peers);
+        fanout::send(&knowledge, &Message::Notice, local_peers);
         sleep(NEWS_GAP).await;
     }
 }
--- a/src/knowledge/hub.rs
+++ b/src/knowledge/hub.rs
@@ -37,7 +37,7 @@
 
 /// What a frame tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Extent {
+pub enum Content {
     /// All replicas that are known; with `entries`, the entries as well.
     Whole {
         /// Whether the entries are named.
@@ -139,7 +139,7 @@
     }
 
     /// Whether the entry that is so many places from the first tells the others.
-    pub fn tells(&self, rank: u32, now: Time) -> bool {
+    pub fn is_active(&self, rank: u32, now: Time) -> bool {
         let Some(before) = rank.checked_sub(1) else {
             return true;
         };
@@ -149,8 +149,8 @@
 
     /// What the entry at `rank` tells now, if anything; `changed` says when a replica began or ended
     /// to take requests.
-    pub fn due(&mut self, rank: u32, changed: Option<Time>, now: Time) -> Option<Extent> {
-        if !self.tells(rank, now) {
+    pub fn due(&mut self, rank: u32, changed: Option<Time>, now: Time) -> Option<Content> {
+        if !self.is_active(rank, now) {
             return None;
         }
         let since = |last: Option<Time>| last.map(|last| now.since(last));
@@ -161,20 +161,23 @@
             }
             self.told = Some(now);
             self.told_whole = Some(now);
-            return Some(Extent::Whole { entries });
+            return Some(Content::Whole { entries });
         }
         let last = self.told?;
         if now.since(last) < GAP || changed.is_none_or(|changed| changed <= last) {
             return None;
         }
         self.told = Some(now);
-        Some(Extent::Since(last))
+        Some(Content::Since(last))
     }
 }
 
 /// Whom of the entries of its hall, `ranked`, the process beside a replica tells, where `silent` says
 /// who did not answer last.
-pub fn told(ranked: &[SocketAddr], silent: impl Fn(SocketAddr) -> bool) -> Vec<SocketAddr> {
+pub fn report_targets(
+    ranked: &[SocketAddr],
+    silent: impl Fn(SocketAddr) -> bool,
+) -> Vec<SocketAddr> {
     let (mut answering, mut tried) = (0, 0);
     let mut chosen = Vec::new();
     for &entry in ranked {
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -104,7 +104,7 @@
 }
 
 /// Takes what another entry tells. Returns what it is told in turn.
-pub fn hear(knowledge: &Rc<Knowledge>, notice: &Notice) -> Notice {
+pub fn apply_notice(knowledge: &Rc<Knowledge>, notice: &Notice) -> Notice {
     let now = knowledge.now();
     let news = knowledge.poison.borrow_mut().hear(&notice.cases, now);
     // Whoever learned of it in this hall has told all of it.
@@ -131,7 +131,7 @@
     };
     match gossip::call::<_, Notice>(&knowledge, peer, PATH, &notice).await {
         Ok(answer) => {
-            hear(&knowledge, &answer);
+            apply_notice(&knowledge, &answer);
         }
         Err(error) => log::info!(peer:% = peer; "poison requests not compared: {error}"),
     }
--- a/src/knowledge/polls.rs
+++ b/src/knowledge/polls.rs
@@ -22,7 +22,7 @@
 
 /// What is known of questions to a hall.
 #[derive(Debug, Clone, Copy, Default)]
-struct Asked {
+struct PollState {
     at: Option<Time>,
     named: Option<Time>,
     waiting: bool,
@@ -30,7 +30,7 @@
 
 /// Another hall is to be asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct Poll {
     /// The hall.
     pub hall: Arc<str>,
     /// Its entry to ask.
@@ -41,11 +41,11 @@
 
 /// The other halls.
 #[derive(Debug, Default)]
-pub struct Halls {
-    asked: BTreeMap<Arc<str>, Asked>,
+pub struct Polls {
+    asked: BTreeMap<Arc<str>, PollState>,
 }
 
-impl Halls {
+impl Polls {
     /// Which halls the entry that tells `own_hall` asks now.
     pub fn due(
         &mut self,
@@ -53,7 +53,7 @@
         peers: &Peers,
         now: Time,
         rng: &mut impl Rng,
-    ) -> Vec<Ask> {
+    ) -> Vec<Poll> {
         let mut asks = Vec::new();
         for (hall, entries) in peers.by_other_hall(own_hall, now) {
             let asked = self.asked.entry(hall.clone()).or_default();
@@ -66,7 +66,7 @@
             if wants_peers {
                 asked.named = Some(now);
             }
-            asks.push(Ask {
+            asks.push(Poll {
                 entry: entries[rng.random_range(0..entries.len())],
                 hall,
                 wants_peers,
@@ -76,7 +76,7 @@
     }
 
     /// A hall answered, or did not.
-    pub fn answered(&mut self, hall: &str) {
+    pub fn finished(&mut self, hall: &str) {
         if let Some(asked) = self.asked.get_mut(hall) {
             asked.waiting = false;
         }
--- a/src/knowledge/readers.rs
+++ b/src/knowledge/readers.rs
@@ -47,7 +47,7 @@
 const STEPS_MAX: u32 = 12;
 
 /// Entries of a hall that are asked for news: its readers.
-pub const ASKED: usize = 2;
+pub const UPDATE_SOURCES: usize = 2;
 
 /// Highest-ranked entries of its hall that a sidecar receives. It reports to the first of them.
 const SIDECAR_RANKED_ENTRIES: usize = 4;
@@ -74,7 +74,7 @@
     }
 
     /// The store answered `entry` last at `at`.
-    pub fn told(&mut self, entry: SocketAddr, at: Time) {
+    pub fn record_answer(&mut self, entry: SocketAddr, at: Time) {
         let known = self.answered.entry(entry).or_default();
         *known = (*known).max(at);
     }
@@ -85,17 +85,25 @@
     }
 
     /// An entry does not answer.
-    pub fn lost(&mut self, entry: SocketAddr) {
+    pub fn remove(&mut self, entry: SocketAddr) {
         self.answered.remove(&entry);
     }
 
     /// Whether the entry at `own` reads `topic` itself, beside the other entries of its hall.
-    pub fn reads(&self, topic: Topic, own: SocketAddr, local_peers: &[SocketAddr], now: Time) -> bool {
-        let rank = Self::place(own, local_peers);
+    pub fn reads(
+        &self,
+        topic: Topic,
+        own: SocketAddr,
+        local_peers: &[SocketAddr],
+        now: Time,
+    ) -> bool {
+        let rank = Self::rank(own, local_peers);
         if rank < readers(topic) {
             return true;
         }
-        let answered = local_peers.iter().filter_map(|entry| self.answered.get(entry));
+        let answered = local_peers
+            .iter()
+            .filter_map(|entry| self.answered.get(entry));
         let (last, missing) = match answered.max() {
             Some(at) => (*at, MISSING),
             None => (self.began, missing_at_start(topic)),
@@ -123,7 +131,7 @@
 
     /// The place of the entry at `own` among those of its hall: 0 for the one that reads everything
     /// from the store and tells the others.
-    pub fn place(own: SocketAddr, local_peers: &[SocketAddr]) -> u32 {
+    pub fn rank(own: SocketAddr, local_peers: &[SocketAddr]) -> u32 {
         rank(own, local_peers.iter().copied(), SUBJECT)
     }
 
@@ -159,13 +167,13 @@
 
     /// Whether the entry at `own` is one of those whom the others ask.
     pub fn is_reader(own: SocketAddr, local_peers: &[SocketAddr]) -> bool {
-        Self::place(own, local_peers) < ASKED as u32
+        Self::rank(own, local_peers) < UPDATE_SOURCES as u32
     }
 
     /// The entries of the hall to ask for news.
-    pub fn asked(local_peers: &[SocketAddr]) -> Vec<SocketAddr> {
+    pub fn update_sources(local_peers: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut ranked = Self::ranked(local_peers);
-        ranked.truncate(ASKED);
+        ranked.truncate(UPDATE_SOURCES);
         ranked
     }
 }
--- a/src/knowledge/rounds.rs
+++ b/src/knowledge/rounds.rs
@@ -88,7 +88,7 @@
         let is_seed_round = number.is_multiple_of(SEED_ROUNDS);
         let may_be_wide = local_peers.is_empty() || Readers::is_reader(input.own, &local_peers);
         let wide = may_be_wide && is_seed_round;
-        let mut targets = Readers::asked(&local_peers);
+        let mut targets = Readers::update_sources(&local_peers);
         // Limits traffic between halls, which is expensive.
         if wide || targets.is_empty() {
             targets.extend(input.peers.sample(1, now, rng));
--- a/src/knowledge/traffic.rs
+++ b/src/knowledge/traffic.rs
@@ -25,13 +25,13 @@
     /// A process beside a replica reports how that does.
     Report,
     /// Another hall is asked how its replicas do.
-    Hall,
+    HallPoll,
     /// How replicas do is passed on within a hall.
-    PassOn,
+    Forward,
     /// The process beside a replica is asked for a place there.
     Place,
     /// The replica is asked by the process beside it.
-    Look,
+    Probe,
     /// The platform's store is asked.
     Store,
     /// Entries tell each other under which requests replicas ended.
@@ -42,10 +42,10 @@
 const PURPOSES: [Purpose; 8] = [
     Purpose::Heartbeat,
     Purpose::Report,
-    Purpose::Hall,
-    Purpose::PassOn,
+    Purpose::HallPoll,
+    Purpose::Forward,
     Purpose::Place,
-    Purpose::Look,
+    Purpose::Probe,
     Purpose::Store,
     Purpose::Poison,
 ];
@@ -56,10 +56,10 @@
         match self {
             Self::Heartbeat => "heartbeat",
             Self::Report => "report",
-            Self::Hall => "hall",
-            Self::PassOn => "pass_on",
+            Self::HallPoll => "hall",
+            Self::Forward => "pass_on",
             Self::Place => "place",
-            Self::Look => "look",
+            Self::Probe => "look",
             Self::Store => "store",
             Self::Poison => "poison",
         }
--- a/src/member/peer.rs
+++ b/src/member/peer.rs
@@ -96,7 +96,11 @@
     }
 
     /// What others are told of the entries whose addresses satisfy `includes`.
-    pub fn advertise_filtered(&self, now: Time, includes: impl Fn(SocketAddr) -> bool) -> Vec<Advertisement> {
+    pub fn advertise_filtered(
+        &self,
+        now: Time,
+        includes: impl Fn(SocketAddr) -> bool,
+    ) -> Vec<Advertisement> {
         let peers = self.peers.iter();
         let included = peers.filter(|(address, _)| includes(**address));
         let told = included.map(|(address, peer)| Advertisement {
@@ -109,7 +113,8 @@
 
     /// Forgets entries that were silent for long.
     pub fn remove_expired(&mut self, now: Time) {
-        self.peers.retain(|_, peer| now.since(peer.last_seen) < EXPIRY);
+        self.peers
+            .retain(|_, peer| now.since(peer.last_seen) < EXPIRY);
     }
 
     /// Entries heard of lately.
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -70,7 +70,7 @@
 /// Asks the replica until dropped.
 pub async fn observe(sidecar: Rc<Sidecar>) {
     for look in 1_u32.. {
-        sidecar.knowledge.traffic.count(Purpose::Look, 0);
+        sidecar.knowledge.traffic.count(Purpose::Probe, 0);
         let state = timeout(LOOK_TIMEOUT, sidecar.engine.state()).await;
         match state {
             Ok(Ok(state)) => {
@@ -271,7 +271,7 @@
             return known;
         }
         // The others of the hall, and those of other halls, hear of it from the first ones.
-        hub::told(&Readers::ranked(&known), silent)
+        hub::report_targets(&Readers::ranked(&known), silent)
     }
 }
 
--- a/src/stop.rs
+++ b/src/stop.rs
@@ -13,7 +13,7 @@
 
 pub mod tracker;
 
-pub use tracker::{Tracker, Permit};
+pub use tracker::{Permit, Tracker};
 
 /// How long a stopping process goes on taking requests: three times the second in which those who
 /// route to it look whether it is ready.
--- a/src/stop/tracker.rs
+++ b/src/stop/tracker.rs
@@ -15,7 +15,7 @@
 use opentelemetry::metrics::{Counter, Meter};
 use tokio::sync::watch;
 
-use super::{Kind, Phase, Setting, Stop, Decision};
+use super::{Decision, Kind, Phase, Setting, Stop};
 use crate::clock::Clock;
 use crate::http::held::{Held, Keeper};
 use crate::http::{Answer, Server};
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -10,7 +10,7 @@
 use pumicelatch::config::routing::{
     Access, Customer, Document, Gaps, Kind, Limits, Route, Routing, Share,
 };
-use pumicelatch::member::peer::{EXPIRY, Peers, Advertisement};
+use pumicelatch::member::peer::{Advertisement, EXPIRY, Peers};
 use pumicelatch::member::replica::Record;
 use quickcheck::{TestResult, quickcheck};
 
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -9,9 +9,9 @@
 use pumicelatch::config::belief::{Dated, Fact, Marks};
 use pumicelatch::config::routing::{Document, Kind};
 use pumicelatch::knowledge::draws::{Draws, Place};
-use pumicelatch::knowledge::halls::{Ask, Halls, PERIOD};
-use pumicelatch::knowledge::hub::{self, Extent, Hub};
+use pumicelatch::knowledge::hub::{self, Content, Hub};
 use pumicelatch::knowledge::pace::Pace;
+use pumicelatch::knowledge::polls::{PERIOD, Poll, Polls};
 use pumicelatch::knowledge::readers::Readers;
 use pumicelatch::knowledge::rounds::{PeerExchange, RoundInput, RoundPlanner};
 use pumicelatch::knowledge::traffic::{Purpose, Traffic};
@@ -49,7 +49,7 @@
     peers
 }
 
-fn asked(halls: &mut Halls, peers: &Peers, now: Time) -> Vec<Ask> {
+fn asked(halls: &mut Polls, peers: &Peers, now: Time) -> Vec<Poll> {
     let mut rng = SmallRng::seed_from_u64(3);
     halls.due("hall-1", peers, now, &mut rng)
 }
@@ -88,14 +88,14 @@
         let mut hub = Hub::new(1, NOW);
         hub.heard(NOW);
         let now = NOW + hub::PERIOD;
-        if !hub.tells(Readers::place(own, &local_peers(index, 4)), now) {
+        if !hub.is_active(Readers::rank(own, &local_peers(index, 4)), now) {
             assert_eq!(
-                hub.due(Readers::place(own, &local_peers(index, 4)), Some(now), now),
+                hub.due(Readers::rank(own, &local_peers(index, 4)), Some(now), now),
                 None
             );
             continue;
         }
-        let asks = asked(&mut Halls::default(), &peers(own, 4, NOW), now);
+        let asks = asked(&mut Polls::default(), &peers(own, 4, NOW), now);
         asking += asks.len();
         assert!(asks.iter().all(|ask| ask.hall != hall(1)));
     }
@@ -108,50 +108,53 @@
     let at = |ms| NOW + Duration::from_millis(ms);
     let mut hub = Hub::new(1, NOW);
     assert!(
-        hub.tells(0, NOW) && !hub.tells(1, NOW),
+        hub.is_active(0, NOW) && !hub.is_active(1, NOW),
         "the first one is not waited for"
     );
     hub.heard(at(1_000));
-    assert!(!hub.tells(1, at(2_100)) && hub.tells(1, at(2_200)));
-    assert!(!hub.tells(2, at(2_200)) && hub.tells(2, at(2_500)));
+    assert!(!hub.is_active(1, at(2_100)) && hub.is_active(1, at(2_200)));
+    assert!(!hub.is_active(2, at(2_200)) && hub.is_active(2, at(2_500)));
     hub.heard(at(2_600));
-    assert!(!hub.tells(2, at(2_700)), "another one tells again");
+    assert!(!hub.is_active(2, at(2_700)), "another one tells again");
 }
 
 #[test]
 fn a_turn_is_told_at_once_and_everything_twice_a_second() {
     let at = |ms| NOW + Duration::from_millis(ms);
     let mut hub = Hub::new(1, NOW);
-    assert_eq!(hub.due(0, None, NOW), Some(Extent::Whole { entries: true }));
+    assert_eq!(
+        hub.due(0, None, NOW),
+        Some(Content::Whole { entries: true })
+    );
     assert_eq!(hub.due(0, None, at(200)), None);
     assert_eq!(
         hub.due(0, Some(at(50)), at(60)),
         None,
         "too soon after the last"
     );
-    assert_eq!(hub.due(0, Some(at(50)), at(100)), Some(Extent::Since(NOW)));
+    assert_eq!(hub.due(0, Some(at(50)), at(100)), Some(Content::Since(NOW)));
     assert_eq!(hub.due(0, Some(at(50)), at(300)), None, "it was told");
-    let whole = Some(Extent::Whole { entries: false });
+    let whole = Some(Content::Whole { entries: false });
     assert_eq!(hub.due(0, None, at(500)), whole);
     assert_eq!(hub.due(0, None, at(1_000)), whole);
     assert_eq!(
         hub.due(0, None, at(1_500)),
-        Some(Extent::Whole { entries: true })
+        Some(Content::Whole { entries: true })
     );
 }
 
 #[test]
 fn a_process_beside_a_replica_tells_two_entries_that_answer_however_many_there_are() {
     let ranked = Readers::ranked(&local_peers(0, 30));
-    let told = hub::told(&ranked, |_| false);
+    let told = hub::report_targets(&ranked, |_| false);
     assert_eq!(told, ranked[..2]);
-    let first_gone = hub::told(&ranked, |entry| entry == ranked[0]);
+    let first_gone = hub::report_targets(&ranked, |entry| entry == ranked[0]);
     assert_eq!(
         first_gone,
         ranked[..3],
         "it is tried on, and the next two are told"
     );
-    let all_gone = hub::told(&ranked, |_| true);
+    let all_gone = hub::report_targets(&ranked, |_| true);
     assert_eq!(all_gone, ranked[..2]);
 }
 
@@ -159,7 +162,7 @@
 fn messages_of_a_hall_grow_with_its_replicas_plus_its_entries() {
     let messages = |replicas: usize, entries: u8| {
         let ranked = Readers::ranked(&local_peers(0, entries));
-        let reports = replicas * hub::told(&ranked, |_| false).len();
+        let reports = replicas * hub::report_targets(&ranked, |_| false).len();
         reports + usize::from(entries) - 1
     };
     // Ten times as many of each: ten times the messages, not a hundred times.
@@ -171,20 +174,20 @@
 fn a_hall_is_asked_once_at_a_time() {
     let own = entry(1, 1);
     let peers = peers(own, 4, NOW);
-    let mut halls = Halls::default();
+    let mut halls = Polls::default();
     assert_eq!(asked(&mut halls, &peers, NOW).len(), 2);
     let later = NOW + PERIOD;
     assert!(asked(&mut halls, &peers, later).is_empty());
-    halls.answered("hall-2");
+    halls.finished("hall-2");
     assert_eq!(asked(&mut halls, &peers, later).len(), 1);
-    halls.answered("hall-2");
+    halls.finished("hall-2");
     assert!(asked(&mut halls, &peers, later).is_empty());
 }
 
 #[test]
 fn a_hall_that_nobody_hears_of_is_not_asked() {
     let peers = peers(entry(1, 1), 2, NOW);
-    assert!(asked(&mut Halls::default(), &peers, NOW + ALIVE_TIMEOUT).is_empty());
+    assert!(asked(&mut Polls::default(), &peers, NOW + ALIVE_TIMEOUT).is_empty());
 }
 
 fn local_peers(index: u8, count: u8) -> Vec<SocketAddr> {
@@ -199,7 +202,7 @@
         let mut readers = Readers::default();
         for (other, age_ms) in told {
             let at = NOW - Duration::from_millis(*age_ms);
-            readers.told(entry(1, *other), at);
+            readers.record_answer(entry(1, *other), at);
         }
         readers.reads(topic, entry(1, *index), &local_peers(*index, count), NOW)
     };
@@ -224,10 +227,10 @@
         .unwrap();
     let others = local_peers(index, 4);
     let mut readers = Readers::default();
-    readers.told(others[0], NOW);
+    readers.record_answer(others[0], NOW);
     let own = entry(1, index);
     assert!(!readers.reads(Topic::Operator, own, &others, NOW));
-    readers.lost(others[0]);
+    readers.remove(others[0]);
     assert!(readers.reads(Topic::Operator, own, &others, NOW));
 }
 
@@ -300,7 +303,7 @@
             .copied()
             .filter(|other| other != own)
             .collect();
-        let mut asked = Readers::asked(&others);
+        let mut asked = Readers::update_sources(&others);
         asked.sort_unstable();
         assert_eq!(asked, readers);
     }
@@ -473,7 +476,7 @@
     traffic.count(Purpose::Report, 500);
     traffic.count(Purpose::Report, 20);
     assert_eq!(traffic.of(Purpose::Report), (2, 520));
-    assert_eq!(traffic.of(Purpose::Hall), (0, 0));
+    assert_eq!(traffic.of(Purpose::HallPoll), (0, 0));
     let text = String::from_utf8(metrics.text().unwrap()).unwrap();
     let line = text
         .lines()
@@ -595,7 +598,7 @@
     // A restarted process or another sender numbers its frames from 1 again.
     assert!(hub.accept_frame(sender, 8, 1, NOW));
     assert!(hub.accept_frame(entry(1, 2), 9, 1, NOW));
-    assert!(!hub.tells(1, NOW + Duration::from_millis(1_100)));
+    assert!(!hub.is_active(1, NOW + Duration::from_millis(1_100)));
 }
 
 #[test]
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -67,7 +67,7 @@
     fn hears(&mut self, address: SocketAddr, hall: &Arc<str>, answered: Option<Time>, now: Time) {
         self.peers.observe(address, hall, now);
         if let Some(at) = answered.filter(|_| *hall == self.hall) {
-            self.readers.told(address, at);
+            self.readers.record_answer(address, at);
         }
     }
 }
@@ -193,7 +193,7 @@
     /// draws the topics that it lacks from the other.
     fn exchange(&mut self, from: SocketAddr, to: SocketAddr, names_entries: bool, now: Time) {
         if self.entries[&to].starts > now {
-            self.entries.get_mut(&from).unwrap().readers.lost(to);
+            self.entries.get_mut(&from).unwrap().readers.remove(to);
             return;
         }
         for (teller, listener) in [(from, to), (to, from)] {
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::stop::{Kind, Phase, Setting, Stop, Decision};
+use pumicelatch::stop::{Decision, Kind, Phase, Setting, Stop};
 
 /// A step of time.
 const STEP: Duration = Duration::from_millis(1);
@@ -85,7 +85,8 @@
 
     fn look(&mut self, now: Time) -> Phase {
         let spent = now.since(self.began);
-        if spent >= SETTING.time_limit || (spent >= SETTING.announce_period && self.under_way == 0) {
+        if spent >= SETTING.time_limit || (spent >= SETTING.announce_period && self.under_way == 0)
+        {
             self.idle.get_or_insert(now);
         }
         match self.idle {
