--- a/src/burst/joined.rs
+++ b/src/burst/joined.rs
@@ -53,7 +53,7 @@
 
 /// The newest version that was named for the model that is served; `None` while nothing is known.
 pub fn newest(knowledge: &Knowledge) -> Option<Target> {
-    let brief = knowledge.brief()?;
+    let brief = knowledge.summary()?;
     let figures = brief.engine.as_ref();
     let told = figures.and_then(|engine| engine.models.first().cloned());
     let model = told.or_else(|| knowledge.belief.borrow().held_model(None))?;
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -399,7 +399,7 @@
             return;
         }
         let knowledge = &self.knowledge;
-        let brief = knowledge.brief();
+        let brief = knowledge.summary();
         let origin_chunk = brief.as_ref().and_then(Brief::chunk);
         let origin = brief.and_then(|brief| brief.origin);
         let (Some(target), Some(origin)) = (joined::newest(knowledge), origin) else {
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -35,7 +35,7 @@
 
 async fn ask_hall(gateway: Rc<Gateway>, ask: Poll) {
     let knowledge = &gateway.knowledge;
-    let sync = knowledge.sync_exchanging(if ask.wants_peers {
+    let sync = knowledge.heartbeat_with(if ask.wants_peers {
         PeerExchange::PushPullHall
     } else {
         PeerExchange::Skip
@@ -102,7 +102,7 @@
     /// Sends one frame, written once, to each other entry of the hall.
     fn tell_hall(&self, extent: Content, now: Time) {
         let knowledge = &self.knowledge;
-        let sync = knowledge.sync(extent == Content::Whole { entries: true });
+        let sync = knowledge.heartbeat(extent == Content::Whole { entries: true });
         let header = self.hub.borrow_mut().next_header(sync.marks);
         let frame = Frame {
             digests: self.digests(extent, now),
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -104,7 +104,7 @@
     /// Entries.
     pub peers: RefCell<Peers>,
     /// The newest configuration in brief, where the whole is not kept.
-    pub brief: RefCell<Option<Brief>>,
+    pub summary: RefCell<Option<Brief>>,
     /// Addresses of processes to begin with.
     pub seeds: RefCell<Vec<SocketAddr>>,
     /// The regions of data halls.
@@ -154,7 +154,7 @@
             belief: RefCell::new(Belief::new(!policy.doubt)),
             policy,
             peers: RefCell::new(Peers::new(own)),
-            brief: RefCell::default(),
+            summary: RefCell::default(),
             seeds: RefCell::new(seeds),
             regions: RefCell::default(),
             changed: tokio::sync::watch::Sender::new(0),
@@ -440,7 +440,7 @@
 
     /// The settings of the change of versions, planned as `setting`, for an origin like the present one.
     pub fn rollout(&self, setting: rollout::Setting) -> rollout::Setting {
-        let copy = self.brief().and_then(|brief| brief.copy());
+        let copy = self.summary().and_then(|brief| brief.copy());
         setting.with_copy(copy, self.policy)
     }
 
@@ -455,10 +455,10 @@
     }
 
     /// The configuration in brief, from the whole if that is known.
-    pub fn brief(&self) -> Option<Brief> {
+    pub fn summary(&self) -> Option<Brief> {
         let belief = self.belief.borrow();
         let Some(routing) = belief.routing() else {
-            return self.brief.borrow().clone();
+            return self.summary.borrow().clone();
         };
         let services = routing.document.services.iter();
         Some(Brief {
--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -172,12 +172,12 @@
                 gossip::call(knowledge, to, FRAME_FORWARD_PATH, &forwarded).await
             }
             Self::Notice if rest.is_empty() => {
-                gossip::call(knowledge, to, SYNC_PATH, &knowledge.sync(false)).await
+                gossip::call(knowledge, to, SYNC_PATH, &knowledge.heartbeat(false)).await
             }
             Self::Notice => {
                 let forwarded = ForwardedSync {
                     receivers: rest.to_vec(),
-                    sync: knowledge.sync(false),
+                    sync: knowledge.heartbeat(false),
                 };
                 gossip::call(knowledge, to, SYNC_FORWARD_PATH, &forwarded).await
             }
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -233,7 +233,7 @@
         let sync = Sync {
             wants_routing: true,
             wants_list: true,
-            ..knowledge.sync(false)
+            ..knowledge.heartbeat(false)
         };
         let began = knowledge.now();
         let needed = || knowledge.needs_draw(marks);
@@ -281,7 +281,7 @@
         for peer in round.targets {
             let knowledge = knowledge.clone();
             actix_rt::spawn(async move {
-                let sync = knowledge.sync_exchanging(round.peer_exchange);
+                let sync = knowledge.heartbeat_with(round.peer_exchange);
                 if let Err(error) = post(&knowledge, peer, SYNC_PATH, &sync).await {
                     knowledge.mark_unreachable(peer);
                     if let Some(lost) = knowledge.lost_heartbeats.count() {
@@ -333,7 +333,7 @@
     for process in processes {
         let knowledge = knowledge.clone();
         actix_rt::spawn(async move {
-            let sync = knowledge.sync(names_entries);
+            let sync = knowledge.heartbeat(names_entries);
             if let Err(error) = post(&knowledge, process, SYNC_PATH, &sync).await {
                 log::debug!(process:% = process; "not told: {error}");
             }
@@ -356,7 +356,7 @@
     if knowledge.fetching.replace(true) {
         return;
     }
-    let sync = knowledge.sync(false);
+    let sync = knowledge.heartbeat(false);
     if let Err(error) = post(&knowledge, peer, SYNC_PATH, &sync).await {
         log::warn!(peer:% = peer; "news lost: {error}");
     }
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -59,12 +59,12 @@
         }
         if let Some(brief) = news.brief {
             let newer = self
-                .brief
+                .summary
                 .borrow()
                 .as_ref()
                 .is_none_or(|known| known.revision < brief.revision);
             if newer {
-                self.brief.replace(Some(brief));
+                self.summary.replace(Some(brief));
                 self.tell(Effect::Routing);
             }
         }
@@ -132,18 +132,18 @@
 
     /// The heartbeat that this process sends. With `names_entries` it tells the entries that it
     /// knows, and wants to be told.
-    pub fn sync(&self, names_entries: bool) -> Sync {
+    pub fn heartbeat(&self, names_entries: bool) -> Sync {
         let exchange = if names_entries {
             PeerExchange::PushPull
         } else {
             PeerExchange::Skip
         };
-        self.sync_exchanging(exchange)
+        self.heartbeat_with(exchange)
     }
 
     /// The heartbeat that this process sends. `exchange` selects whether it sends and requests known
     /// entries.
-    pub fn sync_exchanging(&self, exchange: PeerExchange) -> Sync {
+    pub fn heartbeat_with(&self, exchange: PeerExchange) -> Sync {
         let now = self.now();
         Sync {
             from: self.identity.address,
@@ -179,7 +179,7 @@
             let sync = Sync {
                 entry: false,
                 marks,
-                ..self.sync(false)
+                ..self.heartbeat(false)
             };
             self.update_for(&sync, false)
         })
@@ -269,7 +269,7 @@
                 .then(|| self.packed_list())
                 .flatten(),
             changes,
-            brief: (newer_routing && brief).then(|| self.brief()).flatten(),
+            brief: (newer_routing && brief).then(|| self.summary()).flatten(),
             poison: self.poison.borrow().digest(now),
         }
     }
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -188,7 +188,7 @@
 
     /// Answers an entry that asks for a place.
     pub(super) fn place(&self, ask: &place::Ask) -> place::Answer {
-        let engine = self.knowledge.brief().and_then(|brief| brief.engine);
+        let engine = self.knowledge.summary().and_then(|brief| brief.engine);
         let now = self.knowledge.now();
         let load = self.load();
         let mut ledger = self.ledger.borrow_mut();
@@ -358,7 +358,7 @@
         load: sidecar.load(),
         sync: Sync {
             wants_list: !sidecar.knowledge.belief.borrow().lists_replicas(),
-            ..sidecar.knowledge.sync(asks)
+            ..sidecar.knowledge.heartbeat(asks)
         },
     };
     let (began, note) = (sidecar.knowledge.now(), Note::default());
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -105,7 +105,7 @@
     }
 
     fn crew(&self, members: &[Descriptor]) -> Option<joined::Crew> {
-        let brief = self.knowledge.brief()?;
+        let brief = self.knowledge.summary()?;
         let identity = &self.setting.identity;
         let own = joined::member(
             self.host.name.to_string(),
@@ -168,7 +168,7 @@
     }
 
     fn times(&self) -> Option<stopgap::Times> {
-        let brief = self.knowledge.brief()?;
+        let brief = self.knowledge.summary()?;
         let bytes = brief.engine.as_ref()?.weight_bytes();
         let rollout = self.setting.rollout;
         let own = over_link(bytes, self.setting.link_mbps);
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -383,7 +383,7 @@
         let knowledge = Knowledge::new(identity, Vec::new(), 7, Policy::default(), paths);
         knowledge.apply_batch(Topic::Replicas, false, batch(5, Fact::Replica(record(1))));
         if answers_another {
-            let mut sync = knowledge.sync(false);
+            let mut sync = knowledge.heartbeat(false);
             sync.from = entry(1, 2);
             sync.store_age_ms = Some(300);
             knowledge.update_for(&sync, false);
@@ -439,7 +439,7 @@
         belief.evacuations().asked().cloned().collect::<Vec<_>>()
     };
     let tell = || {
-        let news = reader.update_for(&other.sync(false), false);
+        let news = reader.update_for(&other.heartbeat(false), false);
         other.apply_update(entry(1, 1), news);
     };
     let batch = |at, facts| Batch {
@@ -456,7 +456,7 @@
         fact: evacuation,
     };
     reader.apply_batch(Topic::Operator, false, batch(6, vec![dated]));
-    assert!(other.is_behind(reader.sync(false).marks));
+    assert!(other.is_behind(reader.heartbeat(false).marks));
     tell();
     assert_eq!(asked(&other), [hall(2)]);
     // A configuration of before may still be on its way: it is not skipped in the store.
@@ -498,24 +498,24 @@
     };
     reader.apply_batch(Topic::Replicas, true, whole_list);
     let size = |news: &News| rmp_serde::to_vec_named(news).unwrap().len();
-    let heartbeat = reader.update_for(&other.sync(false), false);
+    let heartbeat = reader.update_for(&other.heartbeat(false), false);
     assert!(heartbeat.replicas.is_none() && heartbeat.list.is_none());
     // The previous release cannot draw the list and gets it with each heartbeat.
     let older = Sync {
         draws_list: false,
-        ..other.sync(false)
+        ..other.heartbeat(false)
     };
     let whole = reader.update_for(&older, false);
     assert_eq!(whole.replicas.as_ref().unwrap().records.len(), 90);
     let draws = Sync {
         wants_list: true,
-        ..other.sync(false)
+        ..other.heartbeat(false)
     };
     let drawn = reader.update_for(&draws, false);
     assert!(size(&drawn) * 3 < size(&whole), "{}", size(&drawn));
     other.apply_update(entry(1, 1), drawn);
     assert_eq!(other.belief.borrow().replicas().len(), 90);
-    assert_eq!(other.sync(false).marks, reader.sync(false).marks);
+    assert_eq!(other.heartbeat(false).marks, reader.heartbeat(false).marks);
     // An entry that read the list while it was empty does not draw it again.
     let early = entry_knowing_nothing(3);
     let empty = Batch {
@@ -523,12 +523,15 @@
         ..Batch::default()
     };
     early.apply_batch(Topic::Replicas, true, empty);
-    early.apply_update(entry(1, 1), reader.update_for(&early.sync(false), false));
+    early.apply_update(
+        entry(1, 1),
+        reader.update_for(&early.heartbeat(false), false),
+    );
     assert_eq!(early.belief.borrow().replicas().len(), 90);
     // After the first list, only changes are sent.
     let gone = batch(91, Fact::ReplicaGone("i-7".into()));
     reader.apply_batch(Topic::Replicas, false, gone);
-    let news = reader.update_for(&other.sync(false), false);
+    let news = reader.update_for(&other.heartbeat(false), false);
     assert!(news.replicas.is_none() && news.list.is_none());
     assert_eq!(news.changes.unwrap().gone.len(), 1);
 }
@@ -542,7 +545,7 @@
         from: sidecar.parse().unwrap(),
         entry: false,
         takes_packed_peers: false,
-        ..sender.sync(true)
+        ..sender.heartbeat(true)
     };
     let sync = Sync {
         peers: Vec::new(),
@@ -634,7 +637,7 @@
             ..Batch::default()
         },
     );
-    let before = reader.sync(false).marks;
+    let before = reader.heartbeat(false).marks;
     assert!(reader.update_since(before).is_none());
     let document = Arc::new(Document {
         version: 1,
@@ -676,7 +679,7 @@
         replicas: (1..=64).map(reported).collect(),
     };
     let entry = entry_knowing_nothing(1);
-    let news = || entry.update_for(&entry.sync(false), false);
+    let news = || entry.update_for(&entry.heartbeat(false), false);
     let answer = |pack_replicas| {
         let answer = HallNews::new(digest.clone(), news(), pack_replicas);
         rmp_serde::to_vec_named(&answer).unwrap()
@@ -705,7 +708,7 @@
             from: entry(2, 1),
             hall: hall(2),
             takes_packed_peers,
-            ..responder.sync(true)
+            ..responder.heartbeat(true)
         };
         responder.update_for_hall(&Sync {
             peers: Vec::new(),
@@ -764,7 +767,10 @@
         version: 2,
     };
     sender.apply_batch(Topic::Operator, false, batch(9, version));
-    receiver.apply_update(entry(1, 1), sender.update_for(&receiver.sync(false), false));
+    receiver.apply_update(
+        entry(1, 1),
+        sender.update_for(&receiver.heartbeat(false), false),
+    );
     assert_eq!(receiver.belief.borrow().versions().count(), 1);
     assert_eq!(receiver.revision(Topic::Operator), 0);
     let document = Arc::new(Document {
--- a/tests/named.rs
+++ b/tests/named.rs
@@ -55,7 +55,7 @@
 
 /// `knowledge` asks `other` for its news.
 fn asks(knowledge: &Knowledge, other: &Knowledge) {
-    let news = other.update_for(&knowledge.sync(false), false);
+    let news = other.update_for(&knowledge.heartbeat(false), false);
     knowledge.apply_update(other.identity.address, news);
 }
 
