--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -85,15 +85,15 @@
 ) -> Result<(), Error> {
     let call = Call::new(peer, path, packed(message)?);
     let news = call.exchange(knowledge, note, || true).await?;
-    take(knowledge, peer, news);
+    apply_answer(knowledge, peer, news);
     Ok(())
 }
 
 /// Takes what `peer` answered, and draws the configuration from it if that is newer there.
-pub fn take(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: News) {
+pub fn apply_answer(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: News) {
     let (hall, marks, entry) = (news.hall.clone(), news.marks, news.entry);
     let digest = news.poison;
-    knowledge.take_news(peer, news);
+    knowledge.apply_update(peer, news);
     if entry {
         draw(knowledge, peer, marks, || knowledge.place_of(&hall));
     }
@@ -104,7 +104,7 @@
 }
 
 /// Sends `message` to another process of the system and reads its answer.
-pub async fn ask<T: Serialize, A: DeserializeOwned>(
+pub async fn call<T: Serialize, A: DeserializeOwned>(
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
@@ -117,7 +117,7 @@
 /// Sends `message` to another process of the system and reads its answer, which is due `within`. If
 /// a used connection brings none, it is sent again on a new one, over which it is due within `again`.
 /// Notes which connection it takes.
-pub async fn ask_within<T: Serialize, A: DeserializeOwned>(
+pub async fn call_within<T: Serialize, A: DeserializeOwned>(
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
@@ -135,7 +135,7 @@
 }
 
 /// Sends an already encoded message to another process of the system and reads its answer.
-pub async fn ask_packed(
+pub async fn call_encoded(
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
@@ -209,8 +209,8 @@
 fn purpose(path: &str) -> Purpose {
     match path {
         REPORT_PATH => Purpose::Report,
-        HALL_PATH => Purpose::Hall,
-        FRAME_PATH | FRAME_FORWARD_PATH => Purpose::PassOn,
+        HALL_PATH => Purpose::HallPoll,
+        FRAME_PATH | FRAME_FORWARD_PATH => Purpose::Forward,
         place::PATH => Purpose::Place,
         poison::PATH | poison::TRY_PATH => Purpose::Poison,
         _ => Purpose::Heartbeat,
@@ -233,7 +233,7 @@
         let sync = Sync {
             wants_routing: true,
             wants_list: true,
-            ..knowledge.sync(false)
+            ..knowledge.heartbeat(false)
         };
         let began = knowledge.now();
         let needed = || knowledge.needs_draw(marks);
@@ -245,10 +245,10 @@
                 let bytes = news.routing.as_ref().map_or(0, |dated| dated.packed.len());
                 let list_bytes = news.list.as_ref().map_or(0, |list| list.packed.len());
                 log::info!(peer:% = peer, bytes, list_bytes, ms; "configuration drawn");
-                knowledge.take_news(peer, news);
+                knowledge.apply_update(peer, news);
                 if far {
                     // The hall's readers of the store may be cut off from it.
-                    fanout::send(&knowledge, &Message::News, knowledge.fellows());
+                    fanout::send(&knowledge, &Message::Notice, knowledge.local_peers());
                 }
             }
             Err(Error::Patience(patience::Error::NotNeeded)) => {}
@@ -281,16 +281,16 @@
         for peer in round.targets {
             let knowledge = knowledge.clone();
             actix_rt::spawn(async move {
-                let sync = knowledge.sync_exchanging(round.peer_exchange);
+                let sync = knowledge.heartbeat_with(round.peer_exchange);
                 if let Err(error) = post(&knowledge, peer, SYNC_PATH, &sync).await {
-                    knowledge.lost(peer);
+                    knowledge.mark_unreachable(peer);
                     if let Some(lost) = knowledge.lost_heartbeats.count() {
                         log::warn!(peer:% = peer, lost; "heartbeat lost: {error}");
                     }
                 }
             });
         }
-        knowledge.peers.borrow_mut().sweep(knowledge.now());
+        knowledge.peers.borrow_mut().remove_expired(knowledge.now());
         let jitter = knowledge.rng.borrow_mut().random_range(0.8..1.2);
         sleep(round.pause.mul_f64(jitter)).await;
     }
@@ -314,26 +314,26 @@
 
 /// Tells the other entries of the hall at once that there is news, if this one reads the store for
 /// them, for good or in place of one that hears nothing. Runs until dropped.
-pub async fn tell_news(knowledge: Rc<Knowledge>) {
+pub async fn announce_updates(knowledge: Rc<Knowledge>) {
     loop {
         knowledge.news.notified().await;
-        let fellows = knowledge.fellows();
-        let reader = Readers::is_reader(knowledge.identity.address, &fellows);
+        let local_peers = knowledge.local_peers();
+        let reader = Readers::is_reader(knowledge.identity.address, &local_peers);
         if !reader && !knowledge.reads(Topic::Operator) {
             continue;
         }
-        fanout::send(&knowledge, &Message::News, fellows);
+        fanout::send(&knowledge, &Message::Notice, local_peers);
         sleep(NEWS_GAP).await;
     }
 }
 
 /// Sends a heartbeat to each of `processes`, which may well not answer. With `names_entries` it
 /// tells the entries that this process knows, and wants to be told.
-pub fn tell(knowledge: &Rc<Knowledge>, processes: Vec<SocketAddr>, names_entries: bool) {
+pub fn send_heartbeats(knowledge: &Rc<Knowledge>, processes: Vec<SocketAddr>, names_entries: bool) {
     for process in processes {
         let knowledge = knowledge.clone();
         actix_rt::spawn(async move {
-            let sync = knowledge.sync(names_entries);
+            let sync = knowledge.heartbeat(names_entries);
             if let Err(error) = post(&knowledge, process, SYNC_PATH, &sync).await {
                 log::debug!(process:% = process; "not told: {error}");
             }
@@ -344,19 +344,19 @@
 /// Fetches news from `peer` of the own hall, whose `marks` are newer than those of this process.
 /// With `is_hub`, the peer sends frames to the whole hall, and the configuration is drawn from it
 /// only after a delay.
-pub async fn fetch_news(knowledge: Rc<Knowledge>, peer: SocketAddr, marks: Marks, is_hub: bool) {
+pub async fn fetch_update(knowledge: Rc<Knowledge>, peer: SocketAddr, marks: Marks, is_hub: bool) {
     draw(&knowledge, peer, marks, || {
         knowledge.place_in_own_hall(is_hub)
     });
     // A draw brings all the rest too, but later.
-    if !knowledge.lacks(marks.without_routing()) {
+    if !knowledge.is_behind(marks.without_routing()) {
         return;
     }
     // Several tell of the same news.
     if knowledge.fetching.replace(true) {
         return;
     }
-    let sync = knowledge.sync(false);
+    let sync = knowledge.heartbeat(false);
     if let Err(error) = post(&knowledge, peer, SYNC_PATH, &sync).await {
         log::warn!(peer:% = peer; "news lost: {error}");
     }
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -64,13 +64,13 @@
 /// Tells the others what is learned here, until dropped.
 pub async fn run(knowledge: Rc<Knowledge>) {
     loop {
-        knowledge.poison_news.notified().await;
+        knowledge.poison_changed.notified().await;
         sleep(GATHERED).await;
         let cases = knowledge.poison.borrow_mut().take_news(knowledge.now());
         if cases.is_empty() {
             continue;
         }
-        let mut told = knowledge.fellows();
+        let mut told = knowledge.local_peers();
         told.extend(far(&knowledge));
         send(&knowledge, told, cases);
     }
@@ -79,7 +79,7 @@
 /// The entries of other halls to tell.
 fn far(knowledge: &Knowledge) -> Vec<SocketAddr> {
     let peers = knowledge.peers.borrow();
-    let halls = peers.elsewhere(&knowledge.identity.hall, knowledge.now());
+    let halls = peers.by_other_hall(&knowledge.identity.hall, knowledge.now());
     let ranked = halls.into_values().map(|entries| Readers::ranked(&entries));
     ranked
         .flat_map(|entries| entries.into_iter().take(FAR))
@@ -95,7 +95,7 @@
     for entry in entries {
         let (knowledge, notice) = (knowledge.clone(), notice.clone());
         actix_rt::spawn(async move {
-            let told = gossip::ask::<_, Notice>(&knowledge, entry, PATH, &*notice).await;
+            let told = gossip::call::<_, Notice>(&knowledge, entry, PATH, &*notice).await;
             if let Err(error) = told {
                 log::info!(entry:% = entry; "poison requests not told: {error}");
             }
@@ -104,12 +104,12 @@
 }
 
 /// Takes what another entry tells. Returns what it is told in turn.
-pub fn hear(knowledge: &Rc<Knowledge>, notice: &Notice) -> Notice {
+pub fn apply_notice(knowledge: &Rc<Knowledge>, notice: &Notice) -> Notice {
     let now = knowledge.now();
     let news = knowledge.poison.borrow_mut().hear(&notice.cases, now);
     // Whoever learned of it in this hall has told all of it.
     if !news.is_empty() && notice.hall != knowledge.identity.hall {
-        send(knowledge, knowledge.fellows(), news);
+        send(knowledge, knowledge.local_peers(), news);
     }
     let known = || knowledge.poison.borrow().tell(now);
     Notice {
@@ -129,9 +129,9 @@
         cases: knowledge.poison.borrow().tell(knowledge.now()),
         asks: true,
     };
-    match gossip::ask::<_, Notice>(&knowledge, peer, PATH, &notice).await {
+    match gossip::call::<_, Notice>(&knowledge, peer, PATH, &notice).await {
         Ok(answer) => {
-            hear(&knowledge, &answer);
+            apply_notice(&knowledge, &answer);
         }
         Err(error) => log::info!(peer:% = peer; "poison requests not compared: {error}"),
     }
@@ -159,7 +159,7 @@
     };
     let (ask, note) = (Ask { case }, Note::default());
     let answer =
-        gossip::ask_within::<_, Answer>(knowledge, first, TRY_PATH, &ask, ANSWERS_WITHIN, &note);
+        gossip::call_within::<_, Answer>(knowledge, first, TRY_PATH, &ask, ANSWERS_WITHIN, &note);
     match answer.await {
         Ok(answer) => answer.given,
         Err(error) => {
@@ -186,7 +186,7 @@
         .take_try(name, knowledge.now());
     if given {
         log::info!(name:% = name; "a barred request is tried once");
-        knowledge.poison_news.notify_one();
+        knowledge.poison_changed.notify_one();
     }
     given
 }
