--- a/src/agent.rs
+++ b/src/agent.rs
@@ -33,8 +33,8 @@
 pub mod serve;
 pub mod status;
 
-use crate::burst::host::{Calls, ContentOrigin, Host, Instruments, Origin};
-use crate::burst::{Burst, Holders, Purpose};
+use crate::burst::host::{Client, ContentOrigin, Host, Instruments, Origin};
+use crate::burst::{Burst, Holders, Options};
 
 /// Keys for requests that run at most once, kept at a time.
 const KEYS_MAX: usize = 16_384;
@@ -116,14 +116,14 @@
         name: setting.node.name.clone(),
         hall: setting.node.hall.clone(),
         clock: node.clock,
-        client: Calls::new(node.setting.client()),
+        client: Client::new(node.setting.client()),
         spread: setting.spread,
         store: RefCell::new(Store::new(setting.memory_bytes)),
         instruments: Instruments::new(&node.metrics.meter()),
         bytes_sent: Cell::new(0),
         wake: tokio::sync::Notify::new(),
         trail: Rc::new(move |deed| trail.audit(deed)),
-        local: None,
+        local_chunks: None,
     }
 }
 
@@ -240,9 +240,9 @@
             .map(Vec::as_slice)
             .unwrap_or_default();
         for carry in carried {
-            let purpose = Purpose {
+            let options = Options {
                 peers_only: false,
-                origin_chunk: None,
+                origin_chunk_time: None,
                 favour: carry.favour,
                 holders: Holders::Nobody,
             };
@@ -255,7 +255,7 @@
                 .borrow_mut()
                 .entry(carry.digest)
                 .or_insert_with(|| {
-                    Burst::start(&self.host, self.origin.clone(), carry.digest, purpose)
+                    Burst::start(&self.host, self.origin.clone(), carry.digest, options)
                 })
                 .clone();
             burst.set_wanted(true);
--- a/src/burst.rs
+++ b/src/burst.rs
@@ -3,7 +3,7 @@
 //! * [`host`] is what a burst needs of its process.
 //! * [`follow`] listens to peers.
 //! * [`fetch`] draws the manifest and the chunks.
-//! * [`joined`] keeps to the burst of one wanted version.
+//! * [`manager`] keeps to the burst of one wanted version.
 //! * [`serve`] answers peers, [`upload`] gives them chunks, a few at a time.
 
 use std::cell::{Cell, RefCell};
@@ -30,7 +30,7 @@
 pub mod fetch;
 pub mod follow;
 pub mod host;
-pub mod joined;
+pub mod manager;
 pub mod serve;
 pub mod upload;
 
@@ -53,7 +53,7 @@
 
 /// What a burst is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Purpose {
+pub struct Options {
     /// What weighs more.
     pub favour: Favour,
     /// Who holds the version already, as far as is known.
@@ -61,7 +61,7 @@
     /// Whether it comes from peers alone: the origin is left to a newer version.
     pub peers_only: bool,
     /// How long a chunk takes over the origin's link, if that is known.
-    pub origin_chunk: Option<Duration>,
+    pub origin_chunk_time: Option<Duration>,
 }
 
 /// Who holds a version already.
@@ -93,7 +93,7 @@
 pub struct Burst {
     version: Digest,
     origin: Rc<dyn Origin>,
-    purpose: Purpose,
+    options: Options,
     wanted: Cell<bool>,
     /// Whether nothing more is drawn or listened to: what is held is served.
     at_rest: Cell<bool>,
@@ -129,13 +129,13 @@
         host: &Rc<Host>,
         origin: Rc<dyn Origin>,
         version: Digest,
-        purpose: Purpose,
+        options: Options,
     ) -> Rc<Self> {
         let spread = host.spread;
         let burst = Rc::new(Self {
             version,
             origin,
-            purpose,
+            options,
             wanted: Cell::new(true),
             at_rest: Cell::new(false),
             began: host.clock.now(),
@@ -199,13 +199,15 @@
     }
 
     /// What is known of the version's weights, here and at peers.
-    pub fn outlook(&self, now: Time) -> Outlook {
+    pub fn availability(&self, now: Time) -> Outlook {
         let swarm = self.swarm.borrow();
         let unknown = Outlook {
             quiet: now.since(self.began),
             ..Outlook::default()
         };
-        swarm.as_ref().map_or(unknown, |swarm| swarm.outlook(now))
+        swarm
+            .as_ref()
+            .map_or(unknown, |swarm| swarm.availability(now))
     }
 
     /// Whether a peer is being served.
@@ -264,19 +266,19 @@
             hall: host.hall.clone(),
         };
         let now = host.clock.now();
-        let mut setting = host.spread.favouring(self.purpose.favour);
-        if let Some(chunk) = self.purpose.origin_chunk {
+        let mut setting = host.spread.favouring(self.options.favour);
+        if let Some(chunk) = self.options.origin_chunk_time {
             setting = setting.with_origin_chunk(chunk);
         }
-        setting.settle_whole = self.purpose.holders == Holders::All;
-        setting.settle = match self.purpose.holders {
+        setting.settle_fully = self.options.holders == Holders::All;
+        setting.settle = match self.options.holders {
             Holders::Nobody => Duration::ZERO,
             Holders::Some => setting.settle,
             Holders::All => setting.settle * BEGIN_FACTOR,
         };
         let seed = rand::rng().random();
         let mut swarm = Swarm::new(self.version, own, chunks, setting, seed, now);
-        if self.purpose.peers_only {
+        if self.options.peers_only {
             swarm.leave_origin();
         }
         for &chunk in self.gained.borrow().iter() {
@@ -289,7 +291,7 @@
 
     /// Takes the chunks that lie in the box already, as far as they match the manifest.
     async fn take_local(&self, host: &Host, chunks: usize) {
-        let Some(local) = &host.local else {
+        let Some(local) = &host.local_chunks else {
             return;
         };
         for chunk in 0..chunks as u32 {
--- a/src/burst/fetch.rs
+++ b/src/burst/fetch.rs
@@ -119,7 +119,7 @@
         let sponsors = ring::sponsors(self.version, &drawing, host.spread.sponsors);
         let mut sources = Vec::new();
         let asks_origin = sponsors.contains(&host.name) || round >= MANIFEST_ROUNDS;
-        if asks_origin && !self.purpose.peers_only {
+        if asks_origin && !self.options.peers_only {
             let url = self.origin.manifest_url(self.version);
             sources.push(ManifestSource::Origin(url));
         }
--- a/src/burst/follow.rs
+++ b/src/burst/follow.rs
@@ -76,7 +76,7 @@
     loop {
         let heard = {
             let followed = pin!(follow_once(&host, &burst, &peer, &key));
-            match select(followed, pin!(host.client.given_up())).await {
+            match select(followed, pin!(host.client.reconnected())).await {
                 Either::Left((heard, _)) => heard,
                 Either::Right(_) => true,
             }
--- a/src/burst/host.rs
+++ b/src/burst/host.rs
@@ -39,7 +39,7 @@
 }
 
 /// Chunks that a box holds already outside its store, unverified.
-pub trait Local {
+pub trait LocalChunks {
     /// A chunk, if it is there.
     fn chunk(&self, version: Digest, chunk: u32) -> LocalBoxFuture<'_, Option<Bytes>>;
 
@@ -146,15 +146,15 @@
     }
 }
 
-/// Calls to the origin and to peers, over connections that can be given up all at once.
-pub struct Calls {
+/// Client to the origin and to peers, over connections that can be given up all at once.
+pub struct Client {
     setting: ClientSetting,
     client: RefCell<awc::Client>,
     renewed: watch::Sender<u64>,
 }
 
-impl Calls {
-    /// Calls over connections as `setting` says.
+impl Client {
+    /// Client over connections as `setting` says.
     pub fn new(setting: ClientSetting) -> Self {
         Self {
             setting,
@@ -169,22 +169,22 @@
     }
 
     /// Takes new connections from now on: nothing comes over the open ones any more.
-    pub fn renew(&self) {
+    pub fn reconnect(&self) {
         self.client.replace(http::client(self.setting));
         self.renewed.send_modify(|count| *count += 1);
     }
 
     /// Ends when the connections that are open now are given up.
-    pub async fn given_up(&self) {
+    pub async fn reconnected(&self) {
         // The sender lives as long as `self` does.
         drop(self.renewed.subscribe().changed().await);
     }
 }
 
 /// Has `host` give its connections up whenever all open ones of its process are found silent.
-pub async fn renew_when_silent(host: Rc<Host>, mut all_silent: watch::Receiver<u64>) {
+pub async fn reconnect_when_silent(host: Rc<Host>, mut all_silent: watch::Receiver<u64>) {
     while all_silent.changed().await.is_ok() {
-        host.client.renew();
+        host.client.reconnect();
     }
 }
 
@@ -196,8 +196,8 @@
     pub hall: Arc<str>,
     /// Monotonic time.
     pub clock: Clock,
-    /// Calls to the origin and to peers.
-    pub client: Calls,
+    /// Client to the origin and to peers.
+    pub client: Client,
     /// Settings of the burst.
     pub spread: spread::Setting,
     /// Verified chunks.
@@ -211,7 +211,7 @@
     /// Takes what belongs into the audit trail.
     pub trail: Rc<dyn Fn(Deed)>,
     /// Where chunks may lie before a burst begins.
-    pub local: Option<Rc<dyn Local>>,
+    pub local_chunks: Option<Rc<dyn LocalChunks>>,
 }
 
 impl fmt::Debug for Host {
--- a/src/burst/joined.rs
+++ b/src/burst/manager.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::host::{Host, Origin};
-use super::{Burst, Holders, Purpose};
+use super::{Burst, Holders, Options};
 use crate::audit::Deed;
 use crate::clock::Time;
 use crate::knowledge::Knowledge;
@@ -122,18 +122,18 @@
 }
 
 /// Who takes part in a burst, and where weights come from.
-pub struct Crew {
+pub struct Topology {
     /// The origin.
     pub origin: SocketAddr,
     /// How long a chunk takes over its link, if that is known.
-    pub origin_chunk: Option<Duration>,
+    pub origin_chunk_time: Option<Duration>,
     /// The members, this process included or not.
     pub members: Vec<Listed>,
     /// This process.
     pub own: Listed,
 }
 
-impl Crew {
+impl Topology {
     fn all(mut self) -> Vec<Listed> {
         let own = self.own;
         self.members.retain(|listed| listed.name != own.name);
@@ -144,7 +144,7 @@
 
 /// The bursts that a process takes part in: that of the newest version, and those of older ones that it
 /// serves to others yet.
-pub struct Joined {
+pub struct Manager {
     /// The process's side of them.
     pub host: Rc<Host>,
     origins: Rc<dyn Origins>,
@@ -153,7 +153,7 @@
     parts: RefCell<Vec<Part>>,
 }
 
-impl Joined {
+impl Manager {
     /// None yet. `first_start` tells that the whole system begins now for the first time.
     pub fn new(host: Rc<Host>, origins: Rc<dyn Origins>, first_start: bool) -> Self {
         Self {
@@ -165,38 +165,40 @@
     }
 
     /// Takes part in the burst of `target`. Of older versions, from `oldest` on, it serves what it holds.
-    pub fn join(&self, target: &Target, oldest: u64, crew: Crew) {
+    pub fn join(&self, target: &Target, oldest: u64, topology: Topology) {
         let label = target.label();
         let burst = self.get(label).unwrap_or_else(|| {
             self.rest_others();
             self.make_room();
             log::info!(model = &*target.model, version = target.version; "burst joined");
-            self.begin(target, &crew, false)
+            self.begin(target, &topology, false)
         });
         self.let_go(|place, part| place > 0 && part.target.version < oldest);
-        burst.set_members(&self.host, crew.all());
+        burst.set_members(&self.host, topology.all());
     }
 
     /// Takes `target`, an older version than the newest, from peers that hold it.
-    pub fn join_older(&self, target: &Target, crew: Crew) {
+    pub fn join_older(&self, target: &Target, topology: Topology) {
         let known = self.get(target.label());
         let burst = known.unwrap_or_else(|| {
             log::info!(model = &*target.model, version = target.version; "older version joined");
-            self.begin(target, &crew, true)
+            self.begin(target, &topology, true)
         });
         burst.resume(&self.host);
-        burst.set_members(&self.host, crew.all());
+        burst.set_members(&self.host, topology.all());
     }
 
-    fn begin(&self, target: &Target, crew: &Crew, peers_only: bool) -> Rc<Burst> {
-        let origin = self.origins.of(crew.origin, &target.model, target.version);
-        let purpose = Purpose {
+    fn begin(&self, target: &Target, topology: &Topology, peers_only: bool) -> Rc<Burst> {
+        let origin = self
+            .origins
+            .of(topology.origin, &target.model, target.version);
+        let options = Options {
             favour: Favour::Time,
             holders: self.holders(target),
             peers_only,
-            origin_chunk: crew.origin_chunk,
+            origin_chunk_time: topology.origin_chunk_time,
         };
-        let burst = Burst::start(&self.host, origin, target.label(), purpose);
+        let burst = Burst::start(&self.host, origin, target.label(), options);
         let part = Part {
             target: target.clone(),
             burst: burst.clone(),
--- a/src/burst/serve.rs
+++ b/src/burst/serve.rs
@@ -6,19 +6,19 @@
 
 use super::Burst;
 use super::host::Host;
-use super::joined::Joined;
+use super::manager::Manager;
 use crate::http::{self, Answer};
 use crate::stop::{Kind, Porter};
 
 /// Answers a peer that asks for `path`, if it is of a burst that the process takes part in.
-pub async fn answer_path(joined: &Joined, porter: &Rc<Porter>, path: &str) -> Answer {
+pub async fn answer_path(bursts: &Manager, porter: &Rc<Porter>, path: &str) -> Answer {
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let ["v1", "swarm", label, rest @ ..] = parts.as_slice() else {
         return http::status(StatusCode::NOT_FOUND);
     };
-    let burst = label.parse().ok().and_then(|label| joined.get(label));
+    let burst = label.parse().ok().and_then(|label| bursts.get(label));
     match burst {
-        Some(burst) => answer(&joined.host, porter, burst, rest).await,
+        Some(burst) => answer(&bursts.host, porter, burst, rest).await,
         None => http::status(StatusCode::NOT_FOUND),
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -25,8 +25,8 @@
 use tokio::sync::Notify;
 
 use crate::audit::{Deed, Trail};
-use crate::burst::host::{Calls, Host, Instruments, renew_when_silent};
-use crate::burst::joined::{self, Joined, Origins};
+use crate::burst::host::{Client, Host, Instruments, reconnect_when_silent};
+use crate::burst::manager::{self, Manager, Origins};
 use crate::clock::Time;
 use crate::config::belief::Belief;
 use crate::config::residency::Regions;
@@ -153,7 +153,7 @@
     budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
     began: Time,
     instruments: status::Instruments,
-    joined: Joined,
+    bursts: Manager,
     halls: RefCell<Halls>,
     hub: RefCell<Hub>,
     /// Requests that were refused lately, here or as others told.
@@ -228,14 +228,14 @@
         name: setting.identity.address.to_string().into(),
         hall: setting.identity.hall.clone(),
         clock: knowledge.clock,
-        client: Calls::new(ClientSetting::default()),
-        spread: setting.spread.of_relay(),
+        client: Client::new(ClientSetting::default()),
+        spread: setting.spread.for_relay(),
         store: RefCell::new(Store::new(setting.memory_bytes)),
         instruments: Instruments::new(&metrics.meter()),
         bytes_sent: Cell::new(0),
         wake: Notify::new(),
         trail: Rc::new(move |deed: Deed| trail.borrow_mut().add(0, deed)),
-        local: None,
+        local_chunks: None,
     }
 }
 
@@ -265,7 +265,7 @@
         let host = Rc::new(relay_host(&setting, &knowledge, &metrics));
         let all_silent = paths.all_silent();
         let gateway = Rc::new(Self {
-            joined: Joined::new(host.clone(), origins, setting.first_start),
+            bursts: Manager::new(host.clone(), origins, setting.first_start),
             client: exchange::Client::sharing(paths),
             pool: RefCell::new(Pool::new(setting.identity.hall.clone(), setting.policy)),
             refusals: RefCell::default(),
@@ -301,7 +301,7 @@
             actix_rt::spawn(gateway.clone().relay()),
             actix_rt::spawn(halls::run(gateway.clone())),
             actix_rt::spawn(greet::run(gateway.clone())),
-            actix_rt::spawn(renew_when_silent(host, all_silent)),
+            actix_rt::spawn(reconnect_when_silent(host, all_silent)),
         ];
         let front = gateway.serve_front(listeners.front);
         let mut servers = vec![
@@ -400,9 +400,9 @@
         }
         let knowledge = &self.knowledge;
         let brief = knowledge.brief();
-        let origin_chunk = brief.as_ref().and_then(Brief::chunk);
+        let origin_chunk_time = brief.as_ref().and_then(Brief::chunk);
         let origin = brief.and_then(|brief| brief.origin);
-        let (Some(target), Some(origin)) = (joined::newest(knowledge), origin) else {
+        let (Some(target), Some(origin)) = (manager::newest(knowledge), origin) else {
             return;
         };
         let service = {
@@ -413,22 +413,22 @@
             });
             services.next().map(|service| service.name.clone())
         };
-        let members = joined::members(knowledge, service.as_deref(), self.setting.sidecar_port);
+        let members = manager::members(knowledge, service.as_deref(), self.setting.sidecar_port);
         let identity = &self.setting.identity;
-        let own = joined::member(
+        let own = manager::member(
             identity.address.to_string(),
             identity.hall.clone(),
             identity.address,
             Role::Entry,
         );
-        let oldest = joined::oldest(knowledge, &target, self.setting.rollout.bound);
-        let crew = joined::Crew {
+        let oldest = manager::oldest(knowledge, &target, self.setting.rollout.bound);
+        let topology = manager::Topology {
             origin,
-            origin_chunk,
+            origin_chunk_time,
             members,
             own,
         };
-        self.joined.join(&target, oldest, crew);
+        self.bursts.join(&target, oldest, topology);
     }
 
     fn log_under_way(&self) {
@@ -494,7 +494,7 @@
         }
         let placed = hosts.into_iter().filter_map(|(group, hosts)| {
             let model = self.knowledge.model_of(&group.0)?;
-            let label = joined::label(&model, belief.wanted(&model)?.version);
+            let label = manager::label(&model, belief.wanted(&model)?.version);
             let hosts = hosts.iter().map(String::as_str);
             Some((group, rollout::waves_of(label, hosts, waves)))
         });
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -102,7 +102,7 @@
         },
         path => {
             let path = path.to_owned();
-            serve::answer_path(&gateway.joined, &gateway.porter, &path).await
+            serve::answer_path(&gateway.bursts, &gateway.porter, &path).await
         }
     }
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -186,7 +186,7 @@
 /// best of each, and so on.
 fn candidates<'a>(demand: &Demand, boxes: &[&'a Listed]) -> Vec<&'a Listed> {
     let score = |kind: &[u8], name: &str| {
-        ring::weight(
+        ring::score(
             demand.version,
             &[kind, demand.customer.as_bytes(), name.as_bytes()],
         )
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -19,8 +19,8 @@
 use tokio::net::TcpListener;
 
 use crate::audit::{Deed, Trail};
-use crate::burst::host::{Calls, Host, Instruments, Local, renew_when_silent};
-use crate::burst::joined::{self, Joined, Origins, Target, label};
+use crate::burst::host::{Client, Host, Instruments, LocalChunks, reconnect_when_silent};
+use crate::burst::manager::{self, Manager, Origins, Target, label};
 use crate::burst::{self};
 use crate::clock::Time;
 use crate::config::belief::first_lacking;
@@ -96,7 +96,7 @@
     /// Lets requests in.
     pub porter: Rc<Porter>,
     engine: Rc<dyn Engine>,
-    joined: Joined,
+    bursts: Manager,
     source: Rc<dyn Source>,
     state: Rc<RefCell<Option<State>>>,
     misses: Cell<u32>,
@@ -139,7 +139,7 @@
         for task in &self.tasks {
             task.abort();
         }
-        self.sidecar.joined.leave();
+        self.sidecar.bursts.leave();
     }
 }
 
@@ -192,7 +192,7 @@
     first: Cell<bool>,
 }
 
-impl Local for StagedChunks {
+impl LocalChunks for StagedChunks {
     fn chunk(
         &self,
         version: Digest,
@@ -243,14 +243,14 @@
             name: identity.address.ip().to_string().into(),
             hall: identity.hall,
             clock: knowledge.clock,
-            client: Calls::new(ClientSetting::default()),
+            client: Client::new(ClientSetting::default()),
             spread: setting.spread,
             store: RefCell::new(Store::new(setting.memory_bytes)),
             instruments: Instruments::new(&metrics.meter()),
             bytes_sent: Cell::new(0),
             wake: tokio::sync::Notify::new(),
             trail: Rc::new(move |deed: Deed| trail.borrow_mut().add(0, deed)),
-            local: Some(Rc::new(local)),
+            local_chunks: Some(Rc::new(local)),
         };
         let host = Rc::new(host);
         let now = knowledge.now();
@@ -262,7 +262,7 @@
         let sidecar = Rc::new(Self {
             porter: Porter::new(knowledge.clock, &metrics.meter()),
             knowledge,
-            joined: Joined::new(host.clone(), edges.origins, setting.first_start),
+            bursts: Manager::new(host.clone(), edges.origins, setting.first_start),
             host,
             metrics,
             engine: edges.engine,
@@ -293,7 +293,7 @@
             actix_rt::spawn(observe::read_store_when_alone(sidecar.clone())),
             actix_rt::spawn(reconcile::run(sidecar.clone())),
             actix_rt::spawn(traffic::log(sidecar.knowledge.clone())),
-            actix_rt::spawn(renew_when_silent(
+            actix_rt::spawn(reconnect_when_silent(
                 sidecar.host.clone(),
                 edges.paths.all_silent(),
             )),
@@ -325,7 +325,7 @@
     /// The version that the replica is to hold, counted from when the oldest was named that it
     /// lacks; `None` while nothing is known.
     pub fn target(&self) -> Option<Target> {
-        let target = joined::newest(&self.knowledge)?;
+        let target = manager::newest(&self.knowledge)?;
         let state = self.state.borrow();
         let held = state.as_ref().and_then(|state| state.held(&target.model));
         let belief = self.knowledge.belief.borrow();
@@ -363,5 +363,5 @@
         };
         return ticket.hold(answer);
     }
-    burst::serve::answer_path(&sidecar.joined, &sidecar.porter, &path).await
+    burst::serve::answer_path(&sidecar.bursts, &sidecar.porter, &path).await
 }
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -11,7 +11,7 @@
 use super::engine::Taken;
 use super::observe::MISSES_MAX;
 use crate::audit::Deed;
-use crate::burst::joined::{self, Target};
+use crate::burst::manager::{self, Target};
 use crate::clock::Time;
 use crate::config::belief::first_lacking;
 use crate::config::routing::over_link;
@@ -75,7 +75,7 @@
     /// first version and answer a little later; at any other time one that does not answer will
     /// come up with nothing.
     fn looked(&self) -> bool {
-        self.state.borrow().is_some() || self.joined.any() || self.comes_up_empty()
+        self.state.borrow().is_some() || self.bursts.any() || self.comes_up_empty()
     }
 
     fn comes_up_empty(&self) -> bool {
@@ -91,31 +91,31 @@
             .borrow()
             .as_ref()
             .is_some_and(|(known, with)| {
-                *known == label && Rc::ptr_eq(with, &members) && self.joined.get(label).is_some()
+                *known == label && Rc::ptr_eq(with, &members) && self.bursts.get(label).is_some()
             });
         if joined {
             return;
         }
-        let Some(with) = self.crew(&members) else {
+        let Some(with) = self.topology(&members) else {
             return;
         };
-        let oldest = joined::oldest(&self.knowledge, target, self.setting.rollout.bound);
-        self.joined.join(target, oldest, with);
+        let oldest = manager::oldest(&self.knowledge, target, self.setting.rollout.bound);
+        self.bursts.join(target, oldest, with);
         self.joined_with.replace(Some((label, members)));
     }
 
-    fn crew(&self, members: &[Listed]) -> Option<joined::Crew> {
+    fn topology(&self, members: &[Listed]) -> Option<manager::Topology> {
         let brief = self.knowledge.brief()?;
         let identity = &self.setting.identity;
-        let own = joined::member(
+        let own = manager::member(
             self.host.name.to_string(),
             identity.hall.clone(),
             identity.address,
             Role::Model,
         );
-        Some(joined::Crew {
+        Some(manager::Topology {
             origin: brief.origin?,
-            origin_chunk: brief.chunk(),
+            origin_chunk_time: brief.chunk(),
             members: members.to_vec(),
             own,
         })
@@ -134,9 +134,9 @@
             self.stopgap.replace(target.clone());
         }
         if let Some(target) = &target
-            && let Some(with) = self.crew(&self.listed())
+            && let Some(with) = self.topology(&self.listed())
         {
-            self.joined.join_older(target, with);
+            self.bursts.join_older(target, with);
         }
         target
     }
@@ -152,7 +152,7 @@
             return None;
         }
         let now = self.knowledge.now();
-        let outlook = self.joined.get(label)?.outlook(now);
+        let outlook = self.bursts.get(label)?.availability(now);
         let times = self.times()?;
         let belief = self.knowledge.belief.borrow();
         let named = belief.named(&newest.model);
@@ -207,7 +207,7 @@
             own.map(|record| record.service.clone())
         };
         let port = self.setting.identity.address.port();
-        joined::members(&self.knowledge, service.as_deref(), port)
+        manager::members(&self.knowledge, service.as_deref(), port)
     }
 
     fn wave(&self, label: Digest, waves: u32) -> u32 {
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -55,7 +55,7 @@
     /// Uploads that may wait for a slot.
     pub upload_queue_max: usize,
     /// A peer that sent nothing for so long is passed over.
-    pub silence: Duration,
+    pub peer_timeout: Duration,
     /// A fetch without a byte for so long is given up, unless fetches are slower on the whole.
     pub stall: Duration,
     /// A fetch from the origin without a byte for so long is given up. All that draw share its link:
@@ -65,26 +65,26 @@
     /// How long a chunk takes from the origin while all sponsors draw; zero if that is not known.
     pub origin_fetch: Duration,
     /// How long unseen chunks are left to their sponsors before other boxes step in.
-    pub patience: Duration,
+    pub sponsor_wait: Duration,
     /// How long a peer that sent a bad chunk is passed over, doubled each time.
     pub penalty: Duration,
     /// An unseen chunk is left to its sponsor for this many usual fetches at least.
-    pub patience_fetches: u32,
+    pub sponsor_wait_fetches: u32,
     /// A sponsor that has drawn its part takes over what others have not: after so long where it is
     /// the next in a chunk's order, after as long again where it is the next but one, and so on.
-    pub take_over: Duration,
+    pub takeover_interval: Duration,
     /// Longest pause between two tries at an origin that fails.
     pub origin_pause_max: Duration,
     /// How long a box that joins waits for peers to tell what they hold before it draws from the
     /// origin.
     pub settle: Duration,
     /// Whether it waits for so long even if all its peers have spoken.
-    pub settle_whole: bool,
+    pub settle_fully: bool,
     /// Whether each chunk enters a hall through one box of it, because bytes between halls are
     /// dear. The others of the hall wait for that box for as long as for a sponsor.
     pub import_once: bool,
     /// Whether each sponsor begins with other chunks.
-    pub own_order: bool,
+    pub staggered_order: bool,
     /// Whether nobody draws from the origin what a peer is drawing there.
     pub claims: bool,
 }
@@ -104,19 +104,19 @@
             relay_neighbours: 4,
             upload_slots: 2,
             upload_queue_max: 2,
-            silence: Duration::from_millis(1_500),
+            peer_timeout: Duration::from_millis(1_500),
             stall: Duration::from_millis(1_000),
             origin_stall: Duration::from_millis(2_500),
             origin_fetch: Duration::ZERO,
-            patience: Duration::from_millis(1_500),
+            sponsor_wait: Duration::from_millis(1_500),
             penalty: Duration::from_millis(500),
-            patience_fetches: 10,
-            take_over: Duration::from_millis(500),
+            sponsor_wait_fetches: 10,
+            takeover_interval: Duration::from_millis(500),
             origin_pause_max: Duration::from_secs(2),
             settle: Duration::ZERO,
-            settle_whole: false,
+            settle_fully: false,
             import_once: false,
-            own_order: true,
+            staggered_order: true,
             claims: true,
         }
     }
@@ -125,15 +125,15 @@
 impl Setting {
     /// Settings for a few halls of a few boxes each, with dear bytes between halls: everyone
     /// follows its whole hall.
-    pub fn in_few_halls() -> Self {
+    pub fn for_few_halls() -> Self {
         Self {
             hall_neighbours: 16,
             fleet_neighbours: 6,
             peers_max: 32,
             import_once: true,
-            patience: Duration::from_millis(500),
-            patience_fetches: 3,
-            take_over: Duration::from_millis(200),
+            sponsor_wait: Duration::from_millis(500),
+            sponsor_wait_fetches: 3,
+            takeover_interval: Duration::from_millis(200),
             fetches_max: 2,
             origin_pause_max: Duration::from_millis(400),
             settle: Duration::from_millis(300),
@@ -150,7 +150,7 @@
     }
 
     /// The settings of a relay, instead of those of the boxes around it.
-    pub fn of_relay(self) -> Self {
+    pub fn for_relay(self) -> Self {
         Self {
             upload_slots: self.relay_slots,
             upload_queue_max: self.relay_slots,
@@ -165,7 +165,7 @@
         match favour {
             Favour::Time => self,
             Favour::OriginBytes => Self {
-                patience: self.patience * 3,
+                sponsor_wait: self.sponsor_wait * 3,
                 ..self
             },
         }
--- a/src/spread/ring.rs
+++ b/src/spread/ring.rs
@@ -20,7 +20,7 @@
 }
 
 /// A 64-bit weight of `parts`, the same on every box.
-pub fn weight(version: Digest, parts: &[&[u8]]) -> u64 {
+pub fn score(version: Digest, parts: &[&[u8]]) -> u64 {
     hash::under(version.as_bytes(), parts.iter().copied())
 }
 
@@ -28,7 +28,7 @@
 fn at_offsets(version: Digest, own: &str, members: &[&Member], count: usize) -> Vec<Arc<str>> {
     let mut ring: Vec<(u64, &Member)> = members
         .iter()
-        .map(|member| (weight(version, &[b"ring", member.name.as_bytes()]), *member))
+        .map(|member| (score(version, &[b"ring", member.name.as_bytes()]), *member))
         .collect();
     ring.sort_unstable();
     let Some(position) = ring.iter().position(|(_, member)| &*member.name == own) else {
@@ -51,7 +51,7 @@
             // Each offset is drawn from its own stretch of the ring, so no two are the same.
             let start = slot * others / count;
             let end = (slot + 1) * others / count;
-            let jitter = weight(version, &[b"offset", &(slot as u64).to_le_bytes()]);
+            let jitter = score(version, &[b"offset", &(slot as u64).to_le_bytes()]);
             1 + start + (jitter % (end - start) as u64) as usize
         })
         .collect()
@@ -91,7 +91,7 @@
         .iter()
         .map(|member| {
             (
-                weight(version, &[b"sponsor", member.name.as_bytes()]),
+                score(version, &[b"sponsor", member.name.as_bytes()]),
                 member,
             )
         })
@@ -122,7 +122,7 @@
         .iter()
         .map(|name| {
             let parts: [&[u8]; 3] = [b"owner", &round.to_le_bytes(), name.as_bytes()];
-            (weight(version, &parts), &**name)
+            (score(version, &parts), &**name)
         })
         .collect();
     order.sort_unstable();
@@ -139,7 +139,7 @@
 /// begins elsewhere: sponsors that do not know of each other yet would all draw the same chunks.
 pub fn first_chunk(version: Digest, name: &str, count: usize) -> u32 {
     let count = count.max(1) as u64;
-    (weight(version, &[b"turn", name.as_bytes()]) % count) as u32
+    (score(version, &[b"turn", name.as_bytes()]) % count) as u32
 }
 
 /// The place of `chunk` of `count` in the order in which the sponsor `name` draws.
@@ -159,20 +159,20 @@
     members: &[Member],
     relays: &[Arc<str>],
 ) -> usize {
-    let score = |kind: &[u8], name: &str| weight(version, &[b"substitute", kind, name.as_bytes()]);
-    let place = |name: &Arc<str>| (relays.contains(name), score(b"box", name));
+    let priority = |kind: &[u8], name: &str| score(version, &[b"substitute", kind, name.as_bytes()]);
+    let place = |name: &Arc<str>| (relays.contains(name), priority(b"box", name));
     let own_place = place(&own.name);
     let in_hall = members
         .iter()
         .filter(|member| member.hall == own.hall && place(&member.name) > own_place)
         .count();
-    let hall_score = score(b"hall", &own.hall);
+    let hall_priority = priority(b"hall", &own.hall);
     let mut halls: Vec<&str> = members.iter().map(|member| &*member.hall).collect();
     halls.sort_unstable();
     halls.dedup();
     let among_halls = halls
         .into_iter()
-        .filter(|hall| score(b"hall", hall) > hall_score)
+        .filter(|hall| priority(b"hall", hall) > hall_priority)
         .count();
     in_hall + among_halls
 }
@@ -201,15 +201,15 @@
     relays: &[Arc<str>],
 ) -> usize {
     let chunk = chunk.to_le_bytes();
-    let score = |name: &Arc<str>| {
+    let priority = |name: &Arc<str>| {
         let parts: [&[u8]; 3] = [b"import", &chunk, name.as_bytes()];
-        (relays.contains(name), weight(version, &parts))
+        (relays.contains(name), score(version, &parts))
     };
-    let own_score = score(&own.name);
+    let own_priority = priority(&own.name);
     members
         .iter()
         .filter(|member| member.hall == own.hall && member.name != own.name)
-        .filter(|member| score(&member.name) > own_score)
+        .filter(|member| priority(&member.name) > own_priority)
         .count()
 }
 
@@ -225,7 +225,7 @@
         .filter(|member| &*member.name != own)
         .map(|member| {
             let parts: [&[u8]; 3] = [b"nearest", own.as_bytes(), member.name.as_bytes()];
-            (weight(version, &parts), member)
+            (score(version, &parts), member)
         })
         .collect();
     ranked.sort_unstable_by(|left, right| right.cmp(left));
--- a/src/spread/swarm.rs
+++ b/src/spread/swarm.rs
@@ -257,7 +257,7 @@
             return true;
         };
         let since = now.since(self.seen_at[chunk as usize]).as_millis();
-        let turns = since / self.setting.patience.as_millis().max(1);
+        let turns = since / self.setting.sponsor_wait.as_millis().max(1);
         rank as u128 <= turns
     }
 
@@ -274,7 +274,7 @@
     pub fn wanted_peers(&mut self, now: Time) -> Vec<Arc<str>> {
         let mut wanted = self.regular_peers();
         let lacking = wanted.len().saturating_sub(self.responsive_peers(now));
-        if now.since(self.began) < self.setting.silence {
+        if now.since(self.began) < self.setting.peer_timeout {
             return wanted;
         }
         let mut spare: Vec<Arc<str>> = self
@@ -451,7 +451,7 @@
     }
 
     /// What is known of the version's weights, here and at peers.
-    pub fn outlook(&self, now: Time) -> Outlook {
+    pub fn availability(&self, now: Time) -> Outlook {
         let lacked = |chunk: &usize| !self.have.get(*chunk);
         let unseen = |chunk: &usize| lacked(chunk) && self.rarity[*chunk] == 0;
         let chunks = 0..self.have.len();
@@ -486,7 +486,7 @@
     pub fn responsive_peers(&self, now: Time) -> usize {
         self.peers
             .values()
-            .filter(|peer| now.since(peer.heard) < self.setting.silence)
+            .filter(|peer| now.since(peer.heard) < self.setting.peer_timeout)
             .count()
     }
 
@@ -533,7 +533,7 @@
 
     fn silent(&self, peer: PeerKey, now: Time) -> bool {
         let peer = self.peers.get(peer);
-        peer.is_none_or(|peer| now.since(peer.heard) >= self.setting.silence)
+        peer.is_none_or(|peer| now.since(peer.heard) >= self.setting.peer_timeout)
     }
 
     /// A fetch that waits behind others at its peer makes no progress either, so the bound follows
@@ -547,7 +547,7 @@
     pub fn heard_from(&self, name: &str, now: Time) -> bool {
         self.peers
             .values()
-            .any(|peer| &*peer.name == name && now.since(peer.heard) < self.setting.silence)
+            .any(|peer| &*peer.name == name && now.since(peer.heard) < self.setting.peer_timeout)
     }
 
     fn begin(&mut self, chunk: u32, source: Source, now: Time) -> Action {
--- a/src/spread/swarm/holder.rs
+++ b/src/spread/swarm/holder.rs
@@ -65,7 +65,7 @@
             let eligible = peer.have.get(chunk as usize)
                 && peer.fetches < fetches_max
                 && peer.avoid_until <= now
-                && now.since(peer.heard) < setting.silence
+                && now.since(peer.heard) < setting.peer_timeout
                 && load < load_max;
             if !eligible {
                 continue;
--- a/src/spread/swarm/origin.rs
+++ b/src/spread/swarm/origin.rs
@@ -29,7 +29,7 @@
     /// Whether peers may still tell of chunks that the box would draw from the origin otherwise.
     fn settling(&self, now: Time) -> bool {
         let settle = self.setting.settle;
-        let heard = !self.setting.settle_whole && self.peers.len() >= self.regular_peers().len();
+        let heard = !self.setting.settle_fully && self.peers.len() >= self.regular_peers().len();
         now.since(self.began) < settle && !heard
     }
 
@@ -46,7 +46,7 @@
             return Vec::new();
         }
         let speaking = self.peers.values();
-        let speaking = speaking.filter(|peer| now.since(peer.heard) < self.setting.silence);
+        let speaking = speaking.filter(|peer| now.since(peer.heard) < self.setting.peer_timeout);
         let claims = speaking.flat_map(|peer| &peer.drawing);
         let young = claims.filter(|claim| now.since(claim.since) < self.setting.origin_stall);
         young.map(|claim| claim.chunk).collect()
@@ -76,7 +76,7 @@
     /// Whether this box is to draw in place of sponsors from which nothing has come for long.
     fn steps_in(&self, now: Time) -> bool {
         let quiet = now.since(self.new_seen).as_millis();
-        let ranks = ring::substitutes(quiet / self.patience().as_millis().max(1));
+        let ranks = ring::substitutes(quiet / self.sponsor_wait().as_millis().max(1));
         let rank = || ring::substitute_rank(self.version, &self.own, &self.members, &self.relays);
         ranks > 0 && rank() < ranks
     }
@@ -94,7 +94,7 @@
             order.iter().position(|name| *name == &*self.own.name)
         };
         let count = self.have.len();
-        let first = if self.setting.own_order {
+        let first = if self.setting.staggered_order {
             ring::first_chunk(self.version, &self.own.name, count)
         } else {
             0
@@ -106,7 +106,7 @@
             return Some(own);
         }
         let since = now.since(self.drawn_since.unwrap_or(now)).as_millis();
-        let reach = since / self.setting.take_over.as_millis().max(1);
+        let reach = since / self.setting.takeover_interval.as_millis().max(1);
         let within = |chunk: &u32| place(*chunk).is_some_and(|place| place as u128 <= reach);
         let last = |chunk: &u32| {
             let sponsor = ring::drawers(self.version, *chunk, regular, &active);
@@ -120,11 +120,11 @@
     }
 
     /// How long unseen chunks are left to their sponsors after the last new one was seen.
-    fn patience(&self) -> Duration {
+    fn sponsor_wait(&self) -> Duration {
         let at_origin = self.usual_at_origin.unwrap_or(self.setting.origin_fetch);
         let usual = self.usual.unwrap_or_default().max(at_origin);
-        let fetches = usual * self.setting.patience_fetches;
-        self.setting.patience.max(fetches)
+        let fetches = usual * self.setting.sponsor_wait_fetches;
+        self.setting.sponsor_wait.max(fetches)
     }
 
     /// The sponsors on duty as far as this box, if a sponsor itself, can tell.
@@ -132,7 +132,7 @@
         if !self.sponsors.contains(&self.own.name) {
             return Vec::new();
         }
-        let grace = now.since(self.began) < self.setting.silence;
+        let grace = now.since(self.began) < self.setting.peer_timeout;
         self.sponsors
             .iter()
             .filter(|name| **name == self.own.name || grace || self.heard_from(name, now))
--- a/src/version/rollout.rs
+++ b/src/version/rollout.rs
@@ -112,7 +112,7 @@
 }
 
 fn score(version: Digest, name: &str) -> u64 {
-    ring::weight(version, &[b"wave", name.as_bytes()])
+    ring::score(version, &[b"wave", name.as_bytes()])
 }
 
 /// When a wave may begin, counted from when the version was named.
--- a/tests/burst_plan.rs
+++ b/tests/burst_plan.rs
@@ -92,7 +92,7 @@
     let relays: Vec<Arc<str>> = all[..40].iter().map(|member| member.name.clone()).collect();
     let setting = Setting {
         settle: Duration::ZERO,
-        ..Setting::in_few_halls()
+        ..Setting::for_few_halls()
     };
     let mut drawing = BTreeSet::new();
     for own in &all {
@@ -120,7 +120,7 @@
     let own = all.iter().find(|member| member.name == sponsor).unwrap();
     let setting = Setting {
         settle: Duration::ZERO,
-        ..Setting::in_few_halls()
+        ..Setting::for_few_halls()
     };
     let start = Time::default();
     let mut swarm = Swarm::new(version(), own.clone(), 96, setting, 1, start);
@@ -540,7 +540,7 @@
 #[test]
 fn a_chunk_enters_a_hall_through_one_box_at_first_and_through_more_with_time() {
     let all = members(20, 3);
-    let setting = Setting::in_few_halls();
+    let setting = Setting::for_few_halls();
     let sponsor = ring::sponsors(version(), &all, 1)[0].clone();
     let hall = |name: &str| {
         all.iter()
@@ -581,13 +581,13 @@
     };
     // One box in each of the two other halls.
     assert_eq!(draws(Duration::ZERO), 2);
-    assert_eq!(draws(setting.patience), 4);
+    assert_eq!(draws(setting.sponsor_wait), 4);
 }
 
 #[test]
 fn a_box_that_joins_late_waits_for_its_peers_before_it_asks_the_origin() {
     let all = members(6, 1);
-    let setting = Setting::in_few_halls();
+    let setting = Setting::for_few_halls();
     let began = Time::from_millis(1_000);
     let mut swarm = Swarm::new(version(), all[0].clone(), 96, setting, 1, began);
     swarm.set_members(all.clone());
@@ -641,7 +641,7 @@
     let all: Vec<Member> = boxes.iter().chain(&relays).cloned().collect();
     let setting = Setting {
         settle: Duration::ZERO,
-        ..Setting::in_few_halls()
+        ..Setting::for_few_halls()
     };
     let began = Time::from_millis(1_000);
     let swarm_of = |own: &Member| {
@@ -688,7 +688,7 @@
         let setting = Setting {
             settle: Duration::ZERO,
             claims,
-            ..Setting::in_few_halls()
+            ..Setting::for_few_halls()
         };
         let own = Member {
             name: "own".into(),
@@ -710,7 +710,7 @@
     let (mut swarm, peer) = sponsor(true);
     swarm.notice(peer, claim, start);
     assert_eq!(fetches(&swarm.tick(start)), []);
-    let late = start + Setting::in_few_halls().origin_stall;
+    let late = start + Setting::for_few_halls().origin_stall;
     swarm.notice(peer, claim, late);
     assert_eq!(fetches(&swarm.tick(late)), [(0, Source::Origin)]);
     // Without claims both draw it.
