--- a/src/agent.rs
+++ b/src/agent.rs
@@ -33,7 +33,7 @@
 pub mod serve;
 pub mod status;
 
-use crate::burst::host::{Client, ContentOrigin, Host, Instruments, Origin};
+use crate::burst::host::{Connections, ContentOrigin, Host, Instruments, Origin};
 use crate::burst::{Burst, Holders, Options};
 
 /// Keys for requests that run at most once, kept at a time.
@@ -116,7 +116,7 @@
         name: setting.node.name.clone(),
         hall: setting.node.hall.clone(),
         clock: node.clock,
-        client: Client::new(node.setting.client()),
+        connections: Connections::new(node.setting.client()),
         spread: setting.spread,
         store: RefCell::new(Store::new(setting.memory_bytes)),
         instruments: Instruments::new(&node.metrics.meter()),
--- a/src/burst/fetch.rs
+++ b/src/burst/fetch.rs
@@ -148,7 +148,7 @@
 /// long as the origin does not notice. Two such losses within 5 s locked everyone out for good. A new
 /// connection costs about 10 ms between regions, where a chunk takes 27 ms on the origin's link.
 fn prepare(host: &Host, url: &str, origin: bool) -> awc::ClientRequest {
-    let request = host.client.get(url);
+    let request = host.connections.get(url);
     if origin {
         request.force_close()
     } else {
--- a/src/burst/follow.rs
+++ b/src/burst/follow.rs
@@ -76,7 +76,7 @@
     loop {
         let heard = {
             let followed = pin!(follow_once(&host, &burst, &peer, &key));
-            match select(followed, pin!(host.client.reconnected())).await {
+            match select(followed, pin!(host.connections.reconnected())).await {
                 Either::Left((heard, _)) => heard,
                 Either::Right(_) => true,
             }
@@ -109,7 +109,7 @@
         return false;
     };
     let url = format!("{}/have", swarm_url(peer.address, version));
-    let request = host.client.get(&url).send();
+    let request = host.connections.get(&url).send();
     let Ok(Ok(mut response)) = actix_rt::time::timeout(FOLLOW_TIMEOUT, request).await else {
         return false;
     };
--- a/src/burst/host.rs
+++ b/src/burst/host.rs
@@ -147,13 +147,13 @@
 }
 
 /// Client to the origin and to peers, over connections that can be given up all at once.
-pub struct Client {
+pub struct Connections {
     setting: ClientSetting,
     client: RefCell<awc::Client>,
     renewed: watch::Sender<u64>,
 }
 
-impl Client {
+impl Connections {
     /// Client over connections as `setting` says.
     pub fn new(setting: ClientSetting) -> Self {
         Self {
@@ -184,7 +184,7 @@
 /// Has `host` give its connections up whenever all open ones of its process are found silent.
 pub async fn reconnect_when_silent(host: Rc<Host>, mut all_silent: watch::Receiver<u64>) {
     while all_silent.changed().await.is_ok() {
-        host.client.reconnect();
+        host.connections.reconnect();
     }
 }
 
@@ -197,7 +197,7 @@
     /// Monotonic time.
     pub clock: Clock,
     /// Client to the origin and to peers.
-    pub client: Client,
+    pub connections: Connections,
     /// Settings of the burst.
     pub spread: spread::Setting,
     /// Verified chunks.
--- a/src/burst/manager.rs
+++ b/src/burst/manager.rs
@@ -36,7 +36,7 @@
     /// The version.
     pub version: u64,
     /// When the oldest version was named that is lacked.
-    pub named: Time,
+    pub published: Time,
 }
 
 impl Target {
@@ -60,7 +60,7 @@
     let wanted = knowledge.belief.borrow().wanted(&model);
     Some(Target {
         version: wanted.map_or(FIRST_VERSION, |wanted| wanted.version),
-        named: wanted.map_or(Time::default(), |wanted| wanted.since),
+        published: wanted.map_or(Time::default(), |wanted| wanted.since),
         model,
     })
 }
@@ -238,7 +238,7 @@
     }
 
     fn holders(&self, target: &Target) -> Holders {
-        let named = self.host.clock.now().since(target.named);
+        let named = self.host.clock.now().since(target.published);
         match target.version {
             FIRST_VERSION if self.first_start => Holders::All,
             FIRST_VERSION => Holders::Some,
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -25,7 +25,7 @@
 use tokio::sync::Notify;
 
 use crate::audit::{Deed, Trail};
-use crate::burst::host::{Client, Host, Instruments, reconnect_when_silent};
+use crate::burst::host::{Connections, Host, Instruments, reconnect_when_silent};
 use crate::burst::manager::{self, Manager, Origins};
 use crate::clock::Time;
 use crate::config::belief::Belief;
@@ -228,7 +228,7 @@
         name: setting.identity.address.to_string().into(),
         hall: setting.identity.hall.clone(),
         clock: knowledge.clock,
-        client: Client::new(ClientSetting::default()),
+        connections: Connections::new(ClientSetting::default()),
         spread: setting.spread.for_relay(),
         store: RefCell::new(Store::new(setting.memory_bytes)),
         instruments: Instruments::new(&metrics.meter()),
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -19,7 +19,7 @@
 use tokio::net::TcpListener;
 
 use crate::audit::{Deed, Trail};
-use crate::burst::host::{Client, Host, Instruments, LocalChunks, reconnect_when_silent};
+use crate::burst::host::{Connections, Host, Instruments, LocalChunks, reconnect_when_silent};
 use crate::burst::manager::{self, Manager, Origins, Target, label};
 use crate::burst::{self};
 use crate::clock::Time;
@@ -243,7 +243,7 @@
             name: identity.address.ip().to_string().into(),
             hall: identity.hall,
             clock: knowledge.clock,
-            client: Client::new(ClientSetting::default()),
+            connections: Connections::new(ClientSetting::default()),
             spread: setting.spread,
             store: RefCell::new(Store::new(setting.memory_bytes)),
             instruments: Instruments::new(&metrics.meter()),
@@ -331,7 +331,7 @@
         let belief = self.knowledge.belief.borrow();
         let lacking = held.and_then(|held| first_lacking(belief.named(&target.model), held));
         Some(Target {
-            named: lacking.map_or(target.named, |wanted| wanted.since),
+            published: lacking.map_or(target.published, |wanted| wanted.since),
             ..target
         })
     }
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -242,7 +242,7 @@
             };
             rollout::State {
                 wanted: target.version,
-                named: target.named,
+                named: target.published,
                 held: known.held(&target.model),
                 busy: known.busy,
                 complete: self.complete_since(label),
--- a/src/spread/ring.rs
+++ b/src/spread/ring.rs
@@ -159,7 +159,8 @@
     members: &[Member],
     relays: &[Arc<str>],
 ) -> usize {
-    let priority = |kind: &[u8], name: &str| score(version, &[b"substitute", kind, name.as_bytes()]);
+    let priority =
+        |kind: &[u8], name: &str| score(version, &[b"substitute", kind, name.as_bytes()]);
     let place = |name: &Arc<str>| (relays.contains(name), priority(b"box", name));
     let own_place = place(&own.name);
     let in_hall = members
