--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -105,7 +105,7 @@
         },
         path => {
             let path = path.to_owned();
-            serve::answer_path(&gateway.joined, &gateway.tracker, &path).await
+            serve::answer_path(&gateway.bursts, &gateway.tracker, &path).await
         }
     }
 }
