--- a/src/agent.rs
+++ b/src/agent.rs
@@ -16,14 +16,14 @@
 use crate::auth::Keyring;
 use crate::http::{Server, Wrap};
 use crate::limit;
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::metric;
 use crate::node::{self, Node};
 use crate::placement::{self, Assignment};
 use crate::request::Ledger;
 use crate::spread;
 use crate::spread::swarm::Tally;
-use crate::stop::Porter;
+use crate::stop::Tracker;
 use crate::version::{EngineState, Fence};
 use crate::weight::{Digest, Store};
 
@@ -33,8 +33,8 @@
 pub mod serve;
 pub mod status;
 
-use crate::burst::host::{Calls, ContentOrigin, Host, Instruments, Origin};
-use crate::burst::{Burst, Holders, Purpose};
+use crate::burst::host::{Connections, ContentOrigin, Host, Instruments, Origin};
+use crate::burst::{Burst, Holders, Options};
 
 /// Keys for requests that run at most once, kept at a time.
 const KEYS_MAX: usize = 16_384;
@@ -81,7 +81,7 @@
     bursts: RefCell<BTreeMap<Digest, Rc<Burst>>>,
     gate: RefCell<Gate>,
     leaving: Cell<bool>,
-    porter: Rc<Porter>,
+    tracker: Rc<Tracker>,
     in_flight: RefCell<limit::Target>,
     ledger: RefCell<Ledger>,
     keyring: Keyring,
@@ -116,14 +116,14 @@
         name: setting.node.name.clone(),
         hall: setting.node.hall.clone(),
         clock: node.clock,
-        client: Calls::new(node.setting.client()),
+        connections: Connections::new(node.setting.client()),
         spread: setting.spread,
         store: RefCell::new(Store::new(setting.memory_bytes)),
         instruments: Instruments::new(&node.metrics.meter()),
         bytes_sent: Cell::new(0),
         wake: tokio::sync::Notify::new(),
         trail: Rc::new(move |deed| trail.audit(deed)),
-        local: None,
+        local_chunks: None,
     }
 }
 
@@ -146,7 +146,7 @@
             bursts: RefCell::default(),
             gate: RefCell::default(),
             leaving: Cell::new(false),
-            porter: Porter::new(node.clock, &node.metrics.meter()),
+            tracker: Tracker::new(node.clock, &node.metrics.meter()),
             in_flight: RefCell::default(),
             ledger: RefCell::new(Ledger::new(boot, KEYS_MAX, KEPT_ANSWER_MAX)),
             keyring: setting.keyring.clone(),
@@ -231,7 +231,7 @@
     fn reconcile_bursts(
         self: &Rc<Self>,
         assignment: &Assignment,
-        lookup: impl Fn(&str) -> Option<Listed>,
+        lookup: impl Fn(&str) -> Option<Descriptor>,
     ) {
         let own = &self.node.setting.name;
         let carried = assignment
@@ -240,13 +240,13 @@
             .map(Vec::as_slice)
             .unwrap_or_default();
         for carry in carried {
-            let purpose = Purpose {
+            let options = Options {
                 peers_only: false,
-                origin_chunk: None,
+                origin_chunk_time: None,
                 favour: carry.favour,
                 holders: Holders::Nobody,
             };
-            let members: Vec<Listed> = assignment
+            let members: Vec<Descriptor> = assignment
                 .carriers(carry.digest)
                 .filter_map(|name| lookup(name))
                 .collect();
@@ -255,7 +255,7 @@
                 .borrow_mut()
                 .entry(carry.digest)
                 .or_insert_with(|| {
-                    Burst::start(&self.host, self.origin.clone(), carry.digest, purpose)
+                    Burst::start(&self.host, self.origin.clone(), carry.digest, options)
                 })
                 .clone();
             burst.set_wanted(true);
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -25,8 +25,8 @@
 use tokio::sync::Notify;
 
 use crate::audit::{Deed, Trail};
-use crate::burst::host::{Calls, Host, Instruments, renew_when_silent};
-use crate::burst::joined::{self, Joined, Origins};
+use crate::burst::host::{Connections, Host, Instruments, reconnect_when_silent};
+use crate::burst::manager::{self, Manager, Origins};
 use crate::clock::Time;
 use crate::config::catalog::Catalog;
 use crate::config::residency::Regions;
@@ -34,8 +34,8 @@
 use crate::exchange::{self, path::Paths};
 use crate::http::{self, ClientSetting, Server, Timing};
 use crate::knowledge;
-use crate::knowledge::halls::Halls;
 use crate::knowledge::hub::Hub;
+use crate::knowledge::polls::Polls;
 use crate::knowledge::{Identity, Knowledge, gossip, store, traffic};
 use crate::limit::returning::{Refusals, Refused};
 use crate::member::Role;
@@ -47,7 +47,7 @@
 use crate::route::replica::Due;
 use crate::source::{Source, Topic};
 use crate::spread;
-use crate::stop::{self, Porter};
+use crate::stop::{self, Tracker};
 use crate::version::rollout;
 use crate::weight::Store;
 use crate::wire::sync::Summary;
@@ -148,13 +148,13 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Lets requests in.
-    pub porter: Rc<Porter>,
+    pub tracker: Rc<Tracker>,
     pool_at: Cell<u64>,
     budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
     began: Time,
     instruments: status::Instruments,
-    joined: Joined,
-    halls: RefCell<Halls>,
+    bursts: Manager,
+    halls: RefCell<Polls>,
     hub: RefCell<Hub>,
     /// Requests that were refused lately, here or as others told.
     refusals: RefCell<Refusals>,
@@ -162,7 +162,7 @@
 }
 
 /// What a gateway works with.
-pub struct Edges {
+pub struct Dependencies {
     /// How callers and replicas speak.
     pub dialect: Rc<dyn Dialect>,
     /// The platform's store.
@@ -217,7 +217,7 @@
         let in_flight = self.gateway.in_flight();
         log::info!(in_flight; "planned stop begins");
         let setting = stop::Setting::within(grace);
-        self.gateway.porter.stop(setting, &self.front).await;
+        self.gateway.tracker.stop(setting, &self.front).await;
         Ok(())
     }
 }
@@ -228,14 +228,14 @@
         name: setting.identity.address.to_string().into(),
         hall: setting.identity.hall.clone(),
         clock: knowledge.clock,
-        client: Calls::new(ClientSetting::default()),
-        spread: setting.spread.of_relay(),
+        connections: Connections::new(ClientSetting::default()),
+        spread: setting.spread.for_relay(),
         store: RefCell::new(Store::new(setting.memory_bytes)),
         instruments: Instruments::new(&metrics.meter()),
         bytes_sent: Cell::new(0),
         wake: Notify::new(),
         trail: Rc::new(move |deed: Deed| trail.borrow_mut().add(0, deed)),
-        local: None,
+        local_chunks: None,
     }
 }
 
@@ -243,10 +243,10 @@
     /// Starts a gateway on the present thread.
     pub fn start(
         setting: Setting,
-        edges: Edges,
+        edges: Dependencies,
         listeners: Listeners,
     ) -> Result<Running, metric::Error> {
-        let Edges {
+        let Dependencies {
             dialect,
             source,
             origins,
@@ -265,7 +265,7 @@
         let host = Rc::new(relay_host(&setting, &knowledge, &metrics));
         let all_silent = paths.all_silent();
         let gateway = Rc::new(Self {
-            joined: Joined::new(host.clone(), origins, setting.first_start),
+            bursts: Manager::new(host.clone(), origins, setting.first_start),
             client: exchange::Client::sharing(paths),
             pool: RefCell::new(Pool::new(setting.identity.hall.clone(), setting.policy)),
             refusals: RefCell::default(),
@@ -279,7 +279,7 @@
                 knowledge.now(),
             )),
             instruments: status::Instruments::new(&metrics.meter()),
-            porter: Porter::new(knowledge.clock, &metrics.meter()),
+            tracker: Tracker::new(knowledge.clock, &metrics.meter()),
             metrics,
             knowledge: knowledge.clone(),
             dialect,
@@ -293,7 +293,7 @@
                 Topic::Operator,
             )),
             actix_rt::spawn(store::follow(knowledge.clone(), source, Topic::Replicas)),
-            actix_rt::spawn(gossip::tell_news(knowledge.clone())),
+            actix_rt::spawn(gossip::announce_updates(knowledge.clone())),
             actix_rt::spawn(traffic::log(knowledge.clone())),
             actix_rt::spawn(knowledge::poison::run(knowledge.clone())),
             actix_rt::spawn(gossip::run(knowledge, move || others.sidecars())),
@@ -301,7 +301,7 @@
             actix_rt::spawn(gateway.clone().relay()),
             actix_rt::spawn(halls::run(gateway.clone())),
             actix_rt::spawn(greet::run(gateway.clone())),
-            actix_rt::spawn(renew_when_silent(host, all_silent)),
+            actix_rt::spawn(reconnect_when_silent(host, all_silent)),
         ];
         let front = gateway.serve_front(listeners.front);
         let mut servers = vec![
@@ -399,10 +399,10 @@
             return;
         }
         let knowledge = &self.knowledge;
-        let brief = knowledge.brief();
-        let origin_chunk = brief.as_ref().and_then(Summary::chunk);
+        let brief = knowledge.summary();
+        let origin_chunk_time = brief.as_ref().and_then(Summary::chunk);
         let origin = brief.and_then(|brief| brief.origin);
-        let (Some(target), Some(origin)) = (joined::newest(knowledge), origin) else {
+        let (Some(target), Some(origin)) = (manager::newest(knowledge), origin) else {
             return;
         };
         let service = {
@@ -413,22 +413,22 @@
             });
             services.next().map(|service| service.name.clone())
         };
-        let members = joined::members(knowledge, service.as_deref(), self.setting.sidecar_port);
+        let members = manager::members(knowledge, service.as_deref(), self.setting.sidecar_port);
         let identity = &self.setting.identity;
-        let own = joined::member(
+        let own = manager::member(
             identity.address.to_string(),
             identity.hall.clone(),
             identity.address,
             Role::Entry,
         );
-        let oldest = joined::oldest(knowledge, &target, self.setting.rollout.bound);
-        let crew = joined::Crew {
+        let oldest = manager::oldest(knowledge, &target, self.setting.rollout.bound);
+        let topology = manager::Topology {
             origin,
-            origin_chunk,
+            origin_chunk_time,
             members,
             own,
         };
-        self.joined.join(&target, oldest, crew);
+        self.bursts.join(&target, oldest, topology);
     }
 
     fn log_under_way(&self) {
@@ -494,7 +494,7 @@
         }
         let placed = hosts.into_iter().filter_map(|(group, hosts)| {
             let model = self.knowledge.model_of(&group.0)?;
-            let label = joined::label(&model, catalog.wanted(&model)?.version);
+            let label = manager::label(&model, catalog.wanted(&model)?.version);
             let hosts = hosts.iter().map(String::as_str);
             Some((group, rollout::assign_waves(label, hosts, waves)))
         });
@@ -523,18 +523,18 @@
     /// Whether callers' requests can be served.
     pub fn ready(&self) -> bool {
         let catalog = self.knowledge.catalog.borrow();
-        !self.porter.stopping() && catalog.routing().is_some() && catalog.has_replica_list()
+        !self.tracker.is_stopping() && catalog.routing().is_some() && catalog.has_replica_list()
     }
 
     /// Announces that the process stops: the balancer hears that it is not ready, and every answer
     /// asks its caller to use another connection.
     pub fn drain(&self) {
-        self.porter.begin(stop::Setting::default());
+        self.tracker.begin(stop::Setting::default());
     }
 
     /// Requests in progress, of callers and of other processes that chunks are handed to.
     pub fn in_flight(&self) -> u64 {
-        self.porter.under_way()
+        self.tracker.in_flight()
     }
 
     fn count_request(&self, service: &Arc<str>) {
@@ -563,7 +563,7 @@
     /// A request was refused whose caller tried first at `first`. Only engines are short of places so
     /// often that it matters.
     fn note_refused(&self, job: &Job, first: Time) {
-        if job.ask.work.is_none() {
+        if job.ask.inference.is_none() {
             return;
         }
         let mut refusals = self.refusals.borrow_mut();
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -42,7 +42,7 @@
 
 /// The process stops, and the request has not run.
 pub(super) fn stopping() -> Refusal {
-    Refusal::new(Code::Stopping, "the process stops").retry_after(stop::porter::RETRY)
+    Refusal::new(Code::Stopping, "the process stops").retry_after(stop::tracker::RETRY_DELAY)
 }
 
 /// The process ends, and the request may have run.
@@ -350,7 +350,7 @@
         let gateway = &self.gateway;
         let now = gateway.knowledge.now();
         let service = self.job.routing.service(&self.job.service);
-        let model = self.job.ask.work.as_ref().map(|work| &*work.model);
+        let model = self.job.ask.inference.as_ref().map(|work| &*work.model);
         let engine = service.and_then(|service| service.engine.as_ref());
         // Replicas that hold models are engines, whatever could be read of their service.
         let engines = || {
@@ -358,7 +358,7 @@
             engine.is_some() || catalog.loaded_model(Some(&self.job.service)).is_some()
         };
         let model = model.filter(|_| engines());
-        let entries = gateway.knowledge.peers.borrow().bound() as u32;
+        let entries = gateway.knowledge.peers.borrow().upper_bound() as u32;
         let connections = service.map_or(u32::MAX, |service| service.connections_max);
         let regions = gateway.knowledge.regions.borrow();
         then(pool::Ask {
@@ -387,7 +387,7 @@
 
     /// Part of it that this entry may send where the process beside the replica deals none out.
     fn own_cold_per_s(&self) -> f64 {
-        let entries = self.gateway.knowledge.peers.borrow().bound();
+        let entries = self.gateway.knowledge.peers.borrow().upper_bound();
         self.cold_per_s() / entries.max(1) as f64
     }
 
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -9,8 +9,8 @@
 use crate::clock::Time;
 use crate::knowledge::fanout::{self, Message};
 use crate::knowledge::gossip;
-use crate::knowledge::halls::Ask;
-use crate::knowledge::hub::Extent;
+use crate::knowledge::hub::Content;
+use crate::knowledge::polls::Poll;
 use crate::knowledge::readers::Readers;
 use crate::knowledge::rounds::PeerExchange;
 use crate::wire::pack;
@@ -33,19 +33,19 @@
     }
 }
 
-async fn ask_hall(gateway: Rc<Gateway>, ask: Ask) {
+async fn ask_hall(gateway: Rc<Gateway>, ask: Poll) {
     let knowledge = &gateway.knowledge;
-    let sync = knowledge.sync_exchanging(if ask.wants_peers {
+    let sync = knowledge.heartbeat_with(if ask.wants_peers {
         PeerExchange::PushPullHall
     } else {
         PeerExchange::Skip
     });
-    let answer = gossip::ask::<_, HallUpdate>(knowledge, ask.entry, HALL_PATH, &sync).await;
-    gateway.halls.borrow_mut().answered(&ask.hall);
+    let answer = gossip::call::<_, HallUpdate>(knowledge, ask.entry, HALL_PATH, &sync).await;
+    gateway.halls.borrow_mut().finished(&ask.hall);
     match answer {
         Ok(answer) => {
             let digest = answer.digest();
-            gossip::take(knowledge, ask.entry, answer.update);
+            gossip::apply_answer(knowledge, ask.entry, answer.update);
             match digest {
                 Ok(digest) => gateway.take_digest(&digest),
                 Err(error) => {
@@ -76,9 +76,9 @@
         let knowledge = &self.knowledge;
         let now = knowledge.now();
         let own = knowledge.identity.address;
-        let fellows = knowledge.fellows();
-        let place = Readers::place(own, &fellows);
-        if !self.hub.borrow().tells(place, now) {
+        let fellows = knowledge.local_peers();
+        let place = Readers::rank(own, &fellows);
+        if !self.hub.borrow().is_active(place, now) {
             return;
         }
         for ask in self.due_halls(now) {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn due_halls(&self, now: Time) -> Vec<Ask> {
+    fn due_halls(&self, now: Time) -> Vec<Poll> {
         let knowledge = &self.knowledge;
         let peers = knowledge.peers.borrow();
         let mut rng = knowledge.rng.borrow_mut();
@@ -100,13 +100,13 @@
     }
 
     /// Sends one frame, written once, to each other entry of the hall.
-    fn tell_hall(&self, extent: Extent, now: Time) {
+    fn tell_hall(&self, extent: Content, now: Time) {
         let knowledge = &self.knowledge;
-        let sync = knowledge.sync(extent == Extent::Whole { entries: true });
+        let sync = knowledge.heartbeat(extent == Content::Whole { entries: true });
         let header = self.hub.borrow_mut().next_header(sync.revisions);
         let frame = Frame {
             digests: self.digests(extent, now),
-            update: knowledge.news_since(header.baseline),
+            update: knowledge.update_since(header.baseline),
             incarnation: header.incarnation,
             number: header.number,
             heartbeat: sync,
@@ -114,20 +114,20 @@
         match pack::pack(&frame) {
             Ok(packed) => {
                 let message = Message::Frame(packed.into());
-                fanout::send(knowledge, &message, knowledge.fellows());
+                fanout::send(knowledge, &message, knowledge.local_peers());
             }
             Err(error) => log::error!("frame of the hall: {error}"),
         }
     }
 
-    fn digests(&self, extent: Extent, now: Time) -> Vec<HallStatus> {
+    fn digests(&self, extent: Content, now: Time) -> Vec<HallStatus> {
         let own = &self.knowledge.identity.hall;
         match extent {
-            Extent::Since(since) => vec![HallStatus {
+            Content::Since(since) => vec![HallStatus {
                 hall: own.clone(),
                 replicas: self.pool.borrow().reports_since(own, since, now),
             }],
-            Extent::Whole { .. } => {
+            Content::Whole { .. } => {
                 let halls = self.pool.borrow().halls();
                 let digests = halls.into_iter().map(|hall| HallStatus {
                     replicas: self.reports(&hall, now),
@@ -152,7 +152,7 @@
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
         let replicas = least_loaded(self.pool.borrow().reports(&hall, now));
-        let news = self.knowledge.news_for_hall(sync);
+        let news = self.knowledge.update_for_hall(sync);
         HallUpdate::new(
             HallStatus { hall, replicas },
             news,
@@ -172,7 +172,7 @@
                 self.take_digest(digest);
             }
             if let Some(news) = frame.update {
-                self.knowledge.take_news(from, news);
+                self.knowledge.apply_update(from, news);
             }
         }
         frame.heartbeat
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -13,7 +13,7 @@
 use crate::config::catalog::{
     Catalog, Changes, DesiredVersion, Effect, Fact, Revisioned, RevisionedRecord, Revisions,
 };
-use crate::member::peer::Told;
+use crate::member::peer::Advertisement;
 use crate::wire::pack;
 use crate::wire::sync::{
     Heartbeat, PackedReplicaList, PublishedVersion, ReplicaList, RevisionedDocument, Update,
@@ -25,11 +25,11 @@
 
 impl Knowledge {
     /// Takes what another process answered.
-    pub fn take_news(&self, from: SocketAddr, news: Update) {
-        self.update_peers(|peers| peers.learn(&news.peers, self.now()));
+    pub fn apply_update(&self, from: SocketAddr, news: Update) {
+        self.update_peers(|peers| peers.merge(&news.peers, self.now()));
         if let Some(packed) = &news.packed_peers {
-            match pack::unpack::<Vec<Told>>(packed) {
-                Ok(told) => self.update_peers(|peers| peers.learn(&told, self.now())),
+            match pack::unpack::<Vec<Advertisement>>(packed) {
+                Ok(told) => self.update_peers(|peers| peers.merge(&told, self.now())),
                 Err(error) => {
                     log::warn!(from:% = from; "cannot unpack the list of entries: {error}");
                 }
@@ -63,12 +63,12 @@
         }
         if let Some(brief) = news.summary {
             let newer = self
-                .brief
+                .summary
                 .borrow()
                 .as_ref()
                 .is_none_or(|known| known.revision < brief.revision);
             if newer {
-                self.brief.replace(Some(brief));
+                self.summary.replace(Some(brief));
                 self.tell(Effect::Routing);
             }
         }
@@ -150,18 +150,18 @@
 
     /// The heartbeat that this process sends. With `names_entries` it tells the entries that it
     /// knows, and wants to be told.
-    pub fn sync(&self, names_entries: bool) -> Heartbeat {
+    pub fn heartbeat(&self, names_entries: bool) -> Heartbeat {
         let exchange = if names_entries {
             PeerExchange::PushPull
         } else {
             PeerExchange::Skip
         };
-        self.sync_exchanging(exchange)
+        self.heartbeat_with(exchange)
     }
 
     /// The heartbeat that this process sends. `exchange` selects whether it sends and requests known
     /// entries.
-    pub fn sync_exchanging(&self, exchange: PeerExchange) -> Heartbeat {
+    pub fn heartbeat_with(&self, exchange: PeerExchange) -> Heartbeat {
         let now = self.now();
         Heartbeat {
             from: self.identity.address,
@@ -171,7 +171,7 @@
             store_age_ms: self.store_age_ms(now),
             peers: match exchange {
                 _ if !self.identity.entry => Vec::new(),
-                PeerExchange::PushPull => self.peers.borrow().tell(now),
+                PeerExchange::PushPull => self.peers.borrow().advertise(now),
                 PeerExchange::PushPullHall => self.hall_peers(now),
                 PeerExchange::Skip | PeerExchange::Pull => Vec::new(),
             },
@@ -187,7 +187,7 @@
     }
 
     /// The news since `marks` without the configuration, if there is any.
-    pub fn news_since(&self, revisions: Revisions) -> Option<Update> {
+    pub fn update_since(&self, revisions: Revisions) -> Option<Update> {
         let has_news = {
             let catalog = self.catalog.borrow();
             let own = catalog.revisions().without_routing();
@@ -197,28 +197,28 @@
             let sync = Heartbeat {
                 entry: false,
                 revisions,
-                ..self.sync(false)
+                ..self.heartbeat(false)
             };
-            self.news_for(&sync, false)
+            self.update_for(&sync, false)
         })
     }
 
     /// The answer to an entry of another hall that polls this one: what its sender lacks. It lists
     /// only entries of this hall, because the sender polls the other halls as well.
-    pub fn news_for_hall(&self, sync: &Heartbeat) -> Update {
+    pub fn update_for_hall(&self, sync: &Heartbeat) -> Update {
         self.news_with_entries(sync, false, |now| self.hall_peers(now))
     }
 
     /// What this process tells others about the other entries of its own hall.
-    fn hall_peers(&self, now: Time) -> Vec<Told> {
-        let fellows = self.fellows();
+    fn hall_peers(&self, now: Time) -> Vec<Advertisement> {
+        let local_peers = self.local_peers();
         let peers = self.peers.borrow();
-        peers.tell_filtered(now, |entry| fellows.contains(&entry))
+        peers.advertise_filtered(now, |entry| local_peers.contains(&entry))
     }
 
     /// The answer to a heartbeat: what its sender lacks. `brief` for one that does not keep the
     /// whole configuration.
-    pub fn news_for(&self, sync: &Heartbeat, brief: bool) -> Update {
+    pub fn update_for(&self, sync: &Heartbeat, brief: bool) -> Update {
         self.news_with_entries(sync, brief, |now| self.entries_to_send(sync, now))
     }
 
@@ -227,10 +227,10 @@
         &self,
         sync: &Heartbeat,
         brief: bool,
-        entries: impl FnOnce(Time) -> Vec<Told>,
+        entries: impl FnOnce(Time) -> Vec<Advertisement>,
     ) -> Update {
         let now = self.now();
-        self.update_peers(|peers| peers.learn(&sync.peers, now));
+        self.update_peers(|peers| peers.merge(&sync.peers, now));
         if sync.entry {
             self.hear(sync.from, &sync.hall, sync.store_age_ms);
         }
@@ -288,20 +288,20 @@
                 .then(|| self.packed_list())
                 .flatten(),
             changes,
-            summary: (newer_routing && brief).then(|| self.brief()).flatten(),
+            summary: (newer_routing && brief).then(|| self.summary()).flatten(),
             poison: self.poison.borrow().digest(now),
         }
     }
 
     /// The entries that the reply to `sync` lists: all known ones if the sender is an entry, a
     /// bounded subset if it is a sidecar, unless sidecars report to all entries.
-    fn entries_to_send(&self, sync: &Heartbeat, now: Time) -> Vec<Told> {
+    fn entries_to_send(&self, sync: &Heartbeat, now: Time) -> Vec<Advertisement> {
         let peers = self.peers.borrow();
         if sync.entry || !self.policy.digests {
-            return peers.tell(now);
+            return peers.advertise(now);
         }
         let selected = Readers::entries_for_sidecar(sync.from, &sync.hall, &peers, now);
-        peers.tell_filtered(now, |entry| selected.contains(&entry))
+        peers.advertise_filtered(now, |entry| selected.contains(&entry))
     }
 
     /// The configuration as others draw it.
@@ -352,7 +352,7 @@
 }
 
 /// Encodes `told` for [`Update::packed_peers`]. Returns `None` if it is empty or cannot be packed.
-fn pack_peers(told: &[Told]) -> Option<ByteBuf> {
+fn pack_peers(told: &[Advertisement]) -> Option<ByteBuf> {
     if told.is_empty() {
         return None;
     }
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -19,17 +19,17 @@
 use tokio::net::TcpListener;
 
 use crate::audit::{Deed, Trail};
-use crate::burst::host::{Calls, Host, Instruments, Local, renew_when_silent};
-use crate::burst::joined::{self, Joined, Origins, Target, label};
+use crate::burst::host::{Connections, Host, Instruments, LocalChunks, reconnect_when_silent};
+use crate::burst::manager::{self, Manager, Origins, Target, label};
 use crate::burst::{self};
 use crate::clock::Time;
 use crate::config::catalog::first_missing;
 use crate::daemon;
 use crate::exchange::{self, path::Paths};
-use crate::gateway::control::message;
+use crate::gateway::control::decode;
 use crate::http::{self, Answer, ClientSetting, Server};
 use crate::knowledge::{Identity, Knowledge, traffic};
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::metric::{self, Metrics};
 use crate::place::{self, Ledger};
 use crate::policy::Policy;
@@ -37,7 +37,7 @@
 use crate::run::{Call, Shelf};
 use crate::source::Source;
 use crate::spread;
-use crate::stop::{self, Porter};
+use crate::stop::{self, Tracker};
 use crate::version::rollout;
 use crate::weight::{Digest, Store};
 use crate::wire::sync::{Heartbeat, SYNC_PATH};
@@ -94,9 +94,9 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Lets requests in.
-    pub porter: Rc<Porter>,
+    pub tracker: Rc<Tracker>,
     engine: Rc<dyn Engine>,
-    joined: Joined,
+    bursts: Manager,
     source: Rc<dyn Source>,
     state: Rc<RefCell<Option<State>>>,
     misses: Cell<u32>,
@@ -111,7 +111,7 @@
     /// The version that was complete last, and since when.
     complete: Cell<Option<(Digest, Time)>>,
     roll: RefCell<Option<reconcile::Roll>>,
-    joined_with: RefCell<Option<(Digest, Rc<[Listed]>)>>,
+    joined_with: RefCell<Option<(Digest, Rc<[Descriptor]>)>>,
     trips: RefCell<trip::Trips>,
     ledger: RefCell<Ledger>,
     told: Cell<u64>,
@@ -139,7 +139,7 @@
         for task in &self.tasks {
             task.abort();
         }
-        self.sidecar.joined.leave();
+        self.sidecar.bursts.leave();
     }
 }
 
@@ -156,10 +156,10 @@
         daemon::stop_signal().await?;
         log::info!("planned stop begins");
         let setting = stop::Setting {
-            hear: Duration::ZERO,
+            announce_period: Duration::ZERO,
             ..stop::Setting::within(grace)
         };
-        self.sidecar.porter.stop(setting, &self.control).await;
+        self.sidecar.tracker.stop(setting, &self.control).await;
         Ok(())
     }
 }
@@ -192,7 +192,7 @@
     first: Cell<bool>,
 }
 
-impl Local for StagedChunks {
+impl LocalChunks for StagedChunks {
     fn chunk(
         &self,
         version: Digest,
@@ -243,14 +243,14 @@
             name: identity.address.ip().to_string().into(),
             hall: identity.hall,
             clock: knowledge.clock,
-            client: Calls::new(ClientSetting::default()),
+            connections: Connections::new(ClientSetting::default()),
             spread: setting.spread,
             store: RefCell::new(Store::new(setting.memory_bytes)),
             instruments: Instruments::new(&metrics.meter()),
             bytes_sent: Cell::new(0),
             wake: tokio::sync::Notify::new(),
             trail: Rc::new(move |deed: Deed| trail.borrow_mut().add(0, deed)),
-            local: Some(Rc::new(local)),
+            local_chunks: Some(Rc::new(local)),
         };
         let host = Rc::new(host);
         let now = knowledge.now();
@@ -260,9 +260,9 @@
             .with_description("Requests at the replica, running and waiting")
             .build();
         let sidecar = Rc::new(Self {
-            porter: Porter::new(knowledge.clock, &metrics.meter()),
+            tracker: Tracker::new(knowledge.clock, &metrics.meter()),
             knowledge,
-            joined: Joined::new(host.clone(), edges.origins, setting.first_start),
+            bursts: Manager::new(host.clone(), edges.origins, setting.first_start),
             host,
             metrics,
             engine: edges.engine,
@@ -293,7 +293,7 @@
             actix_rt::spawn(observe::read_store_when_alone(sidecar.clone())),
             actix_rt::spawn(reconcile::run(sidecar.clone())),
             actix_rt::spawn(traffic::log(sidecar.knowledge.clone())),
-            actix_rt::spawn(renew_when_silent(
+            actix_rt::spawn(reconnect_when_silent(
                 sidecar.host.clone(),
                 edges.paths.all_silent(),
             )),
@@ -325,14 +325,14 @@
     /// The version that the replica is to hold, counted from when the oldest was named that it
     /// lacks; `None` while nothing is known.
     pub fn target(&self) -> Option<Target> {
-        let target = joined::newest(&self.knowledge)?;
+        let target = manager::newest(&self.knowledge)?;
         let state = self.state.borrow();
         let held = state.as_ref().and_then(|state| state.held(&target.model));
         let catalog = self.knowledge.catalog.borrow();
         let lacking =
             held.and_then(|held| first_missing(catalog.desired_versions(&target.model), held));
         Some(Target {
-            named: lacking.map_or(target.named, |wanted| wanted.since),
+            published: lacking.map_or(target.published, |wanted| wanted.since),
             ..target
         })
     }
@@ -348,21 +348,21 @@
         return sidecar.answer_run(call, request).await;
     }
     if path == SYNC_PATH {
-        return match message::<Heartbeat>(&mut request).await {
-            Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.news_for(&sync, false)),
+        return match decode::<Heartbeat>(&mut request).await {
+            Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.update_for(&sync, false)),
             Err(answer) => answer,
         };
     }
     if path == place::PATH {
-        let ticket = sidecar.porter.enter(stop::Kind::Peer);
-        if ticket.refused() {
+        let permit = sidecar.tracker.admit(stop::Kind::Peer);
+        if permit.is_refused() {
             return http::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let answer = match message::<place::Ask>(&mut request).await {
+        let answer = match decode::<place::Ask>(&mut request).await {
             Ok(ask) => http::pack(StatusCode::OK, &sidecar.place(&ask)),
             Err(answer) => answer,
         };
-        return ticket.hold(answer);
+        return permit.attach(answer);
     }
-    burst::serve::answer_path(&sidecar.joined, &sidecar.porter, &path).await
+    burst::serve::answer_path(&sidecar.bursts, &sidecar.tracker, &path).await
 }
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -9,7 +9,7 @@
 use crate::config::catalog::{Changes, RevisionedRecord, Revisions};
 use crate::config::evacuation::Evacuation;
 use crate::config::routing::{Engine, transfer_time};
-use crate::member::peer::Told;
+use crate::member::peer::Advertisement;
 use crate::route::replica::Load;
 use crate::wire::pack;
 
@@ -39,7 +39,7 @@
     pub store_age_ms: Option<u64>,
     /// The entries that it knows.
     #[serde(default)]
-    pub peers: Vec<Told>,
+    pub peers: Vec<Advertisement>,
     /// Whether it wants to be told of entries.
     #[serde(default)]
     pub wants_peers: bool,
@@ -284,7 +284,7 @@
     pub store_age_ms: Option<u64>,
     /// The entries that it knows, if that was asked for.
     #[serde(default)]
-    pub peers: Vec<Told>,
+    pub peers: Vec<Advertisement>,
     /// The entries in packed form, instead of `peers`, if the receiver supports it.
     #[serde(default)]
     pub packed_peers: Option<serde_bytes::ByteBuf>,
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::member::replica::Life;
+use pumicelatch::member::replica::Incarnation;
 use pumicelatch::request::poison::{MAX_CRASHES, Registry, RequestHash, Verdict};
 use quickcheck::quickcheck;
 
@@ -13,8 +13,8 @@
     RequestHash::of("test.example", "/stream/x", "escola", b"body")
 }
 
-fn life(number: u8) -> Life {
-    Life {
+fn life(number: u8) -> Incarnation {
+    Incarnation {
         id: format!("i-{number}").into(),
         born: 1,
     }
@@ -72,7 +72,7 @@
 #[test]
 fn a_replica_that_starts_again_under_its_id_is_another_life() {
     let mut register = knowing(MAX_CRASHES - 1);
-    let again = Life { born: 2, ..life(0) };
+    let again = Incarnation { born: 2, ..life(0) };
     register.record_crash(name(), again, NOW);
     assert_eq!(register.verdict(name(), NOW), Verdict::Blocked);
 }
