--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -28,7 +28,7 @@
 use traffic::Traffic;
 
 use crate::clock::{Clock, Time};
-use crate::config::belief::{Belief, Dated, Effect, Fact, Marks};
+use crate::config::catalog::{Catalog, Effect, Fact, Revisioned, Revisions};
 use crate::config::residency::Regions;
 use crate::exchange::{self, path::Paths};
 use crate::log::Repeats;
@@ -36,11 +36,11 @@
 use crate::member::rank::rank;
 use crate::member::replica::Record;
 use crate::policy::Policy;
-use crate::request::poison::Register;
+use crate::request::poison::Registry;
 use crate::source::{Batch, Damaged, Topic};
 use crate::version::rollout;
 use crate::wire::pack;
-use crate::wire::sync::Brief;
+use crate::wire::sync::Summary;
 
 pub mod draws;
 pub mod fanout;
@@ -100,11 +100,11 @@
     /// What they are, by purpose.
     pub traffic: Traffic,
     /// Beliefs about the platform.
-    pub belief: RefCell<Belief>,
+    pub catalog: RefCell<Catalog>,
     /// Entries.
     pub peers: RefCell<Peers>,
     /// The newest configuration in brief, where the whole is not kept.
-    pub summary: RefCell<Option<Brief>>,
+    pub summary: RefCell<Option<Summary>>,
     /// Addresses of processes to begin with.
     pub seeds: RefCell<Vec<SocketAddr>>,
     /// The regions of data halls.
@@ -130,7 +130,7 @@
     readers: RefCell<Readers>,
     answered: Cell<Option<Time>>,
     /// Requests under which replicas ended.
-    pub poison: RefCell<Register>,
+    pub poison: RefCell<Registry>,
     /// Wakes those who tell the other entries of them.
     pub poison_changed: Notify,
     poison_comparing: Cell<bool>,
@@ -151,7 +151,7 @@
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             client: exchange::Client::sharing(paths),
             traffic: Traffic::default(),
-            belief: RefCell::new(Belief::new(!policy.doubt)),
+            catalog: RefCell::new(Catalog::new(!policy.doubt)),
             policy,
             peers: RefCell::new(Peers::new(own)),
             summary: RefCell::default(),
@@ -204,13 +204,13 @@
     /// Whether this entry lacks the configuration or the list of replicas. It needs both to serve
     /// requests.
     pub fn lacks_initial_state(&self) -> bool {
-        let belief = self.belief.borrow();
-        belief.routing().is_none() || !belief.lists_replicas()
+        let catalog = self.catalog.borrow();
+        catalog.routing().is_none() || !catalog.has_replica_list()
     }
 
     /// Whether this entry has never had the list of replicas and a process with `marks` has it.
-    fn lacks_list(&self, marks: Marks) -> bool {
-        marks.replicas > 0 && !self.belief.borrow().lists_replicas()
+    fn lacks_list(&self, revisions: Revisions) -> bool {
+        revisions.replicas > 0 && !self.catalog.borrow().has_replica_list()
     }
 
     /// Bytes of an answer of the store came.
@@ -253,8 +253,8 @@
     }
 
     /// Whether another process with these marks knows something newer.
-    pub fn is_behind(&self, marks: Marks) -> bool {
-        marks.any_newer_than(self.belief.borrow().marks())
+    pub fn is_behind(&self, revisions: Revisions) -> bool {
+        revisions.any_newer_than(self.catalog.borrow().revisions())
     }
 
     /// The place of a process in `hall` as a source of draws.
@@ -280,8 +280,9 @@
 
     /// Whether this process is an entry that lacks the configuration or the list of replicas of a
     /// process with `marks`.
-    fn needs_draw(&self, marks: Marks) -> bool {
-        self.identity.entry && (!self.knows_routing(marks.routing) || self.lacks_list(marks))
+    fn needs_draw(&self, revisions: Revisions) -> bool {
+        self.identity.entry
+            && (!self.knows_routing(revisions.routing) || self.lacks_list(revisions))
     }
 
     /// Whether to start a draw from `peer` at `place` now. If so, the caller has to call
@@ -297,26 +298,26 @@
 
     /// Whether the configuration is known up to `revision`.
     fn knows_routing(&self, revision: u64) -> bool {
-        self.belief.borrow().marks().routing >= revision
+        self.catalog.borrow().revisions().routing >= revision
     }
 
     /// The revision up to which a topic is known.
     pub fn revision(&self, topic: Topic) -> u64 {
-        let belief = self.belief.borrow();
+        let catalog = self.catalog.borrow();
         match topic {
             Topic::Operator => {
                 // An evacuation may be told while a configuration of before is still drawn: who watches
                 // from it on would miss that one. What is seen twice changes nothing.
-                let marks = belief.marks();
+                let revisions = catalog.revisions();
                 // Without a configuration, read from the start: a version received from another
                 // process may have a later revision than the configuration, and a watch from that
                 // revision would miss it.
-                if belief.routing().is_none() {
+                if catalog.routing().is_none() {
                     return 0;
                 }
-                marks.routing.max(marks.versions)
+                revisions.routing.max(revisions.versions)
             }
-            Topic::Replicas => belief.listed_at(),
+            Topic::Replicas => catalog.list_revision(),
         }
     }
 
@@ -343,11 +344,11 @@
         }
     }
 
-    fn learn(&self, dated: Dated, origin: &str) -> Effect {
+    fn learn(&self, dated: Revisioned, origin: &str) -> Effect {
         let revision = dated.revision;
         let text = describe(&dated.fact);
         let (now, shaky) = (self.now(), self.shaky());
-        let effect = self.belief.borrow_mut().learn(dated, now, shaky);
+        let effect = self.catalog.borrow_mut().apply(dated, now, shaky);
         if effect != Effect::None {
             log::info!(revision, origin, shaky; "learned: {text}");
         }
@@ -368,7 +369,7 @@
 
     /// Returns whether anything changed.
     fn learn_batch(&self, topic: Topic, whole: bool, batch: Batch) -> bool {
-        self.note_damage(&batch.damaged, batch.at);
+        self.note_damage(&batch.damaged, batch.revision);
         if whole && topic == Topic::Replicas {
             let records = batch
                 .facts
@@ -377,7 +378,7 @@
                     Fact::Replica(record) => Some((dated.revision, record)),
                     _ => None,
                 });
-            let effect = self.take_list(records.collect(), batch.at, self.shaky(), "store");
+            let effect = self.take_list(records.collect(), batch.revision, self.shaky(), "store");
             return effect != Effect::None;
         }
         let mut changed = false;
@@ -388,7 +389,7 @@
             changed |= self.learn(dated, "store") != Effect::None;
         }
         if topic == Topic::Replicas {
-            self.belief.borrow_mut().reached(batch.at);
+            self.catalog.borrow_mut().advance_list(batch.revision);
         }
         changed
     }
@@ -396,13 +397,16 @@
     /// The store's whole word on evacuations: one that is not in it is over.
     fn take_evacuations(&self, batch: &Batch) -> bool {
         let halls = batch.facts.iter().filter_map(|dated| match &dated.fact {
-            Fact::Evacuation { hall, asked: true } => Some(hall.clone()),
+            Fact::Evacuation { hall, active: true } => Some(hall.clone()),
             _ => None,
         });
         let halls: Vec<Arc<str>> = halls.collect();
-        let effect = self.belief.borrow_mut().learn_evacuations(&halls, batch.at);
+        let effect = self
+            .catalog
+            .borrow_mut()
+            .apply_evacuations(&halls, batch.revision);
         if effect != Effect::None {
-            log::info!(revision = batch.at; "learned: evacuations that are over");
+            log::info!(revision = batch.revision; "learned: evacuations that are over");
         }
         self.tell(effect);
         effect != Effect::None
@@ -426,8 +430,11 @@
     fn take_list(&self, records: Vec<(u64, Record)>, at: u64, shaky: bool, origin: &str) -> Effect {
         let count = records.len();
         let now = self.now();
-        let first_list = !self.belief.borrow().lists_replicas();
-        let effect = self.belief.borrow_mut().learn_list(records, at, now, shaky);
+        let first_list = !self.catalog.borrow().has_replica_list();
+        let effect = self
+            .catalog
+            .borrow_mut()
+            .apply_list(records, at, now, shaky);
         if first_list && !self.lacks_initial_state() {
             self.draws.borrow_mut().learned();
         }
@@ -441,28 +448,28 @@
     /// The settings of the change of versions, planned as `setting`, for an origin like the present one.
     pub fn rollout(&self, setting: rollout::Setting) -> rollout::Setting {
         let copy = self.summary().and_then(|brief| brief.copy());
-        setting.with_copy(copy, self.policy)
+        setting.with_transfer_time(copy, self.policy)
     }
 
     /// The model that `service` serves, by the engine's figures, or by what its replicas hold.
     pub fn model_of(&self, service: &str) -> Option<Arc<str>> {
-        let belief = self.belief.borrow();
-        let configured = belief.routing().and_then(|routing| {
+        let catalog = self.catalog.borrow();
+        let configured = catalog.routing().and_then(|routing| {
             let engine = routing.service(service)?.engine.as_ref()?;
             engine.models.first().cloned()
         });
-        configured.or_else(|| belief.held_model(Some(service)))
+        configured.or_else(|| catalog.loaded_model(Some(service)))
     }
 
     /// The configuration in brief, from the whole if that is known.
-    pub fn summary(&self) -> Option<Brief> {
-        let belief = self.belief.borrow();
-        let Some(routing) = belief.routing() else {
+    pub fn summary(&self) -> Option<Summary> {
+        let catalog = self.catalog.borrow();
+        let Some(routing) = catalog.routing() else {
             return self.summary.borrow().clone();
         };
         let services = routing.document.services.iter();
-        Some(Brief {
-            revision: belief.marks().routing,
+        Some(Summary {
+            revision: catalog.revisions().routing,
             origin: routing.origin(),
             origin_mbps: routing.origin_mbps(),
             engine: services.clone().find_map(|service| service.engine.clone()),
@@ -479,7 +486,7 @@
             format!("replica {} of {} {state}", record.id, record.service)
         }
         Fact::ReplicaGone(id) => format!("replica {id} gone"),
-        Fact::Evacuation { hall, asked: true } => format!("hall {hall} is evacuated"),
+        Fact::Evacuation { hall, active: true } => format!("hall {hall} is evacuated"),
         Fact::Evacuation { hall, .. } => format!("the evacuation of hall {hall} is over"),
     }
 }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -8,23 +8,24 @@
 use pumicelatch::clock::Time;
 use pumicelatch::limit::{self, Customers, Target};
 use pumicelatch::request::{
-    Admission, Answer, Break, Key, Ledger, Next, Outcome, RetryBudget, Situation, after_break,
+    Admission, Answer, Interruption, Key, Ledger, Next, Outcome, RetryBudget, Situation,
+    after_interruption,
 };
 use pumicelatch::route::{Ask, End, Load, Need, Policy, ReplicaKey, Table};
 use pumicelatch::template::fleet::Priority;
-use pumicelatch::version::{self, EngineState, Fence, Local, Residence, Step};
+use pumicelatch::version::{self, Command, EngineState, Fence, LoadState, LocalState};
 use pumicelatch::weight::Digest;
 use quickcheck::{Gen, QuickCheck};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-fn every_situation() -> Vec<(Break, Situation)> {
+fn every_situation() -> Vec<(Interruption, Situation)> {
     let breaks = [
-        Break::NotReached,
-        Break::NotAdmitted,
-        Break::NoAnswer,
-        Break::Lost,
-        Break::MidAnswer,
+        Interruption::NotReached,
+        Interruption::NotAdmitted,
+        Interruption::NoAnswer,
+        Interruption::Lost,
+        Interruption::MidAnswer,
     ];
     let mut all = Vec::new();
     for found in breaks {
@@ -50,15 +51,21 @@
 #[test]
 fn in_every_situation_not_run_is_sure_and_nothing_unsure_runs_again() {
     for (found, situation) in every_situation() {
-        let next = after_break(found, situation, &mut RetryBudget::default());
+        let next = after_interruption(found, situation, &mut RetryBudget::default());
         let may_have_run = situation.tainted
             || situation.begun
-            || matches!(found, Break::NoAnswer | Break::Lost | Break::MidAnswer);
+            || matches!(
+                found,
+                Interruption::NoAnswer | Interruption::Lost | Interruption::MidAnswer
+            );
         let case = format!("{found:?} {situation:?}");
         match next {
             Next::GiveUp(Outcome::NotRun) => {
                 assert!(!may_have_run, "{case}");
-                assert!(!situation.keyed || found == Break::NotAdmitted, "{case}");
+                assert!(
+                    !situation.keyed || found == Interruption::NotAdmitted,
+                    "{case}"
+                );
             }
             Next::GiveUp(outcome) => assert_eq!(outcome, Outcome::Unknown, "{case}"),
             Next::Elsewhere => {
@@ -437,16 +444,16 @@
 fn the_gate_opens_only_when_all_of_it_holds() {
     for bits in 0..16u32 {
         let bit = |place: u32| bits >> place & 1 == 1;
-        let local = Local {
-            wanted: bit(0),
+        let local = LocalState {
+            desired: bit(0),
             complete: bit(1),
             ordered: bit(2),
             in_flight: 0,
         };
         let residence = if bit(3) {
-            Residence::Loaded
+            LoadState::Loaded
         } else {
-            Residence::Loading
+            LoadState::Loading
         };
         assert_eq!(version::servable(local, Some(residence)), bits == 15);
         assert!(!version::servable(local, None));
@@ -457,12 +464,12 @@
 fn a_version_is_unloaded_only_when_no_configuration_and_no_request_needs_it() {
     let digest = Digest::of(b"v");
     let engine = EngineState {
-        versions: [(digest, Residence::Loaded)].into(),
+        versions: [(digest, LoadState::Loaded)].into(),
         ..EngineState::default()
     };
     let steps = |wanted, in_flight| {
-        let local = Local {
-            wanted,
+        let local = LocalState {
+            desired: wanted,
             complete: true,
             in_flight,
             ordered: true,
@@ -471,7 +478,7 @@
     };
     assert_eq!(steps(true, 0), []);
     assert_eq!(steps(false, 1), []);
-    assert_eq!(steps(false, 0), [Step::Unload(digest)]);
+    assert_eq!(steps(false, 0), [Command::Unload(digest)]);
 }
 
 #[test]
