--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -212,7 +212,7 @@
 fn describe(case: &CaseReport) -> String {
     let ends = case.crashes.iter();
     let ends: Vec<String> = ends
-        .map(|end| format!("{} {} ms ago", end.incarnation.id, end.age_ms))
+        .map(|end| format!("{} {} ms ago", end.instance.id, end.age_ms))
         .collect();
     format!("replicas ended under it: {}", ends.join(", "))
 }
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -78,7 +78,7 @@
 pub struct Crash {
     /// What ended.
     #[serde(rename = "life")]
-    pub incarnation: Incarnation,
+    pub instance: Incarnation,
     /// Milliseconds since.
     pub age_ms: u64,
 }
@@ -207,7 +207,7 @@
     fn report(&self, name: RequestHash, now: Time) -> CaseReport {
         let age_ms = |at: Time| now.since(at).as_millis() as u64;
         let ends = self.ends.iter().map(|(life, at)| Crash {
-            incarnation: life.clone(),
+            instance: life.clone(),
             age_ms: age_ms(*at),
         });
         CaseReport {
@@ -226,7 +226,7 @@
             .is_some_and(|age| self.come_good(at(age)));
         let mut news = good;
         for end in &told.crashes {
-            news |= self.end(end.incarnation.clone(), at(end.age_ms));
+            news |= self.end(end.instance.clone(), at(end.age_ms));
         }
         if let Some(age) = told.trial_age_ms {
             news |= self.tried(told.trials, at(age));
@@ -340,7 +340,7 @@
             if told.crashes.len() <= MAX_CRASHES {
                 told.crashes
                     .iter()
-                    .for_each(|end| end.incarnation.hash(&mut hasher));
+                    .for_each(|end| end.instance.hash(&mut hasher));
             }
             digest ^= hasher.finish();
         }
