--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
-//! The configuration in force: values of the platform's service, by revision, never backwards.
+//! The active configuration: values published by the platform's service, ordered by revision.
 //!
-//! [`Configuration`] is pure. It takes deltas from wherever they come (the service, a peer), applies each
-//! whole or not at all, keeps the last good fleet of a customer whose newest value is invalid, and
-//! refuses whatever would bring an older revision back.
+//! [`Configuration`] does no I/O. It accepts deltas from any source (the service or a peer),
+//! applies each completely or not at all, keeps the last valid fleet of a customer whose newest
+//! value is invalid, and rejects deltas that would return to an older revision.
 
 pub mod catalog;
 pub mod evacuation;
@@ -18,126 +18,126 @@
 use crate::template::render::{self, Source};
 use crate::template::{self};
 
-/// Leads the names of values that are templates.
+/// Name prefix of values that hold templates.
 pub const TEMPLATES: &str = "templates/";
 
-/// Leads the names of values that are customers' files.
+/// Name prefix of values that hold customer files.
 pub const CUSTOMERS: &str = "customers/";
 
-/// A revision of the whole configuration, counted by the platform's service.
+/// A revision of the whole configuration, assigned by the platform's service.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// One value and the revision that set it.
+/// A value and the revision that set it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// The revision that set or removed it.
+    /// The revision that set or removed the value.
     pub revision: Revision,
-    /// Its text; `None` once it was removed. A removal is kept, so that no old text comes back.
+    /// The text, or `None` after a removal. Removals are kept so that an older text can't reappear.
     pub text: Option<String>,
 }
 
-/// All values that were set after `from` and up to `to`.
+/// All values that were set after revision `from`, up to and including `to`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The revision that the reader had.
+    /// The reader's revision before the delta.
     pub from: Revision,
-    /// The revision that the reader has afterwards.
+    /// The reader's revision after the delta.
     pub to: Revision,
-    /// The values, by name.
+    /// The values by name.
     pub values: BTreeMap<String, Value>,
 }
 
 /// Why a delta was not applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// It ends at or before what is known already.
+    /// The delta ends at or before the known revision.
     #[error("revision {offered} is not newer than {known}", offered = .offered.0, known = .known.0)]
     Older {
-        /// Where the delta ends.
+        /// The revision at which the delta ends.
         offered: Revision,
-        /// What is known.
+        /// The known revision.
         known: Revision,
     },
-    /// It begins after what is known: changes between would be lost.
-    #[error("delta begins at {from}, only {known} is known", from = .from.0, known = .known.0)]
+    /// The delta starts after the known revision, so the changes in between would be lost.
+    #[error("delta starts at revision {from}, but only {known} is known", from = .from.0, known = .known.0)]
     Gap {
-        /// Where the delta begins.
+        /// The revision at which the delta starts.
         from: Revision,
-        /// What is known.
+        /// The known revision.
         known: Revision,
     },
 }
 
-/// A customer's fleet as it is in force.
+/// The active fleet of a customer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Active {
     /// The newest revision of its template and values.
     pub revision: Revision,
-    /// What the fleet should carry.
+    /// The rendered fleet.
     pub fleet: Rc<Fleet>,
-    /// When it came into force here, in Unix milliseconds.
+    /// When it became active in this process, in Unix milliseconds.
     pub since_ms: u64,
 }
 
-/// A customer's newest value, if it is invalid and the last good one stays in force.
+/// An invalid newest value of a customer. The last valid fleet stays active.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejected {
-    /// The revision that is invalid.
+    /// The invalid revision.
     pub revision: Revision,
-    /// What is wrong with it.
+    /// The validation error.
     pub error: template::Error,
-    /// Since when, in Unix milliseconds.
+    /// When this process rejected it, in Unix milliseconds.
     pub since_ms: u64,
 }
 
-/// One customer's change, for the audit trail.
+/// A change of one customer, for the audit log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
     /// The customer.
     pub customer: String,
-    /// The revision that caused it.
+    /// The revision that caused the change.
     pub revision: Revision,
-    /// What came of it.
+    /// The result of the change.
     pub effect: Effect,
 }
 
-/// What a change came to.
+/// The result of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// The new fleet is in force.
+    /// The new fleet is active.
     Accepted,
-    /// The new value is invalid; the last good one stays.
+    /// The new value is invalid; the last valid fleet stays active.
     Rejected {
-        /// What is wrong, for people.
+        /// The validation error as text.
         reason: String,
     },
-    /// The customer is gone.
+    /// The customer was removed.
     Removed,
 }
 
-/// What a process knows of the configuration.
+/// The configuration known to a process.
 #[derive(Debug, Default)]
 pub struct Configuration {
     revision: Revision,
     values: BTreeMap<String, Value>,
-    in_force: BTreeMap<String, Active>,
+    active: BTreeMap<String, Active>,
     rejected: BTreeMap<String, Rejected>,
 }
 
 impl Configuration {
-    /// The newest revision that was applied.
+    /// The newest applied revision.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Customers with a fleet in force.
+    /// Customers with an active fleet.
     pub fn customers(&self) -> &BTreeMap<String, Active> {
-        &self.in_force
+        &self.active
     }
 
     /// Customers whose newest value is invalid.
@@ -145,7 +145,7 @@
         &self.rejected
     }
 
-    /// Applies a delta whole, or refuses it whole.
+    /// Applies a delta completely, or returns an error and changes nothing.
     pub fn apply(&mut self, delta: Delta, now_ms: u64) -> Result<Vec<Change>, DeltaError> {
         if delta.to <= self.revision {
             return Err(DeltaError::Older {
@@ -160,11 +160,11 @@
             });
         }
         self.revision = delta.to;
-        let touched = self.merge(delta.values);
-        Ok(self.render(&touched, now_ms))
+        let changed = self.merge(delta.values);
+        Ok(self.render(&changed, now_ms))
     }
 
-    /// What a reader at `from` lacks.
+    /// Returns everything that a reader at revision `from` lacks.
     pub fn delta_since(&self, from: Revision) -> Delta {
         let newer = self
             .values
@@ -179,29 +179,29 @@
         }
     }
 
-    /// Takes the values that are newer than what is known, and returns their names.
+    /// Stores the values that are newer than the known ones and returns their names.
     fn merge(&mut self, values: BTreeMap<String, Value>) -> Vec<String> {
-        let mut touched = Vec::new();
+        let mut changed = Vec::new();
         for (name, value) in values {
             let known = self.values.get(&name).map(|known| known.revision);
             if known.is_none_or(|known| known < value.revision) {
-                touched.push(name.clone());
+                changed.push(name.clone());
                 self.values.insert(name, value);
             }
         }
-        touched
+        changed
     }
 
     fn text(&self, name: &str) -> Option<&str> {
         self.values.get(name)?.text.as_deref()
     }
 
-    /// Renders every customer that a touched value concerns.
-    fn render(&mut self, touched: &[String], now_ms: u64) -> Vec<Change> {
+    /// Renders every customer that is affected by the changed values.
+    fn render(&mut self, changed: &[String], now_ms: u64) -> Vec<Change> {
         let customers: Vec<String> = self
             .values
             .keys()
-            .filter(|name| name.starts_with(CUSTOMERS) && self.concerned(name, touched))
+            .filter(|name| name.starts_with(CUSTOMERS) && self.is_affected(name, changed))
             .cloned()
             .collect();
         customers
@@ -210,13 +210,13 @@
             .collect()
     }
 
-    fn concerned(&self, customer: &str, touched: &[String]) -> bool {
-        touched.iter().any(|name| {
-            name == customer || (name.starts_with(TEMPLATES) && self.uses(customer, name))
+    fn is_affected(&self, customer: &str, changed: &[String]) -> bool {
+        changed.iter().any(|name| {
+            name == customer || (name.starts_with(TEMPLATES) && self.uses_template(customer, name))
         })
     }
 
-    fn uses(&self, customer: &str, template: &str) -> bool {
+    fn uses_template(&self, customer: &str, template: &str) -> bool {
         self.text(customer)
             .and_then(|text| {
                 render::template_name(Source {
@@ -231,7 +231,7 @@
     fn render_customer(&mut self, name: &str, now_ms: u64) -> Change {
         let customer = name[CUSTOMERS.len()..].to_owned();
         let Some(text) = self.text(name) else {
-            self.in_force.remove(&customer);
+            self.active.remove(&customer);
             self.rejected.remove(&customer);
             return Change {
                 customer,
@@ -240,7 +240,7 @@
             };
         };
         let source = Source { name, text };
-        let (revision, rendered) = self.rendering(source);
+        let (revision, rendered) = self.render_source(source);
         match rendered {
             Ok(fleet) => {
                 self.rejected.remove(&customer);
@@ -249,7 +249,7 @@
                     fleet: Rc::new(fleet),
                     since_ms: now_ms,
                 };
-                self.in_force.insert(customer.clone(), entry);
+                self.active.insert(customer.clone(), entry);
                 Change {
                     customer,
                     revision,
@@ -273,8 +273,8 @@
         }
     }
 
-    /// Renders one customer, and says which revision that rendering is of.
-    fn rendering(&self, customer: Source<'_>) -> (Revision, Result<Fleet, template::Error>) {
+    /// Renders one customer. Returns the revision that the result belongs to.
+    fn render_source(&self, customer: Source<'_>) -> (Revision, Result<Fleet, template::Error>) {
         let own = self.values[customer.name].revision;
         let name = match render::template_name(customer) {
             Ok(name) => name,
--- a/src/config/evacuation.rs
+++ b/src/config/evacuation.rs
@@ -1,49 +1,50 @@
-//! Data halls whose replicas are to get nothing more, by the operators' word.
+//! Evacuations: data halls that operators have excluded from new requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What operators said last of one hall.
+/// The latest evacuation setting of one hall.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuation {
     /// The hall.
     pub hall: Arc<str>,
-    /// Whether its replicas are to get nothing more; else that is over.
+    /// Whether the hall's replicas receive no new requests. `false` ends the evacuation.
     #[serde(rename = "asked")]
     pub active: bool,
-    /// The revision that said so.
+    /// The revision that set it.
     pub revision: u64,
 }
 
-/// What is known of all halls. Nothing that is older than what is known changes it.
+/// The evacuation settings of all halls. An older revision never replaces a newer one.
 #[derive(Debug, Clone, Default)]
 pub struct Evacuations {
     halls: BTreeMap<Arc<str>, Evacuation>,
 }
 
 impl Evacuations {
-    /// Takes what was said of one hall. Returns whether that changes where requests may go.
-    pub fn apply(&mut self, told: Evacuation) -> bool {
-        let known = self.halls.get(&told.hall);
-        if known.is_some_and(|known| known.revision >= told.revision) {
+    /// Applies the setting of one hall. Returns whether that changes where requests may be sent.
+    pub fn apply(&mut self, evacuation: Evacuation) -> bool {
+        let known = self.halls.get(&evacuation.hall);
+        if known.is_some_and(|known| known.revision >= evacuation.revision) {
             return false;
         }
         let before = known.is_some_and(|known| known.active);
-        let changed = before != told.active;
-        self.halls.insert(told.hall.clone(), told);
+        let changed = before != evacuation.active;
+        self.halls.insert(evacuation.hall.clone(), evacuation);
         changed
     }
 
-    /// All that lay in the store at `revision` were those of `present`: the others are over.
+    /// Applies a complete list: at `revision`, the store held exactly the evacuations of `present`,
+    /// so all others have ended. Returns whether that changes where requests may be sent.
     pub fn apply_list(&mut self, present: &[Arc<str>], revision: u64) -> bool {
         let asked = self.halls.values().filter(|known| known.active);
-        let over: Vec<Arc<str>> = asked
+        let ended_halls: Vec<Arc<str>> = asked
             .map(|known| known.hall.clone())
             .filter(|hall| !present.contains(hall))
             .collect();
-        let ended = over.into_iter().map(|hall| {
+        let ended = ended_halls.into_iter().map(|hall| {
             self.apply(Evacuation {
                 hall,
                 active: false,
@@ -53,18 +54,18 @@
         ended.fold(false, |changed, ended| changed | ended)
     }
 
-    /// The newest revision that said anything; 0 if none did.
+    /// Returns the newest revision of any setting, or 0 if there is none.
     pub fn revision(&self) -> u64 {
         let revisions = self.halls.values().map(|known| known.revision);
         revisions.max().unwrap_or(0)
     }
 
-    /// Everything, for another process.
+    /// Returns all settings, to be sent to another process.
     pub fn all(&self) -> Vec<Evacuation> {
         self.halls.values().cloned().collect()
     }
 
-    /// The halls whose replicas are to get nothing more.
+    /// Returns the halls whose replicas receive no new requests.
     pub fn active(&self) -> impl Iterator<Item = &Arc<str>> {
         let asked = self.halls.values().filter(|known| known.active);
         asked.map(|known| &known.hall)
--- a/src/config/residency.rs
+++ b/src/config/residency.rs
@@ -1,6 +1,6 @@
-//! Where requests may be served: customers and routes may be bound to regions.
+//! Data residency: customers and routes may be restricted to regions.
 //!
-//! A replica whose region is not known serves nobody who is bound.
+//! A replica in an unknown region serves no restricted request.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,25 +10,25 @@
 /// The regions in which requests may be served.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Residency {
-    /// Any.
+    /// Any region.
     #[default]
     Anywhere,
-    /// These alone.
+    /// Only these regions.
     Only(BTreeSet<Arc<str>>),
 }
 
 impl Residency {
-    /// The regions that both allow.
+    /// Returns the regions that both allow.
     pub fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::Anywhere, bound) | (bound, Self::Anywhere) => bound.clone(),
-            (Self::Only(one), Self::Only(two)) => {
-                Self::Only(one.intersection(two).cloned().collect())
+            (Self::Only(first), Self::Only(second)) => {
+                Self::Only(first.intersection(second).cloned().collect())
             }
         }
     }
 
-    /// Whether a replica in `region` may serve, if that is known.
+    /// Whether a replica in `region` may serve. `None` is an unknown region.
     pub fn allows(&self, region: Option<&str>) -> bool {
         match self {
             Self::Anywhere => true,
@@ -42,7 +42,7 @@
 pub struct Regions(BTreeMap<Arc<str>, Arc<str>>);
 
 impl Regions {
-    /// The region of `hall`, if it is known.
+    /// Returns the region of `hall`, if known.
     pub fn get(&self, hall: &str) -> Option<&str> {
         self.0.get(hall).map(|region| &**region)
     }
