--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -1,7 +1,8 @@
-//! What a process believes of the platform: routing, wanted versions of models, and replicas.
+//! The catalog: what a process knows of the platform, namely the routing configuration, the desired
+//! versions of models and the list of replicas.
 //!
-//! Every fact carries the revision that set it, and a fact of an older revision never replaces a
-//! newer one, from wherever it comes: the platform's store or another process of the system.
+//! Every fact carries the revision that set it. A fact never replaces one of a newer revision,
+//! whether it comes from the platform's store or from another process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,43 +16,45 @@
 use crate::clock::Time;
 use crate::member::replica::Record;
 
-/// How long a removal is doubted that comes just after the store was out of reach: leases run out
-/// while it is, and a live replica writes itself again with its next heartbeat.
+/// Grace period during which a suspicious removal is not acted upon. Leases expire while the store
+/// is unreachable, and a live replica registers again with its next heartbeat.
 pub const REMOVAL_GRACE: Duration = Duration::from_millis(1_250);
 
-/// A version whose bound turns out to end so much earlier is news: less is the way of a message.
-const DATED_BACK_MIN: Duration = Duration::from_millis(50);
+/// Backdating a version by less than this is not reported as a change: it is within message
+/// latency.
+const MIN_BACKDATE: Duration = Duration::from_millis(50);
 
-/// Versions of a model that are remembered: a bound may run for each of them.
-const NAMED_MAX: usize = 16;
+/// Versions remembered per model. Each may have a staleness bound that is still running.
+const MAX_VERSIONS: usize = 16;
 
-/// Replicas that have to vanish together before that is doubted.
-const VANISHED_MIN: usize = 3;
+/// Replicas of a service that have to be removed at about the same time for the removals to be
+/// provisional.
+const MASS_REMOVAL_MIN: usize = 3;
 
-/// Removals that are remembered, so that an old entry does not come back.
-const REMOVALS_MAX: usize = 8_192;
+/// Removals remembered, so that an old entry does not reappear.
+const MAX_REMOVALS: usize = 8_192;
 
-/// One fact of the store.
+/// A fact from the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Fact {
     /// The routing configuration.
     Routing(Arc<Document>),
-    /// The wanted version of a model.
+    /// A desired version of a model.
     Version {
         /// The model.
         model: Arc<str>,
-        /// The version that replicas are to hold.
+        /// The version that replicas have to load.
         version: u64,
     },
-    /// A replica as it describes itself.
+    /// A replica's own description.
     Replica(Record),
-    /// A replica's entry was removed.
+    /// The removal of a replica's entry.
     ReplicaGone(Arc<str>),
-    /// Whether a hall's replicas are to get nothing more.
+    /// An evacuation setting: whether a hall's replicas receive no new requests.
     Evacuation {
         /// The hall.
         hall: Arc<str>,
-        /// Whether that is asked; else it is over.
+        /// Whether the evacuation is in effect; `false` ends it.
         #[serde(rename = "asked")]
         active: bool,
     },
@@ -66,60 +69,66 @@
     pub fact: Fact,
 }
 
-/// A version that was named for a model.
+/// A version that was published for a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DesiredVersion {
     /// The version.
     pub version: u64,
-    /// The revision that named it.
+    /// The revision that published it.
     pub revision: u64,
-    /// When this process first heard of it, less how long others knew it before.
+    /// When this process learned of it, backdated by the time that other processes had known it
+    /// before.
     pub since: Time,
 }
 
-/// The oldest of `named` that a replica lacks which holds `held`: its bound comes first.
-pub fn first_missing(named: &[DesiredVersion], held: u64) -> Option<DesiredVersion> {
-    named.iter().find(|wanted| wanted.version > held).copied()
+/// Returns the oldest of `desired` that a replica with version `loaded` lacks. Its staleness bound
+/// ends first.
+pub fn first_missing(desired: &[DesiredVersion], loaded: u64) -> Option<DesiredVersion> {
+    desired
+        .iter()
+        .find(|wanted| wanted.version > loaded)
+        .copied()
 }
 
-/// A listed replica.
+/// A replica in the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedReplica {
-    /// What it says of itself.
+    /// The replica's own description.
     pub record: Record,
-    /// The revision of that.
+    /// The revision of the description.
     pub revision: u64,
-    /// When its entry went, unless it is there.
+    /// When its entry was removed, if it was.
     pub removed_at: Option<Time>,
-    /// Whether the removal is doubted, because the store was out of reach shortly before.
+    /// Whether the removal is provisional: the store was unreachable shortly before, or many
+    /// replicas of the service were removed at about the same time.
     pub provisional: bool,
 }
 
-/// What changed with a fact.
+/// What a fact changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it is not newer.
+    /// Nothing: the fact is not newer.
     None,
     /// The routing configuration.
     Routing,
-    /// A model's wanted version.
+    /// A model's desired versions.
     Version,
     /// The list of replicas.
     Replicas,
-    /// The halls whose replicas are to get nothing more.
+    /// The evacuated halls.
     Evacuations,
 }
 
-/// How fresh a process's facts are, for comparing with another.
+/// The revisions of what a process knows, for comparison with another process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Revisions {
-    /// Revision of the routing configuration, 0 if none is known.
+    /// Revision of the routing configuration, or 0 if none is known.
     pub routing: u64,
-    /// Highest revision of the wanted versions.
+    /// Highest revision of the desired versions.
     pub versions: u64,
-    /// Revision of the newest change in the list of replicas.
+    /// Revision of the newest change to the list of replicas.
     pub replicas: u64,
-    /// Revision of what operators said last of a hall's evacuation.
+    /// Highest revision of the evacuation settings.
     #[serde(default)]
     pub evacuations: u64,
 }
@@ -133,52 +142,52 @@
             || self.evacuations > other.evacuations
     }
 
-    /// These marks without the revision of the configuration, which is transferred separately.
+    /// Returns these revisions without that of the configuration, which is transferred separately.
     pub fn without_routing(self) -> Self {
         Self { routing: 0, ..self }
     }
 }
 
-/// A replica's entry and its revision.
+/// A replica's description and its revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RevisionedRecord {
     /// The revision.
     pub revision: u64,
-    /// The entry.
+    /// The description.
     pub record: Record,
 }
 
-/// An entry of the list that went.
+/// The removal of a replica from the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Removal {
     /// The revision that removed it.
     pub revision: u64,
-    /// Whose it was.
+    /// The replica's id.
     pub id: Arc<str>,
 }
 
-/// What changed in the list of replicas between two revisions, as one process tells another.
+/// The changes to the list of replicas between two revisions, as sent between processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The revision after which the changes came.
+    /// The revision after which the changes were made.
     pub since: u64,
-    /// The revision of the newest of them.
+    /// The revision of the newest change.
     #[serde(rename = "at")]
     pub revision: u64,
-    /// Whether the store was out of reach shortly before.
+    /// Whether the store was unreachable shortly before.
     #[serde(default)]
     #[serde(rename = "shaky")]
     pub store_unstable: bool,
-    /// Entries that were written.
+    /// Replicas that were added or changed.
     #[serde(default)]
     pub records: Vec<RevisionedRecord>,
-    /// Entries that went.
+    /// Replicas that were removed.
     #[serde(default)]
     #[serde(rename = "gone")]
     pub removals: Vec<Removal>,
 }
 
-fn evacuated(changed: bool) -> Effect {
+fn evacuation_effect(changed: bool) -> Effect {
     if changed {
         Effect::Evacuations
     } else {
@@ -186,23 +195,23 @@
     }
 }
 
-/// Beliefs.
+/// Everything that a process knows of the platform.
 #[derive(Debug, Default)]
 pub struct Catalog {
     routing: Option<(u64, Rc<Routing>)>,
     versions: BTreeMap<Arc<str>, Vec<DesiredVersion>>,
     evacuations: Evacuations,
     replicas: BTreeMap<Arc<str>, ListedReplica>,
-    replicas_at: u64,
-    replicas_changed: u64,
+    replicas_revision: u64,
+    replicas_changed_at: u64,
     removals: BTreeMap<Arc<str>, u64>,
-    /// The revision from which on all removals are remembered.
-    removals_from: u64,
+    /// Removals after this revision are all remembered.
+    removals_since: u64,
     trusts_removals: bool,
 }
 
 impl Catalog {
-    /// Nothing is believed yet; with `trusts_removals` no removal is ever doubted.
+    /// Creates an empty catalog. With `trusts_removals`, no removal is provisional.
     pub fn new(trusts_removals: bool) -> Self {
         Self {
             trusts_removals,
@@ -210,32 +219,32 @@
         }
     }
 
-    /// The routing configuration in force.
+    /// Returns the active routing configuration.
     pub fn routing(&self) -> Option<&Rc<Routing>> {
         self.routing.as_ref().map(|(_, routing)| routing)
     }
 
-    /// The newest version that was named for a model.
+    /// Returns the newest desired version of a model.
     pub fn wanted(&self, model: &str) -> Option<DesiredVersion> {
         self.versions.get(model)?.last().copied()
     }
 
-    /// The versions that were named for a model, oldest first.
+    /// Returns the desired versions of a model, oldest first.
     pub fn desired_versions(&self, model: &str) -> &[DesiredVersion] {
         self.versions.get(model).map_or(&[], Vec::as_slice)
     }
 
-    /// All named versions, the oldest of each model first.
+    /// Returns the desired versions of all models, the oldest of each model first.
     pub fn versions(&self) -> impl Iterator<Item = (&Arc<str>, DesiredVersion)> {
         let models = self.versions.iter();
-        models.flat_map(|(model, named)| named.iter().map(move |wanted| (model, *wanted)))
+        models.flat_map(|(model, desired)| desired.iter().map(move |wanted| (model, *wanted)))
     }
 
-    /// The oldest version of a model on which a request may start, where a named version is due
-    /// `bound` after it was heard of.
+    /// Returns the oldest version of a model on which a request may start, where a version is due
+    /// `bound` after it was published.
     pub fn oldest_allowed(&self, model: &str, bound: Duration, now: Time) -> u64 {
-        let named = self.versions.get(model).map(Vec::as_slice);
-        named
+        let desired = self.versions.get(model).map(Vec::as_slice);
+        desired
             .unwrap_or_default()
             .iter()
             .filter(|wanted| now.since(wanted.since) >= bound)
@@ -244,20 +253,21 @@
             .unwrap_or(0)
     }
 
-    /// All replicas that are listed, and those whose removal is young.
+    /// Returns all listed replicas, including removed ones until [`Self::remove_expired`] drops
+    /// them.
     pub fn replicas(&self) -> &BTreeMap<Arc<str>, ListedReplica> {
         &self.replicas
     }
 
-    /// A model that replicas hold, those of `service` if one is given.
+    /// Returns a model that some replica has loaded, of `service` if one is given.
     pub fn loaded_model(&self, service: Option<&str>) -> Option<Arc<str>> {
         let records = self.replicas.values().map(|listed| &listed.record);
-        let mut fellows =
+        let mut members =
             records.filter(|record| service.is_none_or(|service| &*record.service == service));
-        fellows.find_map(|record| Some(record.models.first()?.model.clone()))
+        members.find_map(|record| Some(record.models.first()?.model.clone()))
     }
 
-    /// Versions of `model` that listed replicas hold.
+    /// Returns the versions of `model` that listed replicas have loaded.
     pub fn loaded_versions(&self, model: &str) -> BTreeSet<u64> {
         let present = self.replicas.values();
         let present = present.filter(|listed| listed.removed_at.is_none());
@@ -266,17 +276,17 @@
             .collect()
     }
 
-    /// The revision up to which the list of replicas is known.
+    /// Returns the revision up to which the list of replicas is known.
     pub fn list_revision(&self) -> u64 {
-        self.replicas_at
+        self.replicas_revision
     }
 
-    /// Whether the list of replicas was ever read.
+    /// Whether the list of replicas was ever received.
     pub fn has_replica_list(&self) -> bool {
-        self.replicas_at > 0
+        self.replicas_revision > 0
     }
 
-    /// How fresh everything is.
+    /// Returns the revisions of everything known.
     pub fn revisions(&self) -> Revisions {
         Revisions {
             routing: self.routing.as_ref().map_or(0, |(revision, _)| *revision),
@@ -285,33 +295,33 @@
                 .map(|(_, wanted)| wanted.revision)
                 .max()
                 .unwrap_or(0),
-            replicas: self.replicas_changed,
+            replicas: self.replicas_changed_at,
             evacuations: self.evacuations.revision(),
         }
     }
 
-    /// The halls whose replicas are to get nothing more.
+    /// Returns the evacuation settings.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// All evacuations that were asked for at `revision` were those of `halls`.
+    /// Applies a complete list of evacuations: at `revision` exactly `halls` were evacuated.
     pub fn apply_evacuations(&mut self, halls: &[Arc<str>], revision: u64) -> Effect {
-        evacuated(self.evacuations.apply_list(halls, revision))
+        evacuation_effect(self.evacuations.apply_list(halls, revision))
     }
 
-    /// Takes one fact. `shaky` tells that the store was out of reach shortly before.
-    pub fn apply(&mut self, dated: Revisioned, now: Time, shaky: bool) -> Effect {
-        let revision = dated.revision;
-        match dated.fact {
-            Fact::Routing(document) => self.learn_routing(revision, document),
-            Fact::Version { model, version } => self.learn_version(revision, model, version, now),
-            Fact::Replica(record) => self.learn_replica(revision, record),
-            Fact::ReplicaGone(id) => self.forget_replica(revision, &id, now, shaky),
+    /// Applies one fact. `store_unstable` is whether the store was unreachable shortly before.
+    pub fn apply(&mut self, revisioned: Revisioned, now: Time, store_unstable: bool) -> Effect {
+        let revision = revisioned.revision;
+        match revisioned.fact {
+            Fact::Routing(document) => self.apply_routing(revision, document),
+            Fact::Version { model, version } => self.apply_version(revision, model, version, now),
+            Fact::Replica(record) => self.apply_replica(revision, record),
+            Fact::ReplicaGone(id) => self.remove_replica(revision, &id, now, store_unstable),
             Fact::Evacuation {
                 hall,
                 active: asked,
-            } => evacuated(self.evacuations.apply(Evacuation {
+            } => evacuation_effect(self.evacuations.apply(Evacuation {
                 hall,
                 active: asked,
                 revision,
@@ -319,10 +329,10 @@
         }
     }
 
-    fn learn_routing(&mut self, revision: u64, document: Arc<Document>) -> Effect {
+    fn apply_routing(&mut self, revision: u64, document: Arc<Document>) -> Effect {
         let newer = self.routing.as_ref().is_none_or(|(known, routing)| {
-            let untold = document.gaps.version || routing.document.gaps.version;
-            *known < revision && (untold || routing.document.version < document.version)
+            let unversioned = document.gaps.version || routing.document.gaps.version;
+            *known < revision && (unversioned || routing.document.version < document.version)
         });
         if !newer {
             return Effect::None;
@@ -331,16 +341,16 @@
         Effect::Routing
     }
 
-    fn learn_version(
+    fn apply_version(
         &mut self,
         revision: u64,
         model: Arc<str>,
         version: u64,
         since: Time,
     ) -> Effect {
-        let named = self.versions.entry(model).or_default();
-        let place = named.partition_point(|known| known.version < version);
-        if named
+        let desired = self.versions.entry(model).or_default();
+        let place = desired.partition_point(|known| known.version < version);
+        if desired
             .get(place)
             .is_some_and(|known| known.version == version)
         {
@@ -351,14 +361,14 @@
             revision,
             since,
         };
-        named.insert(place, wanted);
-        if named.len() > NAMED_MAX {
-            named.remove(0);
+        desired.insert(place, wanted);
+        if desired.len() > MAX_VERSIONS {
+            desired.remove(0);
         }
         Effect::Version
     }
 
-    fn learn_replica(&mut self, revision: u64, record: Record) -> Effect {
+    fn apply_replica(&mut self, revision: u64, record: Record) -> Effect {
         if self
             .removals
             .get(&record.id)
@@ -369,18 +379,19 @@
         let known = self.replicas.get(&record.id);
         let life = known.map_or(0, |known| known.record.born);
         if record.born < life {
-            // A heartbeat of an earlier life may be written after the first one of a later life.
+            // A late heartbeat of an earlier instance may be written after the first one of its
+            // successor.
             return Effect::None;
         }
         if known.is_some_and(|known| known.revision >= revision && record.born == life) {
             return Effect::None;
         }
-        // That late heartbeat may be known already.
+        // Such a late heartbeat may already have raised the known revision.
         let revision = known.map_or(revision, |known| known.revision.max(revision));
         let unchanged =
             known.is_some_and(|known| known.record == record && known.removed_at.is_none());
         if !unchanged {
-            self.replicas_changed = self.replicas_changed.max(revision);
+            self.replicas_changed_at = self.replicas_changed_at.max(revision);
         }
         self.replicas.insert(
             record.id.clone(),
@@ -398,7 +409,13 @@
         }
     }
 
-    fn forget_replica(&mut self, revision: u64, id: &Arc<str>, now: Time, shaky: bool) -> Effect {
+    fn remove_replica(
+        &mut self,
+        revision: u64,
+        id: &Arc<str>,
+        now: Time,
+        store_unstable: bool,
+    ) -> Effect {
         let Some(known) = self.replicas.get_mut(id) else {
             return Effect::None;
         };
@@ -407,54 +424,54 @@
         }
         known.removed_at = Some(now);
         let service = known.record.service.clone();
-        known.provisional = shaky && !self.trusts_removals;
-        if !self.trusts_removals && self.vanishing(&service, now) {
-            self.doubt_all(&service, now);
+        known.provisional = store_unstable && !self.trusts_removals;
+        if !self.trusts_removals && self.is_mass_removal(&service, now) {
+            self.mark_provisional(&service, now);
         }
         self.removals.insert(id.clone(), revision);
-        self.replicas_changed = self.replicas_changed.max(revision);
+        self.replicas_changed_at = self.replicas_changed_at.max(revision);
         Effect::Replicas
     }
 
-    /// Whether a good part of a service's replicas lost their entries at about the same time. That
-    /// is more likely the store's doing than theirs.
-    fn vanishing(&self, service: &str, now: Time) -> bool {
+    /// Whether at least a third of a service's replicas lost their entries at about the same time.
+    /// A fault of the store is then more likely than that many failed replicas.
+    fn is_mass_removal(&self, service: &str, now: Time) -> bool {
         let replicas = || {
             let all = self.replicas.values();
             all.filter(|listed| &*listed.record.service == service && !listed.record.leaving)
         };
-        let vanished = replicas()
+        let removed = replicas()
             .filter(|listed| {
                 listed
                     .removed_at
                     .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE)
             })
             .count();
-        vanished >= VANISHED_MIN && vanished * 3 >= replicas().count()
+        removed >= MASS_REMOVAL_MIN && removed * 3 >= replicas().count()
     }
 
-    fn doubt_all(&mut self, service: &str, now: Time) {
+    fn mark_provisional(&mut self, service: &str, now: Time) {
         for listed in self.replicas.values_mut() {
-            let young = listed
+            let recent = listed
                 .removed_at
                 .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE);
-            listed.provisional |= young && &*listed.record.service == service;
+            listed.provisional |= recent && &*listed.record.service == service;
         }
     }
 
-    /// Takes a whole list as of `revision`: what is known and not in it has gone.
+    /// Applies a complete list as of `revision`. Known replicas that it lacks were removed.
     pub fn apply_list(
         &mut self,
         records: Vec<(u64, Record)>,
         revision: u64,
         now: Time,
-        shaky: bool,
+        store_unstable: bool,
     ) -> Effect {
-        if revision < self.replicas_at {
+        if revision < self.replicas_revision {
             return Effect::None;
         }
         if !self.has_replica_list() {
-            self.removals_from = revision;
+            self.removals_since = revision;
         }
         let mut effect = Effect::None;
         let missing: Vec<Arc<str>> = self
@@ -464,12 +481,12 @@
             .cloned()
             .collect();
         for (at, record) in records {
-            if self.learn_replica(at, record) != Effect::None {
+            if self.apply_replica(at, record) != Effect::None {
                 effect = Effect::Replicas;
             }
         }
         for id in missing {
-            if self.forget_replica(revision, &id, now, shaky) != Effect::None {
+            if self.remove_replica(revision, &id, now, store_unstable) != Effect::None {
                 effect = Effect::Replicas;
             }
         }
@@ -477,9 +494,10 @@
         effect
     }
 
-    /// What changed in the list after `since`, unless removals of that time are forgotten.
+    /// Returns the changes to the list after `since`, or `None` if not all removals since then are
+    /// remembered.
     pub fn changes_since(&self, since: u64) -> Option<Changes> {
-        if !self.has_replica_list() || since < self.removals_from {
+        if !self.has_replica_list() || since < self.removals_since {
             return None;
         }
         let present = self.replicas.values();
@@ -489,7 +507,7 @@
         let removals = removals.filter(|(_, revision)| **revision > since);
         Some(Changes {
             since,
-            revision: self.replicas_changed,
+            revision: self.replicas_changed_at,
             store_unstable: false,
             records: present
                 .map(|listed| RevisionedRecord {
@@ -506,20 +524,22 @@
         })
     }
 
-    /// Takes what changed in the list, if all before that is known.
-    pub fn apply_changes(&mut self, changes: Changes, now: Time, shaky: bool) -> Effect {
-        if !self.has_replica_list() || self.replicas_changed.max(self.replicas_at) < changes.since {
+    /// Applies changes to the list, unless changes before them are missing.
+    pub fn apply_changes(&mut self, changes: Changes, now: Time, store_unstable: bool) -> Effect {
+        if !self.has_replica_list()
+            || self.replicas_changed_at.max(self.replicas_revision) < changes.since
+        {
             return Effect::None;
         }
-        let shaky = shaky || changes.store_unstable;
+        let store_unstable = store_unstable || changes.store_unstable;
         let mut effect = Effect::None;
         for RevisionedRecord { revision, record } in changes.records {
-            if self.learn_replica(revision, record) != Effect::None {
+            if self.apply_replica(revision, record) != Effect::None {
                 effect = Effect::Replicas;
             }
         }
         for Removal { revision, id } in changes.removals {
-            if self.forget_replica(revision, &id, now, shaky) != Effect::None {
+            if self.remove_replica(revision, &id, now, store_unstable) != Effect::None {
                 effect = Effect::Replicas;
             }
         }
@@ -527,12 +547,12 @@
         effect
     }
 
-    /// The list of replicas is known up to `revision`.
+    /// Records that the list of replicas is known up to `revision`.
     pub fn advance_list(&mut self, revision: u64) {
-        self.replicas_at = self.replicas_at.max(revision);
+        self.replicas_revision = self.replicas_revision.max(revision);
     }
 
-    /// Takes a wanted version that another process has known for `age`.
+    /// Applies a desired version that another process has known for `age`.
     pub fn apply_aged(
         &mut self,
         model: Arc<str>,
@@ -541,33 +561,34 @@
         now: Time,
     ) -> Effect {
         let since = now - age;
-        let effect = self.learn_version(wanted.revision, model.clone(), wanted.version, since);
-        let named = self.versions.get_mut(&model).into_iter().flatten();
-        let mut dated_back = false;
-        for known in named.filter(|known| known.version == wanted.version) {
-            dated_back |= known.since.since(since) >= DATED_BACK_MIN;
+        let effect = self.apply_version(wanted.revision, model.clone(), wanted.version, since);
+        let desired = self.versions.get_mut(&model).into_iter().flatten();
+        let mut backdated = false;
+        for known in desired.filter(|known| known.version == wanted.version) {
+            backdated |= known.since.since(since) >= MIN_BACKDATE;
             known.since = known.since.min(since);
         }
         match effect {
-            Effect::None if dated_back => Effect::Version,
+            Effect::None if backdated => Effect::Version,
             effect => effect,
         }
     }
 
-    /// Drops replicas that went long enough ago. Returns whether any was dropped.
+    /// Drops removed replicas unless their removal is still provisional. Returns whether any was
+    /// dropped.
     pub fn remove_expired(&mut self, now: Time) -> bool {
         let before = self.replicas.len();
         self.replicas.retain(|_, listed| match listed.removed_at {
             None => true,
             Some(gone) => listed.provisional && now.since(gone) < REMOVAL_GRACE,
         });
-        while self.removals.len() > REMOVALS_MAX {
+        while self.removals.len() > MAX_REMOVALS {
             let oldest = self.removals.iter().min_by_key(|(_, revision)| **revision);
             let Some((id, revision)) = oldest.map(|(id, revision)| (id.clone(), *revision)) else {
                 break;
             };
             self.removals.remove(&id);
-            self.removals_from = self.removals_from.max(revision);
+            self.removals_since = self.removals_since.max(revision);
         }
         before != self.replicas.len()
     }
