--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -318,14 +318,13 @@
             Fact::Version { model, version } => self.apply_version(revision, model, version, now),
             Fact::Replica(record) => self.apply_replica(revision, record),
             Fact::ReplicaGone(id) => self.remove_replica(revision, &id, now, store_unstable),
-            Fact::Evacuation {
-                hall,
-                active: asked,
-            } => evacuation_effect(self.evacuations.apply(Evacuation {
-                hall,
-                active: asked,
-                revision,
-            })),
+            Fact::Evacuation { hall, active } => {
+                evacuation_effect(self.evacuations.apply(Evacuation {
+                    hall,
+                    active,
+                    revision,
+                }))
+            }
         }
     }
 
--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -1,6 +1,6 @@
-//! A routing configuration: hosts and paths, services, customers' keys, and limits on callers.
+//! The routing configuration: hosts and paths, services, customers' keys, and limits on callers.
 //!
-//! [`Document`] is plain data that travels between processes; [`Routing`] is a document in force,
+//! [`Document`] is plain data that is sent between processes; [`Routing`] is the active document
 //! with its indexes.
 
 use std::collections::{BTreeMap, HashMap};
@@ -12,18 +12,18 @@
 
 use super::residency::Residency;
 
-/// What may be repeated of a route's requests.
+/// Whether a route's requests may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// They may run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// They may run at most once.
+    /// Requests may run at most once.
     NonIdempotent,
-    /// Their answers are streams of numbered events.
+    /// Responses are streams of numbered events.
     Streaming,
 }
 
-/// One of the services that share a route.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The service.
@@ -32,15 +32,17 @@
     pub weight: u32,
 }
 
-/// Longest time that a request is held where its route tells none, in milliseconds: the longest
-/// deadline of callers seen at any deployment, five times over.
-const TIMEOUT_DEFAULT_MS: u64 = 30_000;
+/// Timeout of a route that sets none, in milliseconds: five times the longest caller deadline seen
+/// at any deployment.
+const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
-/// Objective of a route that tells none, in milliseconds: the usual one of routes to engines.
-const OBJECTIVE_DEFAULT_MS: u64 = 400;
+/// Latency objective of a route that sets none, in milliseconds: the usual one of routes to
+/// engines.
+const DEFAULT_OBJECTIVE_MS: u64 = 400;
 
-/// Rank of a route that tells none: what a replica takes for a request without one.
-const PRIORITY_DEFAULT: u8 = 5;
+/// Priority of a route that sets none: the one that replicas assume for a request without a
+/// priority.
+const DEFAULT_PRIORITY: u8 = 5;
 
 /// A route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,41 +50,41 @@
 pub struct Route {
     /// Its name.
     pub name: Arc<str>,
-    /// The host that its requests name, in lower case.
+    /// The host of its requests, in lower case.
     pub host: String,
-    /// The beginning of its paths.
+    /// The path prefix of its requests.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: Kind,
-    /// Longest time that a request may be held, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer (a stream's first event) is in time, in milliseconds.
+    /// Latency objective of a response (of the first event of a stream), in milliseconds.
     pub objective_ms: u64,
-    /// Rank, 0 being the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Where its requests go.
+    /// The services that receive its requests.
     pub shares: Vec<Share>,
-    /// Replicas to which one request may be sent.
+    /// Maximum number of replicas to which one request may be sent.
     pub attempts_max: u32,
-    /// Whether it takes requests without a key.
+    /// Whether it accepts requests without a key.
     pub anonymous: bool,
-    /// Whether a stream may be taken up at another replica.
+    /// Whether a stream may be resumed at another replica.
     pub resumable: bool,
-    /// Where its requests may be served.
+    /// Regions in which its requests may be served.
     pub residency: Residency,
 }
 
 impl Default for Route {
-    /// What is assumed of a route that does not tell: nothing may be repeated.
+    /// Defaults for settings that a route leaves out. Its requests must not be repeated.
     fn default() -> Self {
         Self {
             name: "".into(),
             host: String::new(),
             prefix: String::new(),
             kind: Kind::NonIdempotent,
-            timeout_ms: TIMEOUT_DEFAULT_MS,
-            objective_ms: OBJECTIVE_DEFAULT_MS,
-            priority: PRIORITY_DEFAULT,
+            timeout_ms: DEFAULT_TIMEOUT_MS,
+            objective_ms: DEFAULT_OBJECTIVE_MS,
+            priority: DEFAULT_PRIORITY,
             shares: Vec::new(),
             attempts_max: 1,
             anonymous: false,
@@ -93,7 +95,7 @@
 }
 
 impl Route {
-    /// Whether a request may run twice.
+    /// Whether a request may run more than once.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The service for `draw`, a number that is uniform over `0..u32::MAX`.
+    /// Returns the service for `draw`, a number uniformly distributed over `0..u32::MAX`.
     pub fn service(&self, draw: u32) -> Option<&Arc<str>> {
         let total: u64 = self
             .shares
@@ -121,59 +123,60 @@
     }
 }
 
-/// What a service's configuration says of its model engines.
+/// Properties of a service's model engines, from its configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Engine {
-    /// Requests that a replica writes at once.
+    /// Requests that a replica decodes concurrently.
     pub slots: u32,
-    /// Tokens' memory of a replica.
+    /// Capacity of a replica's KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Milliseconds of a step.
+    /// Base duration of a decode step, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each writing request adds to a step.
+    /// Milliseconds that each decoding request adds to a step.
     pub sequence_ms: f64,
     /// Milliseconds that a thousand tokens of context add to a step.
     pub context_ms_per_thousand: f64,
-    /// Prompt tokens read in a second.
+    /// Prefill throughput, in prompt tokens per second.
     pub read_per_s: f64,
-    /// Milliseconds that a million pairs of a prompt's token and an earlier one add to its reading.
+    /// Prefill time of a million pairs of a prompt token and an earlier one, in milliseconds (the
+    /// quadratic part of attention).
     pub pairs_ms_per_million: f64,
-    /// Steps between two looks at the queue.
+    /// Steps between two checks of the queue.
     pub stride: u32,
-    /// Mean tokens of a prompt.
+    /// Mean prompt length, in tokens.
     #[serde(rename = "usual_prompt")]
     pub mean_prompt_tokens: f64,
-    /// Mean tokens of an answer.
+    /// Mean response length, in tokens.
     #[serde(rename = "usual_answer")]
     pub mean_answer_tokens: f64,
     /// The models that it serves.
     pub models: Vec<Arc<str>>,
-    /// Chunks of a model's weights; 0 if untold.
+    /// Number of chunks of a model's weights, or 0 if unknown.
     pub chunks: u32,
-    /// Bytes of a chunk; 0 if untold.
+    /// Size of a chunk in bytes, or 0 if unknown.
     pub chunk_bytes: u32,
-    /// Whether a figure that estimates need was missing, so that they have to be corrected by what
-    /// is observed.
+    /// Whether a value needed for estimates was missing, so that they have to be corrected by
+    /// observation.
     #[serde(rename = "guessed")]
     pub incomplete: bool,
 }
 
-/// Time that `bytes` take over a link of so many megabits a second.
+/// Returns the time to transfer `bytes` over a link of `mbps` megabits per second, at most an hour.
 pub fn transfer_time(bytes: u64, mbps: f64) -> Duration {
     Duration::from_secs_f64((bytes as f64 * 8.0 / (mbps * 1e6)).clamp(0.0, 3_600.0))
 }
 
 impl Engine {
-    /// Bytes of a whole copy of a model's weights; 0 if untold.
+    /// Returns the size of a complete copy of a model's weights in bytes, or 0 if unknown.
     pub fn weight_bytes(&self) -> u64 {
         u64::from(self.chunks) * u64::from(self.chunk_bytes)
     }
 }
 
 impl Default for Engine {
-    /// Figures for an engine that does not tell its own: round ones near the middle of the engines
-    /// that were seen. What is observed corrects them.
+    /// Values for an engine that does not publish its own: round figures near the middle of the
+    /// engines seen. Observation corrects them.
     fn default() -> Self {
         Self {
             slots: 8,
@@ -194,7 +197,7 @@
     }
 }
 
-/// Connections to a replica of a service that tells no bound: the lowest bound that was seen.
+/// Connection limit per replica for a service that sets none: the lowest limit seen.
 pub const CONNECTIONS_DEFAULT: u32 = 48;
 
 fn connections_default() -> u32 {
@@ -215,38 +218,38 @@
     /// Its address, if it is the origin of weights.
     #[serde(default)]
     pub origin: Option<SocketAddr>,
-    /// Megabits that its link carries in a second, if it tells.
+    /// Bandwidth of its link in megabits per second, if published.
     #[serde(default)]
     pub link_mbps: Option<f64>,
-    /// Requests a second that one of its replicas bears while it is cold; 0 if there is no bound.
+    /// Requests per second that one of its replicas can take while cold, or 0 for no limit.
     #[serde(default)]
     pub cold_per_s: f64,
 }
 
-/// A customer, as far as requests are concerned.
+/// The settings of a customer that concern requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
     /// Its name.
     pub name: Arc<str>,
-    /// Its keys.
+    /// Its API keys.
     pub keys: Vec<String>,
-    /// Its rank, which goes before the route's.
+    /// Its priority, which overrides the route's.
     pub priority: Option<u8>,
-    /// Where its requests may be served.
+    /// Regions in which its requests may be served.
     #[serde(default)]
     pub residency: Residency,
 }
 
-/// Limits on what a caller sends.
+/// Limits on callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a head.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Milliseconds in which a head has to come.
+    /// Time limit for receiving a request head, in milliseconds.
     pub head_ms: u64,
-    /// Milliseconds that a connection may rest.
+    /// Idle timeout of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -261,15 +264,15 @@
     }
 }
 
-/// What of a configuration could not be read.
+/// Parts of a configuration that could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Gaps {
-    /// A route at least: a request without a route may belong to it.
+    /// At least one route: a request that matches no route may belong to it.
     pub routes: bool,
-    /// A customer at least: an unknown key may be its.
+    /// At least one customer: an unknown key may belong to it.
     pub customers: bool,
-    /// Its version: it is ordered by its revision alone.
+    /// The version: the document is ordered by its revision only.
     pub version: bool,
 }
 
@@ -277,37 +280,37 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Document {
-    /// Its version, which rises in uneven steps.
+    /// Its version, which increases by varying amounts.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<Service>,
-    /// Customers; none of them, and no request needs a key.
+    /// Customers. If there are none, requests need no key.
     pub customers: Vec<Customer>,
     /// Limits on callers.
     pub limits: Limits,
-    /// What could not be read.
+    /// Parts that could not be read.
     pub gaps: Gaps,
 }
 
-/// Whose key a request carries.
+/// The result of checking a request's key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Access<'a> {
-    /// The key's customer.
+    /// The key belongs to this customer.
     Customer(&'a Customer),
-    /// Nobody's, and none is needed.
+    /// There is no valid key, and none is needed.
     Anonymous,
-    /// It has no valid key and needs one.
+    /// A valid key is needed and missing.
     Denied,
-    /// It needs a valid key, and not all keys could be read.
+    /// A valid key is needed, and the key may belong to a customer that could not be read.
     Unknown,
 }
 
-/// A routing configuration in force.
+/// The active routing configuration.
 #[derive(Debug, Default)]
 pub struct Routing {
-    /// The configuration as it was published.
+    /// The configuration as published.
     pub document: Arc<Document>,
     hosts: HashMap<String, Vec<usize>>,
     keys: HashMap<String, usize>,
@@ -316,7 +319,7 @@
 }
 
 impl Routing {
-    /// Puts `document` in force.
+    /// Builds the indexes of `document`.
     pub fn new(document: Arc<Document>) -> Self {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in document.routes.iter().enumerate() {
@@ -354,12 +357,12 @@
         }
     }
 
-    /// The tightest objective of all routes to a service, in milliseconds.
+    /// Returns the lowest latency objective of all routes to a service, in milliseconds.
     pub fn min_objective_ms(&self, service: &str) -> Option<u64> {
         self.min_objective_ms.get(service).copied()
     }
 
-    /// The route of `path` at `host`: the one with the longest prefix.
+    /// Returns the route of `path` at `host` with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.hosts.get(host)?;
         routes
@@ -368,13 +371,13 @@
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// One service.
+    /// Returns a service by name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let index = *self.services.get(name)?;
         self.document.services.get(index)
     }
 
-    /// The origin of weights.
+    /// Returns the address of the origin of weights.
     pub fn origin(&self) -> Option<SocketAddr> {
         self.document
             .services
@@ -382,17 +385,17 @@
             .find_map(|service| service.origin)
     }
 
-    /// Megabits that the link of the origin of weights carries in a second, if it tells.
+    /// Returns the bandwidth of the origin's link in megabits per second, if published.
     pub fn origin_mbps(&self) -> Option<f64> {
         let services = self.document.services.iter();
         let mut origins = services.filter(|service| service.origin.is_some());
         origins.find_map(|service| service.link_mbps)
     }
 
-    /// Whether a request with `key` may use `route`.
+    /// Checks whether a request with `key` may use `route`.
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access<'_> {
-        let owner = key.and_then(|key| self.keys.get(key));
-        match owner {
+        let customer = key.and_then(|key| self.keys.get(key));
+        match customer {
             Some(&index) => Access::Customer(&self.document.customers[index]),
             None if route.anonymous => Access::Anonymous,
             None if self.document.gaps.customers => Access::Unknown,
