--- a/src/version.rs
+++ b/src/version.rs
@@ -1,7 +1,7 @@
-//! When a version may take requests, and who may order an engine.
+//! Model versions: when a version may receive requests, and who may command an engine.
 //!
-//! A replica is servable when every chunk is verified, the engine took the load order under the
-//! present fence, and the engine itself reports that digest.
+//! A version is servable at a replica when every chunk is verified, the engine accepted the load
+//! order under the current fence, and the engine itself reports the version as loaded.
 
 pub mod fallback;
 pub mod rollout;
@@ -13,75 +13,77 @@
 
 use crate::weight::Digest;
 
-/// Time from a replica's last chunk until it serves: staged, verified and ordered, taken in (0.36 to 0.4 s,
-/// measured from the order to its report), and until its entries know.
+/// Time from the arrival of a replica's last chunk until the replica serves: staging, verification
+/// and order, loading (0.36 to 0.4 s from the order to the engine's report), and the notification
+/// of its entries.
 pub const ACTIVATION_TIME: Duration = Duration::from_millis(600);
 
-/// Ranks orders to an engine. A newer process outranks an older one whatever revision either knows.
+/// Fencing token of orders to an engine. A newer process outranks an older one, whatever revisions
+/// they know.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash, Serialize, Deserialize,
 )]
 pub struct Fence {
-    /// Grows with each process that takes charge of the engine.
+    /// Increases with each process that takes control of the engine.
     pub incarnation: u64,
-    /// The configuration revision that the order follows from.
+    /// The configuration revision that the order is based on.
     pub revision: u64,
 }
 
 impl Fence {
-    /// The incarnation of a starting process: above whatever the engine has seen, and above the
-    /// clock's value, for an engine that was restarted too and remembers nothing.
+    /// Returns the incarnation of a starting process. It is higher than any that the engine has
+    /// seen, and no lower than the clock, since a restarted engine may have forgotten the fence.
     pub fn next_incarnation(highest_seen: Self, unix_millis: u64) -> u64 {
         unix_millis.max(highest_seen.incarnation + 1)
     }
 }
 
-/// What an engine reports of one version.
+/// State of a version, as reported by an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LoadState {
-    /// It is being loaded.
+    /// Being loaded.
     Loading,
-    /// It can serve.
+    /// Ready to serve.
     Loaded,
 }
 
-/// What an engine reports of itself.
+/// An engine's report about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The highest fence of any order it took.
+    /// The highest fence of any accepted order.
     pub highest_fence: Fence,
-    /// Its versions.
+    /// The state of each version.
     pub versions: BTreeMap<Digest, LoadState>,
     /// Requests in progress.
     pub in_flight: u32,
-    /// Requests it can work on at once.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
 }
 
-/// An order.
+/// An order to an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Order {
-    /// Under which fence it is given.
+    /// The fence under which it is given.
     pub fence: Fence,
-    /// What is to be done.
+    /// The requested operation.
     pub kind: OrderKind,
 }
 
-/// What an order is for.
+/// The operation of an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderKind {
-    /// Load a version from `source`, a URL that yields all its bytes.
+    /// Load a version from `source`, a URL that returns all its bytes.
     Load {
         /// The version.
         digest: Digest,
-        /// Where its bytes are.
+        /// URL of its bytes.
         source: String,
-        /// How many there are.
+        /// Its size in bytes.
         bytes: u64,
     },
-    /// Let a version go.
+    /// Unload a version.
     Unload {
         /// The version.
         digest: Digest,
@@ -91,41 +93,41 @@
 /// What the agent knows of one version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalState {
-    /// Whether the configuration wants it on this box.
+    /// Whether the configuration assigns it to this box.
     pub desired: bool,
     /// Whether every chunk is verified.
     pub complete: bool,
     /// Requests that this agent has in progress on it.
     pub in_flight: usize,
-    /// Whether this process ordered the load, and the engine took the order.
+    /// Whether this process ordered the load and the engine accepted the order.
     pub ordered: bool,
 }
 
-/// What is to be ordered.
+/// An order to be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Order the engine to load a version.
     Load(Digest),
-    /// Order the engine to let a version go.
+    /// Order the engine to unload a version.
     Unload(Digest),
 }
 
-/// Whether a version may take requests here.
-pub fn servable(local: LocalState, residence: Option<LoadState>) -> bool {
-    local.desired && local.complete && local.ordered && residence == Some(LoadState::Loaded)
+/// Whether a version may receive requests at this box.
+pub fn servable(local: LocalState, load_state: Option<LoadState>) -> bool {
+    local.desired && local.complete && local.ordered && load_state == Some(LoadState::Loaded)
 }
 
-/// The orders that bring the engine to what is wanted. A version that the engine holds already is
-/// ordered once by each new process, so that it stands under the present fence.
-pub fn plan(locals: &BTreeMap<Digest, LocalState>, engine: &EngineState) -> Vec<Command> {
+/// Returns the orders that bring the engine to the desired state. Each new process orders a version
+/// once even if the engine has loaded it already, so that the version is under the current fence.
+pub fn plan(local_states: &BTreeMap<Digest, LocalState>, engine: &EngineState) -> Vec<Command> {
     let mut steps = Vec::new();
-    for (&digest, local) in locals {
+    for (&digest, local) in local_states {
         if local.desired && local.complete && !local.ordered {
             steps.push(Command::Load(digest));
         }
     }
     for &digest in engine.versions.keys() {
-        let idle = locals
+        let idle = local_states
             .get(&digest)
             .is_none_or(|local| !local.desired && local.in_flight == 0);
         if idle {
--- a/src/version/fallback.rs
+++ b/src/version/fallback.rs
@@ -1,9 +1,10 @@
-//! Which version an empty replica takes while the newest cannot be had.
+//! Selects a fallback version for an empty replica while the newest version is not available.
 //!
-//! A version that was named may be long in coming: its origin is narrow, or away. A replica that starts
-//! meanwhile and waits for it serves nothing, while others serve the version before, which is allowed
-//! until the bound of the first one that it lacks. So it takes that one from them, if it can serve
-//! for a while before the newest comes and before the bound.
+//! A newly published version may take long to arrive because the origin's link is slow or the
+//! origin is down. A replica that starts in the meantime and waits for it serves nothing, while
+//! others still serve the previous version, which is allowed until the staleness bound of the first
+//! version that it lacks. The replica therefore loads that version from its peers, provided that it
+//! can serve for a while before the newest version arrives and before the bound ends.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,74 +13,80 @@
 use crate::clock::Time;
 use crate::config::catalog::{DesiredVersion, first_missing};
 
-/// How long a replica is to serve a version that it takes for a time: to give it up again takes about a
-/// second of its work (what runs is finished, 0.3 s to take the next one in).
-const SERVES_MIN: Duration = Duration::from_millis(2_000);
+/// Minimum time for which a fallback version has to serve. Switching away from it costs about a
+/// second of service (finishing requests, then 0.3 s to load the next version).
+const MIN_SERVICE_TIME: Duration = Duration::from_millis(2_000);
 
-/// How long no chunk of a version may be new anywhere before nobody can tell when it comes: an origin
-/// that is drawn from brings one each few hundredths of a second.
-const QUIET_MAX: Duration = Duration::from_millis(1_500);
+/// Time without a new chunk anywhere after which the arrival can't be predicted. An origin that is
+/// being read from delivers a chunk every few hundredths of a second.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What is known of the newest version's weights.
+/// Availability of the newest version's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Availability {
     /// Chunks that this box lacks.
     pub missing: u32,
-    /// Of those, chunks that nobody in reach holds either.
+    /// Missing chunks that no reachable process holds either.
     pub unavailable: u32,
-    /// All its chunks; 0 while they are not known.
+    /// Total number of chunks, or 0 while unknown.
     pub chunks: u32,
-    /// Time since one of them was seen for the first time.
+    /// Time since a chunk was seen for the first time.
     pub since_progress: Duration,
 }
 
-/// What things take.
+/// Durations that the selection is based on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TransferTimes {
-    /// A whole copy over the origin's link.
+    /// Transfer of a complete copy over the origin's link.
     pub origin: Duration,
-    /// A whole copy over this box's link.
+    /// Transfer of a complete copy over this box's link.
     pub local: Duration,
-    /// From the naming of a version until nothing may be sent to a replica of an older one.
+    /// Staleness bound: time from the publication of a version until replicas of older ones may
+    /// receive no requests.
     pub bound: Duration,
 }
 
 impl Availability {
-    /// When the newest version is served here, if that can be told.
+    /// Returns the time until the newest version is served here, or `None` if it can't be
+    /// predicted.
     pub fn time_to_serve(&self, times: TransferTimes) -> Option<Duration> {
         if self.chunks > 0 && self.unavailable == 0 {
             return Some(times.local * self.missing / self.chunks + ACTIVATION_TIME);
         }
-        if self.since_progress >= QUIET_MAX {
+        if self.since_progress >= STALL_TIMEOUT {
             return None;
         }
-        let unseen = if self.chunks == 0 {
+        let from_origin = if self.chunks == 0 {
             times.origin
         } else {
             times.origin * self.unavailable / self.chunks
         };
-        Some(unseen.max(times.local * self.missing.max(1) / self.chunks.max(1)) + ACTIVATION_TIME)
+        Some(
+            from_origin.max(times.local * self.missing.max(1) / self.chunks.max(1))
+                + ACTIVATION_TIME,
+        )
     }
 }
 
-/// The version that an empty replica takes meanwhile, of those that others `hold`, if one pays.
+/// Returns the version that an empty replica should load for the time being, of those that others
+/// `loaded`, or `None` if waiting for the newest is better.
 pub fn select(
-    named: &[DesiredVersion],
-    hold: &BTreeSet<u64>,
-    outlook: Availability,
+    desired: &[DesiredVersion],
+    loaded: &BTreeSet<u64>,
+    availability: Availability,
     times: TransferTimes,
     now: Time,
 ) -> Option<u64> {
-    let serves = times.local + ACTIVATION_TIME;
-    let pays = |until: Duration| until >= serves + SERVES_MIN;
-    if !outlook.time_to_serve(times).is_none_or(pays) {
+    let time_to_load = times.local + ACTIVATION_TIME;
+    let worthwhile = |until: Duration| until >= time_to_load + MIN_SERVICE_TIME;
+    if !availability.time_to_serve(times).is_none_or(worthwhile) {
         return None;
     }
-    let newest = named.last()?.version;
-    let older = hold.range(..newest).rev().copied();
+    let newest = desired.last()?.version;
+    let older = loaded.range(..newest).rev().copied();
     let mut allowed = older.filter(|version| {
-        let ends = first_missing(named, *version).map(|lacking| lacking.since + times.bound);
-        ends.is_some_and(|ends| pays(ends.since(now)))
+        let bound_end = first_missing(desired, *version).map(|missing| missing.since + times.bound);
+        bound_end.is_some_and(|bound_end| worthwhile(bound_end.since(now)))
     });
     allowed.next()
 }
