--- a/src/version/rollout.rs
+++ b/src/version/rollout.rs
@@ -1,8 +1,9 @@
-//! When each replica of a service changes to a newly named version, and what its process does next.
+//! Rollout of a newly published version: when each replica of a service switches to it, and what
+//! its process does next.
 //!
-//! A replica that changes takes nothing new for a while, so replicas change in waves. Every process
-//! computes its own wave from the same list, and no wave waits for another: a process that died
-//! delays nobody.
+//! A switching replica accepts no new requests for a while, so replicas switch in waves. Every
+//! process computes its own wave from the same list, and no wave waits for another, so a failed
+//! process delays nobody.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,56 +13,58 @@
 use crate::spread::ring;
 use crate::weight::Digest;
 
-/// Time from the naming of a version until it is complete at the boxes, at the least: a copy over a
-/// box's link (2.6 s at 7.3 Mbit/s), and [`PASSED_ON`].
-const TRANSFER: Duration = Duration::from_millis(3_400);
+/// Minimum time from the publication of a version until it is complete at the boxes: a copy over a
+/// box's link (2.6 s at 7.3 Mbit/s) and [`PROPAGATION_TIME`].
+const MIN_TRANSFER_TIME: Duration = Duration::from_millis(3_400);
 
-/// Time that the last chunks take from the origin through relays to the boxes, and until boxes have
-/// heard of the version and of its manifest.
-const PASSED_ON: Duration = Duration::from_millis(800);
+/// Time until boxes have learned of the version and its manifest, and until the last chunks have
+/// passed from the origin through relays to the boxes.
+const PROPAGATION_TIME: Duration = Duration::from_millis(800);
 
-/// Time that a wave takes: an order took 0.3 to 1.7 s to be carried out, with what ran before it.
-const WAVE: Duration = Duration::from_millis(1_200);
+/// Duration of a wave: an order takes 0.3 to 1.7 s, including the requests that are still running.
+const WAVE_DURATION: Duration = Duration::from_millis(1_200);
 
 /// Settings of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Setting {
-    /// Waves in which replicas change.
+    /// Number of waves in which replicas switch.
     pub waves: u32,
-    /// Time after which no request may start on an older version.
+    /// Staleness bound: time after which no request may start on an older version.
     pub bound: Duration,
-    /// Time before the bound at which the last wave begins, and from which on nothing is sent to a
-    /// replica of an older version.
+    /// Time before the bound at which the last wave starts. From then on replicas of older versions
+    /// receive no requests.
     pub margin: Duration,
-    /// Time between the end of a transfer, as expected, and the last wave.
+    /// Time between the expected end of the transfer and the last wave.
     pub spread: Duration,
-    /// How long a process tells that its replica will change before it orders that.
+    /// How long a process announces the switch of its replica before ordering it.
     pub notice: Duration,
 }
 
 impl Setting {
-    /// The settings where a version is due `bound` after it was named: replicas change in as many
-    /// waves as there is time for, so that each takes few of them away, and in no fewer than by
-    /// default.
+    /// Returns the settings for a version that is due `bound` after its publication. Unless
+    /// `policy` sets the number of waves, replicas switch in as many as there is time for, so that
+    /// few of them are away at once, and in no fewer than by default.
     pub fn for_bound(bound: Duration, policy: Policy) -> Self {
-        Self::due_after(TRANSFER, bound, policy)
+        Self::with_min_transfer(MIN_TRANSFER_TIME, bound, policy)
     }
 
-    /// The settings where a copy takes `copy` over the origin's link, if that is known: no wave is
-    /// planned for before its weights can be there.
-    pub fn with_transfer_time(self, copy: Option<Duration>, policy: Policy) -> Self {
-        match copy.map(|copy| copy + PASSED_ON) {
-            Some(transfer) if transfer > TRANSFER => Self::due_after(transfer, self.bound, policy),
+    /// Adjusts the settings to the time that a copy takes over the origin's link, if known, so that
+    /// no wave is planned before the weights can have arrived.
+    pub fn with_transfer_time(self, copy_time: Option<Duration>, policy: Policy) -> Self {
+        match copy_time.map(|copy_time| copy_time + PROPAGATION_TIME) {
+            Some(transfer) if transfer > MIN_TRANSFER_TIME => {
+                Self::with_min_transfer(transfer, self.bound, policy)
+            }
             _ => self,
         }
     }
 
-    fn due_after(transfer: Duration, bound: Duration, policy: Policy) -> Self {
+    fn with_min_transfer(transfer: Duration, bound: Duration, policy: Policy) -> Self {
         let default = Self::default();
         let spread = bound.saturating_sub(transfer + default.margin);
         let spread = spread.max(default.spread);
         let waves = match policy.waves {
-            0 => 1 + (spread.as_millis() / WAVE.as_millis()) as u32,
+            0 => 1 + (spread.as_millis() / WAVE_DURATION.as_millis()) as u32,
             set => set,
         };
         Self {
@@ -85,29 +88,29 @@
     }
 }
 
-/// A replica's place among its fellows: by a hash of version and name, so that each version begins
-/// elsewhere and each hall has replicas in every wave.
-pub fn wave(version: Digest, own: &str, fellows: &[&str], waves: u32) -> u32 {
+/// Returns a replica's wave. Replicas are ranked by a hash of version and name, so that each
+/// version starts with other replicas and each hall has replicas in every wave.
+pub fn wave(version: Digest, own: &str, replicas: &[&str], waves: u32) -> u32 {
     let own_score = (score(version, own), own);
-    let before = fellows
+    let rank = replicas
         .iter()
         .filter(|name| **name != own && (score(version, name), **name) < own_score)
         .count();
-    (before as u32) % waves.max(1)
+    (rank as u32) % waves.max(1)
 }
 
-/// The waves of all `fellows` at once.
+/// Returns the waves of all `replicas`.
 pub fn assign_waves<'a>(
     version: Digest,
-    fellows: impl Iterator<Item = &'a str>,
+    replicas: impl Iterator<Item = &'a str>,
     waves: u32,
 ) -> BTreeMap<String, u32> {
-    let mut ranked: Vec<(u64, &str)> = fellows.map(|name| (score(version, name), name)).collect();
+    let mut ranked: Vec<(u64, &str)> = replicas.map(|name| (score(version, name), name)).collect();
     ranked.sort_unstable();
     ranked.dedup();
-    let placed = ranked.into_iter().enumerate();
-    placed
-        .map(|(place, (_, name))| (name.to_owned(), place as u32 % waves.max(1)))
+    let indexed = ranked.into_iter().enumerate();
+    indexed
+        .map(|(rank, (_, name))| (name.to_owned(), rank as u32 % waves.max(1)))
         .collect()
 }
 
@@ -115,7 +118,7 @@
     ring::score(version, &[b"wave", name.as_bytes()])
 }
 
-/// When a wave may begin, counted from when the version was named.
+/// Returns when a wave may start, counted from the publication of the version.
 pub fn wave_start(setting: Setting, wave: u32) -> Duration {
     let last = setting.bound.saturating_sub(setting.margin);
     let steps = setting.waves.max(2) - 1;
@@ -123,52 +126,52 @@
     last.saturating_sub(setting.spread * (steps - wave) / steps)
 }
 
-/// When a wave may begin, counted from when the version was named, at a box that had the weights so
-/// long after that: once all waves are behind their time, what is left is shared among them anew, or
-/// all replicas would change at once.
+/// Returns when a wave may start, counted from the publication of the version, at a box whose copy
+/// was complete after `complete`. If that is late, the waves are spread over the remaining time;
+/// otherwise overdue replicas would all switch at once.
 pub fn wave_start_after(setting: Setting, wave: u32, complete: Duration) -> Duration {
     let last = setting.bound.saturating_sub(setting.margin);
     let spread = setting.spread.min(last.saturating_sub(complete));
     wave_start(Setting { spread, ..setting }, wave)
 }
 
-/// What a process knows of its replica and the wanted version.
+/// What a process knows of its replica and the desired version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct State {
-    /// The wanted version.
+    /// The desired version.
     pub desired: u64,
-    /// When it was named.
+    /// When the desired version was published.
     pub published_at: Time,
-    /// The version that the replica holds.
+    /// The version that the replica has loaded.
     pub loaded: Option<u64>,
-    /// Whether the replica carries an order out.
+    /// Whether the replica is executing an order.
     pub busy: bool,
-    /// Since when every chunk of the wanted version is here and verified, if that is so.
+    /// Since when every chunk of the desired version is stored and verified here, if so.
     pub complete_since: Option<Time>,
     /// The replica's wave.
     pub wave: u32,
-    /// When the process began to tell that its replica will change.
+    /// Since when the process has announced the switch.
     pub notice_since: Option<Time>,
 }
 
-/// What is next.
+/// The next step of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing: the replica holds what is wanted, or is about to.
+    /// Nothing to do: the replica has the desired version or is executing an order.
     Idle,
     /// Chunks are missing.
     Receive,
-    /// The wave has not begun.
+    /// The wave has not started.
     AwaitWave,
-    /// Tell that the replica will change.
+    /// Announce the switch.
     BeginNotice,
-    /// The notice runs.
+    /// The announcement has not been out long enough.
     AwaitNotice,
-    /// Verify what is staged, and order the change.
+    /// Verify the staged copy and order the switch.
     Order,
 }
 
-/// Decides what is next.
+/// Returns the next step.
 pub fn step(state: State, setting: Setting, now: Time) -> Step {
     if state.loaded.is_some_and(|held| held >= state.desired) || state.busy {
         return Step::Idle;
@@ -177,11 +180,11 @@
         return Step::Receive;
     };
     if state.loaded.is_none() {
-        // It serves nothing, so there is nobody to be told and nothing to wait for.
+        // It serves nothing, so there is no one to notify and nothing to wait for.
         return Step::Order;
     }
     if now.since(state.published_at) + setting.margin >= setting.bound {
-        // Nobody sends it anything any more, so there is nobody to be told.
+        // It receives no requests any more, so there is no one to notify.
         return Step::Order;
     }
     let complete = complete.since(state.published_at);
