--- a/src/wire/pack.rs
+++ b/src/wire/pack.rs
@@ -1,4 +1,4 @@
-//! Documents in little space: many routes differ in few letters.
+//! Compression of documents, whose routes differ in few characters.
 
 use std::io::{Cursor, Read, Write};
 
@@ -8,23 +8,23 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest document once it is unpacked: 16 times what the platform's service holds.
+/// Maximum size of an unpacked document: 16 times the platform service's limit.
 const UNPACKED_MAX: u64 = 16 << 20;
 
 /// Why a document could not be packed or unpacked.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The codec rejects it.
-    #[error("codec: {reason}")]
+    /// The codec rejected the document.
+    #[error("MessagePack codec: {reason}")]
     Codec {
-        /// What the codec reported.
+        /// The error of the codec.
         reason: String,
     },
-    /// Bytes follow its end: it is another document than the one that was packed.
+    /// Bytes follow the document's end, so it isn't the document that was packed.
     #[error("bytes follow the end of the document")]
     Trailing,
-    /// Its bytes are no packed document, or one that is too long.
-    #[error("not unpacked: {0}")]
+    /// The bytes are no packed document, or it is too long.
+    #[error("cannot unpack the document: {0}")]
     Unpack(#[from] std::io::Error),
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Packs `document`.
+/// Packs a document.
 pub fn pack<T: Serialize>(document: &T) -> Result<Vec<u8>, Error> {
     let plain = rmp_serde::to_vec_named(document).map_err(|error| Error::Codec {
         reason: error.to_string(),
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other, and what the processes beside replicas and entries tell each other.
+//! Messages between entries, and between entries and the sidecars of replicas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,87 +19,89 @@
 /// Path of a [`Report`].
 pub const REPORT_PATH: &str = "/v1/replica";
 
-/// A heartbeat: who asks, and what it knows.
+/// A heartbeat: identifies its sender and states what the sender knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Where the sender listens.
+    /// Address at which the sender listens.
     pub from: SocketAddr,
-    /// The data hall that it stands in.
+    /// The sender's data hall.
     #[serde(default)]
     pub hall: Arc<str>,
-    /// Whether it is an entry.
+    /// Whether the sender is an entry.
     #[serde(default)]
     pub entry: bool,
-    /// How fresh its beliefs are.
+    /// The revisions of what the sender knows.
     #[serde(default)]
     #[serde(rename = "marks")]
     pub revisions: Revisions,
-    /// Milliseconds since the platform's store answered it, if it ever did.
+    /// Milliseconds since the platform's store last answered the sender, if it ever did.
     #[serde(default)]
     pub store_age_ms: Option<u64>,
-    /// The entries that it knows.
+    /// The entries known to the sender.
     #[serde(default)]
     pub peers: Vec<Advertisement>,
-    /// Whether it wants to be told of entries.
+    /// Whether the answer should list entries.
     #[serde(default)]
     pub wants_peers: bool,
-    /// Whether it draws the configuration with this message, if it lacks it.
+    /// Whether the answer should contain the configuration if the sender's is older.
     #[serde(default)]
     pub wants_routing: bool,
-    /// Whether it draws the list of replicas with this message, if it never had the list.
+    /// Whether the answer should contain the packed list of replicas. Only used with `draws_list`.
     #[serde(default)]
     pub wants_list: bool,
-    /// Whether it has never had the list of replicas and draws it as [`Update::list`], by setting
-    /// `wants_list` in one message at a time.
+    /// Whether the sender has never received the list of replicas. It then gets the list only as
+    /// [`Update::list`], and sets `wants_list` in one message at a time.
     #[serde(default)]
     pub draws_list: bool,
-    /// Whether it understands [`Update::changes`].
+    /// Whether the sender supports [`Update::changes`].
     #[serde(default)]
     pub takes_changes: bool,
-    /// Whether it understands [`Update::packed_peers`].
+    /// Whether the sender supports [`Update::packed_peers`].
     #[serde(default)]
     pub takes_packed_peers: bool,
-    /// Whether it understands [`HallUpdate::packed`].
+    /// Whether the sender supports [`HallUpdate::packed`].
     #[serde(default)]
     pub takes_packed_digest: bool,
-    /// Digest of the poison requests that it knows.
+    /// Digest of the poison requests known to the sender.
     #[serde(default)]
     pub poison: u64,
 }
 
-/// The report of a process beside a replica.
+/// The report of a replica's sidecar.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Where the replica listens.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// What it has to do, and what it holds.
+    /// The replica's load and loaded models.
     #[serde(default)]
     pub load: Load,
-    /// The heartbeat that goes with it.
+    /// The sidecar's heartbeat.
     #[serde(rename = "sync")]
     pub heartbeat: Heartbeat,
 }
 
-/// Path at which an entry is asked how its hall's replicas do; the message is a [`Heartbeat`].
+/// Path at which an entry is asked for the state of its hall's replicas; the message is a
+/// [`Heartbeat`].
 pub const HALL_PATH: &str = "/v1/hall";
 
-/// Path at which the entries of a hall are told how replicas do; the message is a packed [`Frame`].
+/// Path at which the entries of a hall receive the state of replicas; the message is a packed
+/// [`Frame`].
 pub const FRAME_PATH: &str = "/v1/hall/frame";
 
-/// How one replica does, as an entry was told.
+/// The state of one replica, as reported to an entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Where the replica listens.
+    /// Address of the replica.
     pub address: SocketAddr,
-    /// What it has to do, and what it holds.
+    /// The replica's load and loaded models.
     #[serde(default)]
     pub load: Load,
-    /// Milliseconds since it was reported.
+    /// Milliseconds since the report.
     #[serde(default)]
     pub age_ms: u64,
 }
 
-/// How the replicas of one hall do.
+/// The state of one hall's replicas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HallStatus {
     /// The hall.
@@ -110,16 +112,16 @@
     pub replicas: Vec<ReplicaStatus>,
 }
 
-/// What the first entry of a hall tells the others.
+/// A message from the first entry of a hall to the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// The heartbeat that goes with it.
+    /// The sender's heartbeat.
     #[serde(rename = "sync")]
     pub heartbeat: Heartbeat,
-    /// How replicas do, by hall.
+    /// The state of replicas by hall.
     #[serde(default)]
     pub digests: Vec<HallStatus>,
-    /// What was learned since the frame before the previous one, without the configuration.
+    /// Everything learned since the frame before the previous one, without the configuration.
     #[serde(default)]
     #[serde(rename = "news")]
     pub update: Option<Update>,
@@ -135,20 +137,21 @@
 /// An entry's answer about its hall.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HallUpdate {
-    /// How the hall's replicas do. Its list of replicas is empty if `packed` is set.
+    /// The state of the hall's replicas. The list of replicas is empty if `packed` is set.
     pub digest: HallStatus,
-    /// The packed list of [`ReplicaStatus`] replicas, for askers that set [`Heartbeat::takes_packed_digest`].
+    /// The packed list of [`ReplicaStatus`] values, for senders that set
+    /// [`Heartbeat::takes_packed_digest`].
     #[serde(default)]
     pub packed: Option<serde_bytes::ByteBuf>,
-    /// Whatever the asker lacks besides.
+    /// Everything else that the sender lacks.
     #[serde(rename = "news")]
     pub update: Update,
 }
 
 impl HallUpdate {
-    /// Creates an answer from `digest` and `news`. Packs the replicas if `pack_replicas` is set, and
-    /// falls back to the plain list if packing fails.
-    pub fn new(digest: HallStatus, news: Update, pack_replicas: bool) -> Self {
+    /// Creates an answer from `digest` and `update`. Packs the replicas if `pack_replicas` is set,
+    /// and falls back to the plain list if packing fails.
+    pub fn new(digest: HallStatus, update: Update, pack_replicas: bool) -> Self {
         let packed = pack_replicas
             .then(|| pack::pack(&digest.replicas))
             .transpose();
@@ -159,12 +162,12 @@
                     ..digest
                 },
                 packed: Some(packed.into()),
-                update: news,
+                update: update,
             },
             None => Self {
                 digest,
                 packed: None,
-                update: news,
+                update: update,
             },
         }
     }
@@ -182,16 +185,16 @@
     }
 }
 
-/// A version that was named for a model.
+/// A published version of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublishedVersion {
     /// The model.
     pub model: Arc<str>,
     /// The version.
     pub version: u64,
-    /// The revision that named it.
+    /// The revision that published it.
     pub revision: u64,
-    /// Milliseconds since the teller heard of it.
+    /// Milliseconds since the sender learned of it.
     #[serde(default)]
     pub age_ms: u64,
 }
@@ -201,7 +204,7 @@
 pub struct RevisionedDocument {
     /// The revision.
     pub revision: u64,
-    /// The configuration, a [`crate::config::routing::Document`], packed.
+    /// The packed configuration, a [`crate::config::routing::Document`].
     #[serde(with = "serde_bytes")]
     pub packed: Vec<u8>,
 }
@@ -209,24 +212,24 @@
 /// A list of replicas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaList {
-    /// The revision up to which it is known.
+    /// The revision up to which the list is known.
     #[serde(rename = "at")]
     pub revision: u64,
-    /// Whether the store was out of reach shortly before.
+    /// Whether the store was unreachable shortly before.
     #[serde(default)]
     #[serde(rename = "shaky")]
     pub store_unstable: bool,
-    /// The entries.
+    /// The replicas.
     pub records: Vec<RevisionedRecord>,
 }
 
 /// A list of replicas in packed form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedReplicaList {
-    /// The revision up to which it is known.
+    /// The revision up to which the list is known.
     #[serde(rename = "at")]
     pub revision: u64,
-    /// Whether the store was out of reach shortly before.
+    /// Whether the store was unreachable shortly before.
     #[serde(default)]
     #[serde(rename = "shaky")]
     pub store_unstable: bool,
@@ -235,82 +238,83 @@
     pub packed: Vec<u8>,
 }
 
-/// What a process beside a replica needs of the configuration.
+/// The part of the configuration that a sidecar needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The configuration's revision.
     pub revision: u64,
-    /// The origin of weights.
+    /// Address of the origin of weights.
     #[serde(default)]
     pub origin: Option<SocketAddr>,
-    /// Megabits that the origin's link carries in a second, if it tells.
+    /// Bandwidth of the origin's link in megabits per second, if published.
     #[serde(default)]
     pub origin_mbps: Option<f64>,
-    /// The engine's figures.
+    /// Properties of the engine.
     #[serde(default)]
     pub engine: Option<Engine>,
 }
 
 impl Summary {
-    /// Time that a whole copy of the weights takes over the origin's link, if that can be told.
+    /// Returns the time to transfer a complete copy of the weights over the origin's link, if
+    /// known.
     pub fn copy(&self) -> Option<Duration> {
         let bytes = self.engine.as_ref()?.weight_bytes();
         let copy = transfer_time(bytes, self.origin_mbps?);
         (!copy.is_zero()).then_some(copy)
     }
 
-    /// Time that one chunk takes over it.
+    /// Returns the time to transfer one chunk over the origin's link, if known.
     pub fn chunk(&self) -> Option<Duration> {
         let chunk_bytes = self.engine.as_ref()?.chunk_bytes;
         Some(transfer_time(chunk_bytes.into(), self.origin_mbps?))
     }
 }
 
-/// The answer to a heartbeat or a report: whatever its sender lacks.
+/// The answer to a heartbeat or a report: everything that its sender lacks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// The data hall of the process that answers.
+    /// The data hall of the responder.
     #[serde(default)]
     pub hall: Arc<str>,
-    /// Whether that is an entry.
+    /// Whether the responder is an entry.
     #[serde(default)]
     pub entry: bool,
-    /// How fresh its beliefs are.
+    /// The revisions of what the responder knows.
     #[serde(default)]
     #[serde(rename = "marks")]
     pub revisions: Revisions,
-    /// Milliseconds since the platform's store answered it, if it ever did.
+    /// Milliseconds since the platform's store last answered the responder, if it ever did.
     #[serde(default)]
     pub store_age_ms: Option<u64>,
-    /// The entries that it knows, if that was asked for.
+    /// Entries known to the responder, if requested.
     #[serde(default)]
     pub peers: Vec<Advertisement>,
-    /// The entries in packed form, instead of `peers`, if the receiver supports it.
+    /// The entries in packed form, in place of `peers`, if the receiver supports it.
     #[serde(default)]
     pub packed_peers: Option<serde_bytes::ByteBuf>,
-    /// Newer routing, if that was asked for.
+    /// A newer routing configuration, if requested.
     #[serde(default)]
     pub routing: Option<RevisionedDocument>,
-    /// Newer wanted versions.
+    /// Desired versions, if there are newer ones.
     #[serde(default)]
     pub versions: Vec<PublishedVersion>,
-    /// Newer evacuations.
+    /// Evacuation settings, if there are newer ones.
     #[serde(default)]
     pub evacuations: Vec<Evacuation>,
-    /// A newer list, where its changes alone can't be told.
+    /// A newer list of replicas, if the changes alone can't be sent.
     #[serde(default)]
     pub replicas: Option<ReplicaList>,
-    /// The packed list, for a process that begins and draws it with this message.
+    /// The packed list of replicas, for a starting process that requested it with this message.
     #[serde(default)]
     pub list: Option<PackedReplicaList>,
-    /// What changed in the list.
+    /// Changes to the list of replicas.
     #[serde(default)]
     pub changes: Option<Changes>,
-    /// The newer configuration in brief.
+    /// The needed part of a newer configuration.
     #[serde(default)]
     #[serde(rename = "brief")]
     pub summary: Option<Summary>,
-    /// Digest of the poison requests that it knows.
+    /// Digest of the poison requests known to the responder.
     #[serde(default)]
     pub poison: u64,
 }
