--- a/src/source.rs
+++ b/src/source.rs
@@ -1,4 +1,4 @@
-//! Where a process learns what operators and replicas published: a store that is only read.
+//! Read access to the store to which operators and replicas publish.
 
 use std::time::Duration;
 
@@ -7,34 +7,34 @@
 use crate::config::catalog::Revisioned;
 use crate::patience::Progress;
 
-/// What is read or watched as one.
+/// A part of the store that is read or watched as a unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Topic {
-    /// What operators write: the routing configuration and wanted versions.
+    /// Entries written by operators: the routing configuration and desired versions.
     Operator,
-    /// What replicas write of themselves.
+    /// Entries written by replicas about themselves.
     Replicas,
 }
 
-/// What is wrong with a part of a document.
+/// The fault of a part of a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Flaw {
-    /// It is not there.
+    /// The part is missing.
     #[error("missing")]
     Missing,
-    /// It is of another type than expected, or has a value that makes no sense.
-    #[error("not readable")]
+    /// The part has an unexpected type or an invalid value.
+    #[error("unreadable")]
     Unreadable,
 }
 
-/// What is done without a part of a document.
+/// How a document is used without the faulty part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Remedy {
-    /// What it belongs to is left out.
-    #[error("left out")]
+    /// The item that the part belongs to is ignored.
+    #[error("ignored")]
     LeftOut,
-    /// A default takes its place.
-    #[error("default taken")]
+    /// The default is used instead.
+    #[error("default used")]
     Default,
 }
 
@@ -42,72 +42,73 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{place}: {flaw}, {remedy}")]
 pub struct Loss {
-    /// Where in the document.
+    /// Its path in the document.
     pub place: String,
-    /// What is wrong.
+    /// The fault.
     pub flaw: Flaw,
-    /// What is done without it.
+    /// How the document is used without it.
     pub remedy: Remedy,
 }
 
-/// An entry of the store that was read with losses.
+/// An entry of the store that was read only partly, or not at all.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Damaged {
     /// The entry's key.
     pub key: String,
-    /// What could not be read of it.
+    /// The parts that could not be read.
     pub losses: Vec<Loss>,
 }
 
-/// Facts, and the revision up to which they are all.
+/// Facts read from the store, complete up to a revision.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Batch {
     /// The facts.
     pub facts: Vec<Revisioned>,
     /// The store's revision.
     pub revision: u64,
-    /// Bytes of the answers that brought the facts.
+    /// Size in bytes of the responses that contained the facts.
     pub bytes: usize,
-    /// Entries that could not be understood, or not whole.
+    /// Entries that could not be read completely.
     pub damaged: Vec<Damaged>,
 }
 
-/// Why the store did not answer.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The exchange failed, or took too long.
-    #[error("store is out of reach: {reason}")]
+    /// The exchange failed or timed out.
+    #[error("store is unreachable: {reason}")]
     Unreachable {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// The connection that it was asked over went silent with others; it is to be asked again.
-    #[error("the connection to the store went silent with others")]
+    /// The connection was found silent together with others; the call should be repeated.
+    #[error("the connection to the store stopped responding together with others")]
     Silent,
-    /// The store refused.
-    #[error("store answered {status}")]
+    /// The store returned an error status.
+    #[error("store returned HTTP status {status}")]
     Refused {
         /// The HTTP status.
         status: u16,
     },
-    /// The history after the given revision is not kept any more.
-    #[error("store has forgotten what followed")]
+    /// The store no longer keeps the history after the given revision.
+    #[error("store no longer keeps the changes after the requested revision")]
     Compacted,
-    /// The answer makes no sense.
-    #[error("store's answer is not understood: {reason}")]
+    /// The response could not be parsed.
+    #[error("cannot parse the response of the store: {reason}")]
     Malformed {
-        /// What the codec reported.
+        /// The error of the parser.
         reason: String,
     },
 }
 
-/// A store that can be read and watched. Its answers may be long: how they come in is noted in the
-/// `progress` of each call.
+/// A store that can be read and watched. Responses may be long; the arrival of their parts is
+/// recorded in the `progress` of each call.
 pub trait Source {
-    /// Everything that is there now.
+    /// Reads everything that is in the store now.
     fn read(&self, topic: Topic, progress: Progress) -> LocalBoxFuture<'_, Result<Batch, Error>>;
 
-    /// What changed after a revision, as soon as anything did, or nothing after `wait`.
+    /// Returns the changes after revision `after` as soon as there are any, or an empty batch after
+    /// `wait`.
     fn watch(
         &self,
         topic: Topic,
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -162,12 +162,12 @@
                     ..digest
                 },
                 packed: Some(packed.into()),
-                update: update,
+                update,
             },
             None => Self {
                 digest,
                 packed: None,
-                update: update,
+                update,
             },
         }
     }
