--- a/src/request.rs
+++ b/src/request.rs
@@ -1,5 +1,5 @@
-//! Requests: what is known of whether one ran, keys for those that must run at most once, and the
-//! budget of retries.
+//! Requests: what is known about whether a request ran, keys for at-most-once requests, and the
+//! retry budget.
 
 pub mod attempt;
 pub mod budget;
@@ -13,29 +13,29 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Whether a request ran, as far as is known.
+/// Whether a request ran, as far as known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// It ran.
     Ran,
-    /// It surely did not run.
+    /// It certainly did not run.
     NotRun,
-    /// It may have run, in whole or in part.
+    /// It may have run, completely or in part.
     Unknown,
 }
 
-/// A key for one request that must run at most once. It is bound to a box and to the process that
-/// issued it there, so every entry leads it to that one table or nowhere.
+/// The key of an at-most-once request. It is bound to a box and to the process that issued it
+/// there, so every entry sends the request to the table of that process or nowhere.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Key {
     /// The box whose agent issued it.
     pub name: Arc<str>,
     /// The process that issued it.
     pub boot: u64,
-    /// Its number there.
+    /// Its number in that process.
     pub number: u64,
-    /// A secret, so that keys cannot be guessed.
+    /// A secret that prevents guessing of keys.
     pub secret: u64,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Text that is no key.
+/// The text is not a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("not a key issued by this system")]
 pub struct KeyError;
@@ -74,7 +74,7 @@
     }
 }
 
-/// A finished request's answer.
+/// The response to a finished request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status.
@@ -85,16 +85,16 @@
     pub body: Bytes,
 }
 
-/// Where a keyed request stands.
+/// State of a keyed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
-    /// The key was issued; nothing was sent under it.
+    /// The key was issued and not used yet.
     Issued,
-    /// It runs.
+    /// The request is running.
     Running,
-    /// It ran. The answer may have been too long to keep.
+    /// The request ran. The response is `None` if it was too long to keep.
     Done(Option<Answer>),
-    /// It was handed to the target, and how that ended is not known.
+    /// The request was passed to the target, and its outcome is unknown.
     Lost,
 }
 
@@ -105,24 +105,24 @@
     state: State,
 }
 
-/// What to do with a request that comes under a key.
+/// How to handle a request with a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// Run it, now: no one else will.
+    /// Run it: no one else will.
     Run,
-    /// It is running.
+    /// It is already running.
     InProgress,
-    /// It ran; this is the answer, if it was kept.
+    /// It ran; the response is given if it was kept.
     Done(Option<Answer>),
     /// It may have run.
     Lost,
-    /// This table never issued the key, or has dropped it: it will not run here, and whether it
-    /// ever ran is not known.
+    /// This table never issued the key or has dropped it. The request will not run here, and
+    /// whether it ever ran is unknown.
     NoSuchKey,
 }
 
-/// The table of keys that one process issued. A request runs only if its key stands here as issued,
-/// so a dropped or foreign key can never run it again.
+/// The keys issued by one process. A request runs only if the table holds its key as issued, so a
+/// dropped or foreign key never runs it again.
 #[derive(Debug)]
 pub struct Ledger {
     boot: u64,
@@ -134,8 +134,8 @@
 }
 
 impl Ledger {
-    /// An empty table of process `boot`, of at most `keys_max` keys and answers of `answer_max`
-    /// bytes.
+    /// Creates an empty table for process `boot`, with at most `keys_max` keys and responses of at
+    /// most `answer_max` bytes.
     pub fn new(boot: u64, keys_max: usize, answer_max: usize) -> Self {
         Self {
             boot,
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Issues a key to a customer. The oldest key that is not running is dropped when the table is
-    /// full; `None` when all are running.
+    /// Issues a key to a customer. If the table is full, the oldest key whose request is not
+    /// running is dropped; returns `None` if all are running.
     pub fn issue(&mut self, name: &Arc<str>, customer: &str, secret: u64) -> Option<Key> {
         if self.entries.len() >= self.keys_max && !self.drop_oldest() {
             return None;
@@ -170,12 +170,12 @@
     }
 
     fn drop_oldest(&mut self) -> bool {
-        let idle = |number: &u64| {
+        let not_running = |number: &u64| {
             self.entries
                 .get(number)
                 .is_none_or(|entry| entry.state != State::Running)
         };
-        let Some(position) = self.order.iter().position(idle) else {
+        let Some(position) = self.order.iter().position(not_running) else {
             return false;
         };
         if let Some(number) = self.order.remove(position) {
@@ -184,7 +184,7 @@
         true
     }
 
-    /// Takes a request under `key` from `customer`.
+    /// Admits a request of `customer` under `key`, if it may run.
     pub fn admit(&mut self, key: &Key, customer: &str) -> Admission {
         let Some(entry) = self.entry(key) else {
             return Admission::NoSuchKey;
@@ -203,18 +203,18 @@
         }
     }
 
-    /// The admitted request was not handed to the target after all: the key is as new.
+    /// Records that the admitted request was not passed to the target. The key may be used again.
     pub fn not_run(&mut self, key: &Key) {
         self.set(key, State::Issued);
     }
 
-    /// The request ran.
+    /// Records that the request ran.
     pub fn done(&mut self, key: &Key, answer: Answer) {
         let kept = (answer.body.len() <= self.answer_max).then_some(answer);
         self.set(key, State::Done(kept));
     }
 
-    /// How the request ended is not known.
+    /// Records that the request's outcome is unknown.
     pub fn lost(&mut self, key: &Key) {
         self.set(key, State::Lost);
     }
@@ -237,134 +237,137 @@
     }
 }
 
-/// Hundredths of a retry that each first try earns.
-const RETRY_EARNED: u32 = 10;
+/// Hundredths of a retry earned by each first attempt.
+const RETRY_EARNINGS: u32 = 10;
 
-/// Hundredths that one retry costs.
+/// Cost of a retry, in hundredths.
 const RETRY_COST: u32 = 100;
 
-/// Hundredths that can be saved up.
-const RETRY_SAVED_MAX: u32 = 2_000;
+/// Maximum savings, in hundredths of a retry.
+const MAX_RETRY_SAVINGS: u32 = 2_000;
 
-/// A budget of retries: a tenth of the first tries, so that retries cannot multiply an overload.
+/// Retry budget: a tenth of the first attempts, so that retries can't amplify an overload.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved: u32,
+    savings: u32,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            saved: RETRY_SAVED_MAX / 2,
+            savings: MAX_RETRY_SAVINGS / 2,
         }
     }
 }
 
 impl RetryBudget {
-    /// A first try was made.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + RETRY_EARNED).min(RETRY_SAVED_MAX);
+        self.savings = (self.savings + RETRY_EARNINGS).min(MAX_RETRY_SAVINGS);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget, if available.
     pub fn spend(&mut self) -> bool {
-        if self.saved < RETRY_COST {
+        if self.savings < RETRY_COST {
             return false;
         }
-        self.saved -= RETRY_COST;
+        self.savings -= RETRY_COST;
         true
     }
 }
 
-/// How an attempt to have a request answered went wrong.
+/// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Interruption {
-    /// The target's agent could not be reached: no byte left.
+    /// The target's agent was unreachable: no byte was sent.
     NotReached,
     /// The agent answered that it did not admit the request.
     NotAdmitted,
-    /// Bytes left, and no answer came.
+    /// Bytes were sent, and no response arrived.
     NoAnswer,
     /// The agent answered that the request may have run.
     Lost,
-    /// The answer broke off.
+    /// The response broke off.
     MidAnswer,
 }
 
-/// What is known of a request when an attempt breaks.
+/// What is known of a request when an attempt fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Situation {
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub repeatable: bool,
     /// Whether it has a key, which binds it to one box.
     pub keyed: bool,
-    /// Whether its answer can be taken up at an offset.
+    /// Whether its response can be resumed at an offset.
     pub resumable: bool,
     /// Whether an earlier attempt may have run.
     pub tainted: bool,
-    /// Whether part of the answer has reached the caller.
+    /// Whether part of the response has reached the caller.
     pub begun: bool,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
     /// Milliseconds until the deadline.
     pub remaining_ms: u64,
 }
 
-/// What to do after a break.
+/// What to do after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Next {
     /// Try another target.
     Elsewhere,
-    /// Take the answer up at its offset: at the same target, or at another of the same version.
+    /// Resume the response at its offset, at the same target or at another with the same version.
     Resume,
-    /// Tell the caller, now.
+    /// Report the outcome to the caller immediately.
     GiveUp(Outcome),
 }
 
-/// Attempts that one request may take.
+/// Maximum number of attempts per request.
 pub const ATTEMPTS_MAX: u32 = 4;
 
-/// Whether a break shows that its attempt did not run.
-fn certain(found: Interruption) -> bool {
-    matches!(found, Interruption::NotReached | Interruption::NotAdmitted)
+/// Whether the failure proves that the attempt did not run.
+fn proves_not_run(interruption: Interruption) -> bool {
+    matches!(
+        interruption,
+        Interruption::NotReached | Interruption::NotAdmitted
+    )
 }
 
-/// What is known of a request after a break. Under a key only the key's own table can say "not
-/// run": it is the only one that could have run it.
-pub fn outcome_after(found: Interruption, situation: Situation) -> Outcome {
-    let clean = certain(found) && !situation.tainted && !situation.begun;
-    if clean && (!situation.keyed || found == Interruption::NotAdmitted) {
+/// Returns what is known of a request after a failed attempt. If it has a key, only the key's own
+/// table can report "not run", since nothing else could have run it.
+pub fn outcome_after(interruption: Interruption, situation: Situation) -> Outcome {
+    let certainly_not_run = proves_not_run(interruption) && !situation.tainted && !situation.begun;
+    if certainly_not_run && (!situation.keyed || interruption == Interruption::NotAdmitted) {
         Outcome::NotRun
     } else {
         Outcome::Unknown
     }
 }
 
-/// Decides what follows a break. A request that is not repeatable goes elsewhere only after a sure
-/// "not run"; one with a key never does, because its key leads to one box alone.
+/// Decides what to do after a failed attempt. A request that is not repeatable is sent elsewhere
+/// only if it certainly did not run; one with a key never is, since its key is bound to one box.
 pub fn after_interruption(
-    found: Interruption,
+    interruption: Interruption,
     situation: Situation,
     budget: &mut RetryBudget,
 ) -> Next {
-    let outcome = outcome_after(found, situation);
-    let clean = certain(found) && !situation.tainted && !situation.begun;
+    let outcome = outcome_after(interruption, situation);
+    let certainly_not_run = proves_not_run(interruption) && !situation.tainted && !situation.begun;
     let exhausted = situation.attempts >= ATTEMPTS_MAX || situation.remaining_ms == 0;
     if exhausted || situation.keyed {
         return Next::GiveUp(outcome);
     }
-    if situation.begun || found == Interruption::MidAnswer {
-        let may = situation.resumable && budget.spend();
-        return if may {
+    if situation.begun || interruption == Interruption::MidAnswer {
+        let allowed = situation.resumable && budget.spend();
+        return if allowed {
             Next::Resume
         } else {
             Next::GiveUp(outcome)
         };
     }
-    let may = (situation.repeatable || clean) && budget.spend();
-    if may {
+    let allowed = (situation.repeatable || certainly_not_run) && budget.spend();
+    if allowed {
         Next::Elsewhere
     } else {
         Next::GiveUp(outcome)
