--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -1,57 +1,58 @@
-//! What follows when an attempt at a replica ended without a whole answer.
+//! Decides what to do after an attempt at a replica that did not end with a complete response.
 
 use super::Outcome;
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent,
-    /// The replica said that it did not run the request.
+    /// The replica reported that it did not run the request.
     Refused,
-    /// Another replica has the address; it did not run the request.
+    /// The address belongs to another replica now, which did not run the request.
     Misdirected,
-    /// The replica ran the request and answered with a failure of its own.
+    /// The replica ran the request and returned an error of its own.
     Failed,
-    /// Bytes left, and no whole answer came.
+    /// Bytes were sent, and no complete response arrived.
     Broken,
 }
 
-/// What is known of the request then.
+/// What is known of the request after the attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Situation {
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub repeatable: bool,
     /// Whether an earlier attempt may have run.
     pub tainted: bool,
-    /// Replicas that received it so far, this attempt's included if bytes left.
+    /// Replicas that have received the request so far, including this attempt's if bytes were sent.
     pub sent: u32,
-    /// Replicas that may receive it.
+    /// Maximum number of replicas that may receive the request.
     pub sent_max: u32,
     /// Connections that failed to open so far.
     pub connect_failures: u32,
-    /// Whether time is left.
+    /// Whether time is left before the deadline.
     pub time_left: bool,
 }
 
-/// What to do.
+/// What to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Try another replica; `charged` if that counts as a repeat.
+    /// Try another replica.
     Elsewhere {
-        /// Whether a replica has received the request already.
+        /// Whether a replica has received the request already, so that the attempt counts against
+        /// the budget of repeats.
         charged: bool,
     },
-    /// Pass the replica's own failure on.
+    /// Forward the replica's own error to the caller.
     PassOn,
-    /// Tell the caller.
+    /// Report the outcome to the caller.
     GiveUp(Outcome),
 }
 
-/// Connections that may fail to open before a request is given up.
-const UNREACHED_MAX: u32 = 3;
+/// Maximum number of failed connections after which a request is still tried elsewhere.
+const MAX_CONNECT_FAILURES: u32 = 3;
 
-/// Whether an end shows that its attempt did not run.
+/// Returns what the end of an attempt tells about whether the attempt ran.
 pub fn outcome_of(ended: Ended) -> Outcome {
     match ended {
         Ended::NotSent | Ended::Refused | Ended::Misdirected => Outcome::NotRun,
@@ -60,15 +61,16 @@
     }
 }
 
-/// Decides what follows.
+/// Decides what to do after an attempt.
 pub fn after(ended: Ended, situation: Situation) -> Next {
-    let own = outcome_of(ended);
-    let outcome = match own {
+    let attempt_outcome = outcome_of(ended);
+    let outcome = match attempt_outcome {
         Outcome::NotRun if situation.tainted => Outcome::Unknown,
         other => other,
     };
     let may_run_again = situation.repeatable || outcome == Outcome::NotRun;
-    let room = situation.sent < situation.sent_max && situation.connect_failures <= UNREACHED_MAX;
+    let room =
+        situation.sent < situation.sent_max && situation.connect_failures <= MAX_CONNECT_FAILURES;
     if may_run_again && room && situation.time_left {
         let charged = situation.sent > 0;
         return Next::Elsewhere { charged };
