--- a/src/request/budget.rs
+++ b/src/request/budget.rs
@@ -1,11 +1,13 @@
-//! The budget of repeated requests that all entries share without talking about it.
+//! Budget of repeated requests, shared by all entries without communication.
 //!
-//! Over every window of the given length, what a service receives beyond the first of each request
-//! may not exceed a ratio of its requests and a fixed slack. Each entry spends the ratio of its own
-//! requests and its part of the slack, so that the sum holds however the requests are spread.
+//! In every window of the configured length, the attempts that a service receives beyond the first
+//! of each request must not exceed a ratio of its requests plus a fixed slack. Each entry spends
+//! the ratio of its own requests and its share of the slack, so that the total holds however the
+//! requests are distributed.
 //!
-//! The bound is on arrivals. A repeat that was decided may wait for a place, or be held up on a link, while a window passes and
-//! another budget is spent. So it counts from its decision on, until a window after it has arrived for sure.
+//! The limit applies to arrivals. A repeat may wait for a slot or be delayed on a link while a
+//! window passes and the next budget is spent. It therefore counts from the decision until a window
+//! after it has certainly arrived.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,24 +15,26 @@
 use crate::clock::Time;
 use crate::exchange::LOST;
 
-/// Part of the ratio that is spent: windows at the judge begin elsewhere. An entry that is started again has the rest
-/// for as long as repeats of the life before may count.
-const RATIO_SPENT: f64 = 0.8;
+/// Fraction of the ratio that is spent, because the windows in which the limit is checked start at
+/// other times than the ones counted here. A restarted entry spends only the remaining fraction
+/// while repeats of its previous run may still count.
+const SPENT_FRACTION: f64 = 0.8;
 
-/// Length of a count of requests.
-const BUCKET: Duration = Duration::from_millis(250);
+/// Time over which requests are counted together.
+const BUCKET_LENGTH: Duration = Duration::from_millis(250);
 
-/// The bounds.
+/// The limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setting {
-    /// Repeats for each request.
+    /// Repeats per request.
     pub ratio: f64,
-    /// Repeats besides, over all entries.
+    /// Additional repeats, summed over all entries.
     pub slack: f64,
     /// The length of every window.
     pub window: Duration,
-    /// Whether an entry that starts may spend all of its part at once. One that is started again may not: the
-    /// life before may have spent it just now, and what is left of the window's budget is what lives leave over.
+    /// Whether an entry may spend its full share immediately after its start. A restarted entry may
+    /// not, because its previous run may just have spent it; it has only the part of the window's
+    /// budget that every run leaves unspent.
     pub full_at_start: bool,
 }
 
@@ -51,25 +55,26 @@
     requests: u32,
 }
 
-/// Names a repeat that was taken from a budget.
+/// Identifies a repeat that was taken from a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Reservation(u64);
 
-/// One service's budget at one entry.
+/// The budget of one service at one entry.
 #[derive(Debug)]
 pub struct Budget {
     buckets: VecDeque<Bucket>,
-    /// The repeats that count, with when each has arrived; none for one that may be on its way.
+    /// The repeats that still count, with their time of arrival; `None` while a repeat may be in
+    /// transit.
     repeats: BTreeMap<Reservation, Option<Time>>,
-    spent: u64,
-    /// From when on no life before counts.
-    alone_from: Time,
+    last_reservation: u64,
+    /// Time from which no repeat of a previous run counts any more.
+    previous_run_expired: Time,
 }
 
 impl Budget {
-    /// The budget of an entry that started at `began`.
+    /// Creates the budget of an entry that started at `began`.
     pub fn new(setting: Setting, began: Time) -> Self {
-        let counts_before = if setting.full_at_start {
+        let previous_run_counts = if setting.full_at_start {
             Duration::ZERO
         } else {
             setting.window + LOST
@@ -77,8 +82,8 @@
         Self {
             buckets: VecDeque::new(),
             repeats: BTreeMap::new(),
-            spent: 0,
-            alone_from: began + counts_before,
+            last_reservation: 0,
+            previous_run_expired: began + previous_run_counts,
         }
     }
 
@@ -90,11 +95,11 @@
         {
             self.buckets.pop_front();
         }
-        let fresh = self
+        let current = self
             .buckets
             .back()
-            .is_some_and(|bucket| now.since(bucket.began) < BUCKET);
-        if !fresh {
+            .is_some_and(|bucket| now.since(bucket.began) < BUCKET_LENGTH);
+        if !current {
             self.buckets.push_back(Bucket {
                 began: now,
                 requests: 0,
@@ -104,46 +109,48 @@
         &mut self.buckets[last]
     }
 
-    /// A request came in.
+    /// Records a request.
     pub fn request(&mut self, setting: Setting, now: Time) {
         self.bucket(setting, now).requests += 1;
     }
 
-    /// Takes one repeat if there is one for this of `entries` entries. It counts until it is told what became of it.
+    /// Reserves a repeat at one of `entries` entries, if the budget allows it. It counts as in
+    /// transit until [`Self::arrived`] or [`Self::release`] is called.
     pub fn reserve(&mut self, setting: Setting, entries: usize, now: Time) -> Option<Reservation> {
         self.bucket(setting, now);
-        // A request counts for a bucket less than the window, a repeat for one longer.
+        // Requests count for one bucket less than the window, repeats for one bucket more, so that
+        // rounding to buckets never raises the budget.
         let requests: u32 = self
             .buckets
             .iter()
-            .filter(|bucket| now.since(bucket.began) + BUCKET <= setting.window)
+            .filter(|bucket| now.since(bucket.began) + BUCKET_LENGTH <= setting.window)
             .map(|bucket| bucket.requests)
             .sum();
-        let counts = |arrived: Time| now.since(arrived) <= setting.window + BUCKET;
+        let counts = |arrived: Time| now.since(arrived) <= setting.window + BUCKET_LENGTH;
         self.repeats.retain(|_, arrived| arrived.is_none_or(counts));
-        let (part, slack) = if now < self.alone_from {
-            (1.0 - RATIO_SPENT, 0.0)
+        let (fraction, slack) = if now < self.previous_run_expired {
+            (1.0 - SPENT_FRACTION, 0.0)
         } else {
-            (RATIO_SPENT, setting.slack / entries.max(1) as f64)
+            (SPENT_FRACTION, setting.slack / entries.max(1) as f64)
         };
-        let own = setting.ratio * part * f64::from(requests);
-        if (self.repeats.len() + 1) as f64 > own + slack {
+        let earned = setting.ratio * fraction * f64::from(requests);
+        if (self.repeats.len() + 1) as f64 > earned + slack {
             return None;
         }
-        self.spent += 1;
-        let key = Reservation(self.spent);
-        self.repeats.insert(key, None);
-        Some(key)
+        self.last_reservation += 1;
+        let reservation = Reservation(self.last_reservation);
+        self.repeats.insert(reservation, None);
+        Some(reservation)
     }
 
-    /// The repeat has arrived by `at`, which may lie ahead.
+    /// Records that the repeat has arrived by `at`, which may be in the future.
     pub fn arrived(&mut self, repeat: Reservation, at: Time) {
         if let Some(arrived) = self.repeats.get_mut(&repeat) {
             arrived.get_or_insert(at);
         }
     }
 
-    /// The repeat was not sent, and will not be.
+    /// Returns a repeat that was not sent and will not be.
     pub fn release(&mut self, repeat: Reservation) {
         self.repeats.remove(&repeat);
     }
