--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -1,11 +1,13 @@
-//! Poison requests: those under which replica after replica ends.
+//! Detection of poison requests, which crash one replica after another.
 //!
-//! Such a request comes again under a new id, at any entry, so no single one of them can tell. Entries name requests by
-//! what stays the same of them, and tell each other which life of which replica ended while one ran there. Lives are counted once,
-//! whoever tells of them, so that what entries know can be put together in any order, any number of times.
+//! Such a request is sent again under a new id and to any entry, so no single entry can detect it.
+//! Entries identify requests by a hash of what stays the same, and tell each other which instance
+//! of which replica ended while one of them ran there. Each instance counts once, whoever reports
+//! it, so reports can be merged in any order and repeatedly.
 //!
-//! Other requests that ran beside it are cut as well. They come to an end elsewhere, which a poison request never does: a whole
-//! answer takes back all ends before it. Whether a request that is barred has become good is found out by one try at a time.
+//! Other requests that ran on the same replica are interrupted as well. They complete elsewhere,
+//! which a poison request never does: a complete response clears all earlier crashes of a request.
+//! Whether a blocked request has become harmless is determined by single trials.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -18,49 +20,52 @@
 use crate::hash;
 use crate::member::replica::Incarnation;
 
-/// Replicas that end under a request before it is sent to no other.
+/// Crashes under a request after which it is sent to no further replica.
 pub const MAX_CRASHES: usize = 3;
 
-/// Pauses before a request that is barred is tried once more: after the last end, and after each further try. The first is
-/// short, for a popular request that ran beside a poison one; each that fails costs a replica and all that runs there, and after so
-/// many of them there are no more.
-const TRY_PAUSES: [Duration; 3] = [
+/// Pauses before a blocked request is tried again: after the last crash, and after each further
+/// trial. The first is short for the sake of a popular request that ran beside a poison one. Each
+/// failed trial costs a replica and everything that runs there, so there are no more after this
+/// many.
+const TRIAL_PAUSES: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(20),
     Duration::from_secs(600),
 ];
 
-/// How long a request is remembered after the last that was learned of it.
-const REMEMBERED: Duration = Duration::from_secs(900);
+/// Retention of a request after the last event.
+const RETENTION: Duration = Duration::from_secs(900);
 
-/// How long one that is barred is: then it may end as many replicas again, unless what was wrong with it is mended.
-const BARRED_REMEMBERED: Duration = Duration::from_secs(3_600);
+/// Retention of a blocked request. Afterwards it may crash as many replicas again, unless its fault
+/// has been fixed.
+const BLOCKED_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// How much later than a whole answer an end may be dated that came before it: what others tell comes with its age, which grows on
-/// its way.
-const DATED_WITHIN: Duration = Duration::from_millis(250);
+/// Time after a complete response within which a reported crash counts as earlier. Reports carry
+/// ages, which grow while they are in transit.
+const REPORT_LATENCY: Duration = Duration::from_millis(250);
 
-/// How long others are told again that a request came to an end.
-const TOLD_GOOD: Duration = Duration::from_secs(60);
+/// Time for which a complete response is reported again and again.
+const SUCCESS_REPORT_TIME: Duration = Duration::from_secs(60);
 
-/// Requests that are remembered. Ends of replicas are rare; each leaves as many as ran there.
-const CASES_MAX: usize = 1_024;
+/// Maximum number of remembered requests. Crashes are rare; each involves as many requests as ran
+/// on the replica.
+const MAX_CASES: usize = 1_024;
 
-/// Ends that are remembered of one request.
-const LIVES_MAX: usize = 8;
+/// Maximum number of remembered crashes per request.
+const MAX_CRASHES_KEPT: usize = 8;
 
-/// Requests that others are told of at a time, those with the most ends first.
-const TOLD_MAX: usize = 64;
+/// Maximum number of requests per report to another entry; those with the most crashes come first.
+const MAX_REPORTS: usize = 64;
 
-/// What stays the same of a request whenever it comes, under whatever id and at whichever entry: its path, its caller and
-/// its body.
+/// Hash of what stays the same when a request is sent again under another id or to another entry:
+/// host, path, caller and body.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct RequestHash(u64);
 
 impl RequestHash {
-    /// The name of what `caller` asks for at `path` of `host` with `body`.
+    /// Returns the hash of a request of `caller` for `path` at `host` with `body`.
     pub fn of(host: &str, path: &str, caller: &str, body: &[u8]) -> Self {
         let parts = [host.as_bytes(), path.as_bytes(), caller.as_bytes(), body];
         Self(hash::of(parts))
@@ -73,35 +78,35 @@
     }
 }
 
-/// An end of a replica, as one process tells another.
+/// The crash of a replica, as sent between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// What ended.
+    /// The replica instance that ended.
     #[serde(rename = "life")]
     pub instance: Incarnation,
-    /// Milliseconds since.
+    /// Milliseconds since the crash.
     pub age_ms: u64,
 }
 
-/// What is known of one request, as one process tells another.
+/// What is known of one request, as sent between processes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CaseReport {
     /// The request.
     #[serde(rename = "name")]
     pub request: RequestHash,
-    /// The ends of replicas under it.
+    /// The crashes under it.
     #[serde(default)]
     #[serde(rename = "ends")]
     pub crashes: Vec<Crash>,
-    /// Milliseconds since it was answered whole, if it was.
+    /// Milliseconds since the last complete response, if any.
     #[serde(default)]
     #[serde(rename = "good_ms")]
     pub success_age_ms: Option<u64>,
-    /// Times that it was tried since it is barred.
+    /// Number of trials since it was blocked.
     #[serde(default)]
     #[serde(rename = "tries")]
     pub trials: u32,
-    /// Milliseconds since the last of them.
+    /// Milliseconds since the last trial.
     #[serde(default)]
     #[serde(rename = "tried_ms")]
     pub trial_age_ms: Option<u64>,
@@ -110,263 +115,296 @@
 /// Whether a request may be sent to a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may.
+    /// It may be sent.
     Allowed,
-    /// It may not.
+    /// It must not be sent.
     Blocked,
-    /// It may not, but for a single try over all entries.
+    /// It must not be sent, except for a single trial across all entries.
     TrialDue,
 }
 
 /// What is known of one request.
 #[derive(Debug, Clone, Default)]
 struct Case {
-    ends: BTreeMap<Incarnation, Time>,
-    /// When it was answered whole last.
-    good: Option<Time>,
-    tries: u32,
-    tried: Option<Time>,
+    crashes: BTreeMap<Incarnation, Time>,
+    /// Time of the last complete response.
+    last_success: Option<Time>,
+    trials: u32,
+    last_trial: Option<Time>,
 }
 
 impl Case {
-    /// A replica ended under it. Returns whether that is news.
-    fn end(&mut self, life: Incarnation, at: Time) -> bool {
-        let taken_back = self.good.is_some_and(|good| at <= good + DATED_WITHIN);
-        let full = self.ends.len() >= LIVES_MAX;
-        if taken_back || full || self.ends.contains_key(&life) {
+    /// Records a crash. Returns whether that is new.
+    fn record_crash(&mut self, instance: Incarnation, at: Time) -> bool {
+        let cleared = self
+            .last_success
+            .is_some_and(|last_success| at <= last_success + REPORT_LATENCY);
+        let is_full = self.crashes.len() >= MAX_CRASHES_KEPT;
+        if cleared || is_full || self.crashes.contains_key(&instance) {
             return false;
         }
-        self.ends.insert(life, at);
+        self.crashes.insert(instance, at);
         true
     }
 
-    /// It was answered whole, which takes back what was before. Returns whether that is news.
-    fn come_good(&mut self, at: Time) -> bool {
-        if self.good.is_some_and(|good| at <= good + DATED_WITHIN) {
+    /// Records a complete response, which clears everything before it. Returns whether that is new.
+    fn record_success(&mut self, at: Time) -> bool {
+        if self
+            .last_success
+            .is_some_and(|last_success| at <= last_success + REPORT_LATENCY)
+        {
             return false;
         }
-        self.good = Some(at);
-        self.ends.retain(|_, end| *end > at + DATED_WITHIN);
-        self.tries = 0;
-        self.tried = None;
+        self.last_success = Some(at);
+        self.crashes.retain(|_, crash| *crash > at + REPORT_LATENCY);
+        self.trials = 0;
+        self.last_trial = None;
         true
     }
 
-    /// It was tried so many times, the last of them at `at`. Returns whether that is news.
-    fn tried(&mut self, tries: u32, at: Time) -> bool {
-        let taken_back = self.good.is_some_and(|good| at <= good + DATED_WITHIN);
-        if taken_back || tries <= self.tries {
+    /// Records that there have been `trials` trials, the last one at `at`. Returns whether that is
+    /// new.
+    fn record_trial(&mut self, trials: u32, at: Time) -> bool {
+        let cleared = self
+            .last_success
+            .is_some_and(|last_success| at <= last_success + REPORT_LATENCY);
+        if cleared || trials <= self.trials {
             return false;
         }
-        self.tries = tries;
-        self.tried = Some(at);
+        self.trials = trials;
+        self.last_trial = Some(at);
         true
     }
 
-    /// When something was learned of it last.
+    /// Time of the last event.
     fn last(&self) -> Time {
-        let ends = self.ends.values().copied();
-        let last = ends.chain(self.good).chain(self.tried).max();
+        let crashes = self.crashes.values().copied();
+        let last = crashes
+            .chain(self.last_success)
+            .chain(self.last_trial)
+            .max();
         last.unwrap_or_default()
     }
 
     fn verdict(&self, now: Time) -> Verdict {
-        if !self.barred() {
+        if !self.is_blocked() {
             return Verdict::Allowed;
         }
-        // A try that its caller left costs nothing and shows nothing: others may follow, as seldom as the last.
-        let failed = self.ends.len() - MAX_CRASHES;
-        let pause = TRY_PAUSES[(self.tries as usize).min(TRY_PAUSES.len() - 1)];
-        if failed < TRY_PAUSES.len() && now.since(self.last()) >= pause {
+        // A trial whose caller disconnected cost nothing and proved nothing. Others may follow, at
+        // the interval of the last one.
+        let failed_trials = self.crashes.len() - MAX_CRASHES;
+        let pause = TRIAL_PAUSES[(self.trials as usize).min(TRIAL_PAUSES.len() - 1)];
+        if failed_trials < TRIAL_PAUSES.len() && now.since(self.last()) >= pause {
             Verdict::TrialDue
         } else {
             Verdict::Blocked
         }
     }
 
-    fn barred(&self) -> bool {
-        self.ends.len() >= MAX_CRASHES
+    fn is_blocked(&self) -> bool {
+        self.crashes.len() >= MAX_CRASHES
     }
 
-    /// Whether it is not remembered any more.
-    fn forgotten(&self, now: Time) -> bool {
-        let remembered = if self.barred() {
-            BARRED_REMEMBERED
+    /// Whether its retention has ended.
+    fn is_expired(&self, now: Time) -> bool {
+        let retention = if self.is_blocked() {
+            BLOCKED_RETENTION
         } else {
-            REMEMBERED
+            RETENTION
         };
-        now.since(self.last()) >= remembered
+        now.since(self.last()) >= retention
     }
 
-    /// Whether entries tell each other of it again and again: one end alone is told once.
-    fn matters(&self, now: Time) -> bool {
-        let good_lately = self.good.is_some_and(|good| now.since(good) < TOLD_GOOD);
-        self.ends.len() > 1 || good_lately
+    /// Whether entries report it repeatedly. A single crash is reported only once.
+    fn is_reported(&self, now: Time) -> bool {
+        let recent_success = self
+            .last_success
+            .is_some_and(|last_success| now.since(last_success) < SUCCESS_REPORT_TIME);
+        self.crashes.len() > 1 || recent_success
     }
 
-    fn report(&self, name: RequestHash, now: Time) -> CaseReport {
+    fn report(&self, request: RequestHash, now: Time) -> CaseReport {
         let age_ms = |at: Time| now.since(at).as_millis() as u64;
-        let ends = self.ends.iter().map(|(life, at)| Crash {
-            instance: life.clone(),
+        let crashes = self.crashes.iter().map(|(instance, at)| Crash {
+            instance: instance.clone(),
             age_ms: age_ms(*at),
         });
         CaseReport {
-            request: name,
-            crashes: ends.collect(),
-            success_age_ms: self.good.map(age_ms),
-            trials: self.tries,
-            trial_age_ms: self.tried.map(age_ms),
+            request,
+            crashes: crashes.collect(),
+            success_age_ms: self.last_success.map(age_ms),
+            trials: self.trials,
+            trial_age_ms: self.last_trial.map(age_ms),
         }
     }
 
-    fn merge(&mut self, told: &CaseReport, now: Time) -> bool {
+    fn merge(&mut self, report: &CaseReport, now: Time) -> bool {
         let at = |age_ms: u64| now - Duration::from_millis(age_ms);
-        let good = told
+        let successful = report
             .success_age_ms
-            .is_some_and(|age| self.come_good(at(age)));
-        let mut news = good;
-        for end in &told.crashes {
-            news |= self.end(end.instance.clone(), at(end.age_ms));
+            .is_some_and(|age| self.record_success(at(age)));
+        let mut changed = successful;
+        for crash in &report.crashes {
+            changed |= self.record_crash(crash.instance.clone(), at(crash.age_ms));
         }
-        if let Some(age) = told.trial_age_ms {
-            news |= self.tried(told.trials, at(age));
+        if let Some(age) = report.trial_age_ms {
+            changed |= self.record_trial(report.trials, at(age));
         }
-        news
+        changed
     }
 }
 
-/// The requests under which replicas ended, as one entry knows them.
+/// The requests under which replicas crashed, as known to one entry.
 #[derive(Debug, Default)]
 pub struct Registry {
     cases: BTreeMap<RequestHash, Case>,
-    /// Of which others are to be told.
-    news: BTreeSet<RequestHash>,
+    /// Requests to be reported to others.
+    changes: BTreeSet<RequestHash>,
 }
 
 impl Registry {
-    /// The replica's life `life` ended at `at` while `name` ran there. Returns whether that is news.
-    pub fn record_crash(&mut self, name: RequestHash, life: Incarnation, at: Time) -> bool {
-        self.make_room(name);
-        let news = self.cases.entry(name).or_default().end(life, at);
-        if news {
-            self.news.insert(name);
+    /// Records that `instance` ended at `at` while `request` ran there. Returns whether that is
+    /// new.
+    pub fn record_crash(&mut self, request: RequestHash, instance: Incarnation, at: Time) -> bool {
+        self.make_room(request);
+        let changed = self
+            .cases
+            .entry(request)
+            .or_default()
+            .record_crash(instance, at);
+        if changed {
+            self.changes.insert(request);
         }
-        news
+        changed
     }
 
-    /// A replica answered `name` whole. Returns whether others are to be told: not of the many that ran beside
-    /// one that ends a replica, and come to an end at the next.
-    pub fn record_success(&mut self, name: RequestHash, now: Time) -> bool {
-        let Some(case) = self.cases.get_mut(&name) else {
+    /// Records a complete response to `request`. Returns whether others have to be told. They don't
+    /// for the many requests that ran beside a poison one and completed at the next replica, which
+    /// have a single crash.
+    pub fn record_success(&mut self, request: RequestHash, now: Time) -> bool {
+        let Some(case) = self.cases.get_mut(&request) else {
             return false;
         };
-        if case.ends.len() == 1 {
-            self.cases.remove(&name);
+        if case.crashes.len() == 1 {
+            self.cases.remove(&request);
             return false;
         }
-        let news = !case.ends.is_empty() && case.come_good(now);
-        if news {
-            self.news.insert(name);
+        let changed = !case.crashes.is_empty() && case.record_success(now);
+        if changed {
+            self.changes.insert(request);
         }
-        news
+        changed
     }
 
-    /// Whether `name` may be sent to a replica.
-    pub fn verdict(&self, name: RequestHash, now: Time) -> Verdict {
-        let case = self.cases.get(&name);
+    /// Whether `request` may be sent to a replica.
+    pub fn verdict(&self, request: RequestHash, now: Time) -> Verdict {
+        let case = self.cases.get(&request);
         case.map_or(Verdict::Allowed, |case| case.verdict(now))
     }
 
-    /// Takes the single try of `name` that is due, if it is.
-    pub fn claim_trial(&mut self, name: RequestHash, now: Time) -> bool {
-        let due = self.verdict(name, now) == Verdict::TrialDue;
-        let case = self.cases.get_mut(&name).filter(|_| due);
-        let taken = case.is_some_and(|case| case.tried(case.tries + 1, now));
+    /// Claims the trial of `request`, if one is due.
+    pub fn claim_trial(&mut self, request: RequestHash, now: Time) -> bool {
+        let due = self.verdict(request, now) == Verdict::TrialDue;
+        let case = self.cases.get_mut(&request).filter(|_| due);
+        let taken = case.is_some_and(|case| case.record_trial(case.trials + 1, now));
         if taken {
-            self.news.insert(name);
+            self.changes.insert(request);
         }
         taken
     }
 
-    /// What is known of `name`.
-    pub fn case(&self, name: RequestHash, now: Time) -> Option<CaseReport> {
-        let case = self.cases.get(&name)?;
-        Some(case.report(name, now))
+    /// Returns what is known of `request`.
+    pub fn case(&self, request: RequestHash, now: Time) -> Option<CaseReport> {
+        let case = self.cases.get(&request)?;
+        Some(case.report(request, now))
     }
 
-    /// What was learned here since the last call.
+    /// Returns the reports of everything learned here since the last call.
     pub fn take_changes(&mut self, now: Time) -> Vec<CaseReport> {
-        let news = std::mem::take(&mut self.news);
-        let cases = news.into_iter();
-        cases.filter_map(|name| self.case(name, now)).collect()
+        let changes = std::mem::take(&mut self.changes);
+        let cases = changes.into_iter();
+        cases
+            .filter_map(|request| self.case(request, now))
+            .collect()
     }
 
-    /// Takes what another entry tells. Returns what of it is news, as it stands here now.
-    pub fn merge(&mut self, told: &[CaseReport], now: Time) -> Vec<CaseReport> {
-        let mut news = Vec::new();
-        for told in told {
-            let known = self.cases.get(&told.request).cloned();
+    /// Merges reports of another entry. Returns the updated reports of the requests for which
+    /// something was new.
+    pub fn merge(&mut self, reports: &[CaseReport], now: Time) -> Vec<CaseReport> {
+        let mut updated = Vec::new();
+        for report in reports {
+            let known = self.cases.get(&report.request).cloned();
             let mut case = known.unwrap_or_default();
-            // What is no news takes no room.
-            if case.merge(told, now) {
-                news.push(case.report(told.request, now));
-                self.make_room(told.request);
-                self.cases.insert(told.request, case);
+            // Reports without anything new occupy no room.
+            if case.merge(report, now) {
+                updated.push(case.report(report.request, now));
+                self.make_room(report.request);
+                self.cases.insert(report.request, case);
             }
         }
-        news
+        updated
     }
 
-    /// What entries have to know alike, those with the most ends first.
+    /// Returns the reports on which entries have to agree, those with the most crashes first.
     pub fn reports(&self, now: Time) -> Vec<CaseReport> {
         let cases = self.cases.iter();
-        let mut matter: Vec<(&RequestHash, &Case)> =
-            cases.filter(|(_, case)| case.matters(now)).collect();
-        matter.sort_by_key(|(name, case)| (std::cmp::Reverse(case.ends.len()), **name));
-        let told = matter.into_iter().take(TOLD_MAX);
-        told.map(|(name, case)| case.report(*name, now)).collect()
+        let mut reported: Vec<(&RequestHash, &Case)> =
+            cases.filter(|(_, case)| case.is_reported(now)).collect();
+        reported.sort_by_key(|(request, case)| (std::cmp::Reverse(case.crashes.len()), **request));
+        let reports = reported.into_iter().take(MAX_REPORTS);
+        reports
+            .map(|(request, case)| case.report(*request, now))
+            .collect()
     }
 
-    /// Two entries that know alike have the same; 0 if there is nothing to know.
+    /// Returns a digest that is equal at entries that agree, and 0 if there is nothing to report.
     pub fn digest(&self, now: Time) -> u64 {
         let mut digest = 0;
-        for told in self.reports(now) {
-            // A fixed function over the fields: processes of one release compare it.
+        for report in self.reports(now) {
+            // The hasher is deterministic, so that processes of the same release compute the same
+            // digest.
             let mut hasher = DefaultHasher::new();
-            told.request.hash(&mut hasher);
-            told.trials.hash(&mut hasher);
-            told.success_age_ms.is_some().hash(&mut hasher);
-            // Which ones they are matters as long as two entries might know different ones of too few.
-            if told.crashes.len() <= MAX_CRASHES {
-                told.crashes
+            report.request.hash(&mut hasher);
+            report.trials.hash(&mut hasher);
+            report.success_age_ms.is_some().hash(&mut hasher);
+            // Which crashes they are matters only up to this number: two entries may know
+            // different ones, too few each.
+            if report.crashes.len() <= MAX_CRASHES {
+                report
+                    .crashes
                     .iter()
-                    .for_each(|end| end.instance.hash(&mut hasher));
+                    .for_each(|crash| crash.instance.hash(&mut hasher));
             }
             digest ^= hasher.finish();
         }
         digest
     }
 
-    /// Requests that are barred now.
+    /// Returns the number of blocked requests.
     pub fn blocked(&self) -> usize {
         let cases = self.cases.values();
-        cases.filter(|case| case.barred()).count()
+        cases.filter(|case| case.is_blocked()).count()
     }
 
-    /// Forgets what was learned long ago.
+    /// Drops requests whose retention has ended.
     pub fn remove_expired(&mut self, now: Time) {
-        self.cases.retain(|_, case| !case.forgotten(now));
+        self.cases.retain(|_, case| !case.is_expired(now));
     }
 
-    /// Forgets the oldest of those with the fewest ends, if there is no room for `name`.
-    fn make_room(&mut self, name: RequestHash) {
-        if self.cases.len() < CASES_MAX || self.cases.contains_key(&name) {
+    /// Makes room for `request`, if necessary by dropping the oldest of the requests with the
+    /// fewest crashes.
+    fn make_room(&mut self, request: RequestHash) {
+        if self.cases.len() < MAX_CASES || self.cases.contains_key(&request) {
             return;
         }
-        let least = |(_, case): &(&RequestHash, &Case)| (case.ends.len(), case.last());
-        let least = self.cases.iter().min_by_key(least).map(|(name, _)| *name);
-        if let Some(least) = least {
-            self.cases.remove(&least);
+        let fewest = |(_, case): &(&RequestHash, &Case)| (case.crashes.len(), case.last());
+        let fewest = self
+            .cases
+            .iter()
+            .min_by_key(fewest)
+            .map(|(request, _)| *request);
+        if let Some(fewest) = fewest {
+            self.cases.remove(&fewest);
         }
     }
 }
