--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -86,7 +86,7 @@
 pub fn first_missing(desired: &[DesiredVersion], loaded: u64) -> Option<DesiredVersion> {
     desired
         .iter()
-        .find(|wanted| wanted.version > loaded)
+        .find(|desired_version| desired_version.version > loaded)
         .copied()
 }
 
@@ -237,7 +237,11 @@
     /// Returns the desired versions of all models, the oldest of each model first.
     pub fn versions(&self) -> impl Iterator<Item = (&Arc<str>, DesiredVersion)> {
         let models = self.versions.iter();
-        models.flat_map(|(model, desired)| desired.iter().map(move |wanted| (model, *wanted)))
+        models.flat_map(|(model, desired)| {
+            desired
+                .iter()
+                .map(move |desired_version| (model, *desired_version))
+        })
     }
 
     /// Returns the oldest version of a model on which a request may start, where a version is due
@@ -247,8 +251,8 @@
         desired
             .unwrap_or_default()
             .iter()
-            .filter(|wanted| now.since(wanted.since) >= bound)
-            .map(|wanted| wanted.version)
+            .filter(|desired_version| now.since(desired_version.since) >= bound)
+            .map(|desired_version| desired_version.version)
             .max()
             .unwrap_or(0)
     }
@@ -292,7 +296,7 @@
             routing: self.routing.as_ref().map_or(0, |(revision, _)| *revision),
             versions: self
                 .versions()
-                .map(|(_, wanted)| wanted.revision)
+                .map(|(_, desired_version)| desired_version.revision)
                 .max()
                 .unwrap_or(0),
             replicas: self.replicas_changed_at,
@@ -355,12 +359,12 @@
         {
             return Effect::None;
         }
-        let wanted = DesiredVersion {
+        let desired_version = DesiredVersion {
             version,
             revision,
             since,
         };
-        desired.insert(place, wanted);
+        desired.insert(place, desired_version);
         if desired.len() > MAX_VERSIONS {
             desired.remove(0);
         }
@@ -555,15 +559,20 @@
     pub fn apply_aged(
         &mut self,
         model: Arc<str>,
-        wanted: DesiredVersion,
+        desired_version: DesiredVersion,
         age: Duration,
         now: Time,
     ) -> Effect {
         let since = now - age;
-        let effect = self.apply_version(wanted.revision, model.clone(), wanted.version, since);
+        let effect = self.apply_version(
+            desired_version.revision,
+            model.clone(),
+            desired_version.version,
+            since,
+        );
         let desired = self.versions.get_mut(&model).into_iter().flatten();
         let mut backdated = false;
-        for known in desired.filter(|known| known.version == wanted.version) {
+        for known in desired.filter(|known| known.version == desired_version.version) {
             backdated |= known.since.since(since) >= MIN_BACKDATE;
             known.since = known.since.min(since);
         }
--- a/tests/belief.rs
+++ b/tests/belief.rs
@@ -1,4 +1,5 @@
-//! Routing configurations and beliefs: which route, whose key, and that nothing goes back.
+//! Tests of routing configurations and the catalog: route selection, access by key, and that no
+//! fact is replaced by an older one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -70,7 +71,7 @@
     }
 }
 
-fn learn(catalog: &mut Catalog, revision: u64, fact: Fact, now: Time) -> Effect {
+fn apply(catalog: &mut Catalog, revision: u64, fact: Fact, now: Time) -> Effect {
     catalog.apply(Revisioned { revision, fact }, now, false)
 }
 
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn route_with_longest_prefix_is_selected() {
     let routing = Routing::new(Arc::new(document(1)));
     let name = |host: &str, path: &str| routing.route(host, path).map(|route| route.name.clone());
     assert_eq!(name("a.example", "/lab/marks/7").as_deref(), Some("long"));
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn a_key_opens_what_its_customer_may_use_and_nothing_else_does() {
+fn access_requires_a_known_key_unless_anonymous() {
     let routing = Routing::new(Arc::new(document(1)));
     let closed = route("r", "a.example", "/");
     assert!(matches!(
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn shares_are_drawn_by_weight() {
+fn services_are_selected_by_weight() {
     let shares = [("a", 90), ("b", 10)].map(|(service, weight)| Share {
         service: service.into(),
         weight,
@@ -117,7 +118,7 @@
         shares: shares.to_vec(),
         ..route("r", "a.example", "/")
     };
-    // A power of two, so that the draws are spread exactly.
+    // A power of two distributes the draws exactly.
     let count = 1_024u64;
     let to_b = (0..count)
         .map(|step| ((step << 32) / count) as u32)
@@ -128,14 +129,14 @@
 }
 
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn older_configuration_is_never_restored() {
     fn property(steps: Vec<(u8, u8)>) -> bool {
         let mut catalog = Catalog::default();
         let mut highest = (0, 0);
         for (revision, version) in steps {
             let (revision, version) = (u64::from(revision), u64::from(version));
             let fact = Fact::Routing(Arc::new(document(version)));
-            learn(&mut catalog, revision, fact, Time::default());
+            apply(&mut catalog, revision, fact, Time::default());
             let known = catalog.routing().map_or(0, |known| known.document.version);
             let revisions = catalog.revisions().routing;
             if known < highest.0 || revisions < highest.1 {
@@ -149,25 +150,25 @@
 }
 
 #[test]
-fn a_removed_replica_does_not_come_back_with_an_old_entry() {
+fn removed_replica_is_not_restored_by_an_older_entry() {
     let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
-    learn(&mut catalog, 5, Fact::Replica(record("i-1")), now);
+    apply(&mut catalog, 5, Fact::Replica(record("i-1")), now);
     assert!(usable(&catalog, "i-1"));
-    learn(&mut catalog, 9, Fact::ReplicaGone("i-1".into()), now);
+    apply(&mut catalog, 9, Fact::ReplicaGone("i-1".into()), now);
     assert!(!usable(&catalog, "i-1"));
     catalog.remove_expired(now);
-    learn(&mut catalog, 7, Fact::Replica(record("i-1")), now);
+    apply(&mut catalog, 7, Fact::Replica(record("i-1")), now);
     assert!(!usable(&catalog, "i-1"));
-    learn(&mut catalog, 11, Fact::Replica(record("i-1")), now);
+    apply(&mut catalog, 11, Fact::Replica(record("i-1")), now);
     assert!(usable(&catalog, "i-1"));
 }
 
 #[test]
-fn a_removal_just_after_the_store_was_lost_is_doubted_for_a_while() {
+fn removal_after_store_outage_is_provisional_for_the_grace_period() {
     let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
-    learn(&mut catalog, 5, Fact::Replica(record("i-1")), now);
+    apply(&mut catalog, 5, Fact::Replica(record("i-1")), now);
     let gone = Revisioned {
         revision: 6,
         fact: Fact::ReplicaGone("i-1".into()),
@@ -178,29 +179,29 @@
     assert!(!usable(&catalog, "i-1"));
     assert!(
         REMOVAL_GRACE < Duration::from_millis(1_500),
-        "it ends before a leaving replica is due"
+        "the grace period ends before a leaving replica is due"
     );
 }
 
 #[test]
-fn replicas_that_vanish_together_are_doubted_and_one_alone_is_not() {
+fn mass_removal_is_provisional_and_a_single_one_is_not() {
     let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
     for index in 0..12 {
         let id = format!("i-{index}");
-        learn(&mut catalog, 5, Fact::Replica(record(&id)), now);
+        apply(&mut catalog, 5, Fact::Replica(record(&id)), now);
     }
-    learn(&mut catalog, 6, Fact::ReplicaGone("i-0".into()), now);
+    apply(&mut catalog, 6, Fact::ReplicaGone("i-0".into()), now);
     assert!(!usable(&catalog, "i-0"));
     for index in 1..5 {
         let id: Arc<str> = format!("i-{index}").into();
-        learn(&mut catalog, 7, Fact::ReplicaGone(id), now);
+        apply(&mut catalog, 7, Fact::ReplicaGone(id), now);
     }
     assert!((1..5).all(|index| usable(&catalog, &format!("i-{index}"))));
 }
 
 #[test]
-fn every_named_version_keeps_its_own_bound() {
+fn every_desired_version_has_its_own_bound() {
     let mut catalog = Catalog::default();
     let bound = Duration::from_secs(8);
     let name = |catalog: &mut Catalog, version, at: u64| {
@@ -208,7 +209,7 @@
             model: "m".into(),
             version,
         };
-        learn(catalog, version, fact, Time::from_millis(at));
+        apply(catalog, version, fact, Time::from_millis(at));
     };
     name(&mut catalog, 2, 18_000);
     name(&mut catalog, 3, 20_000);
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn versions_are_kept_in_order_however_they_are_heard() {
+fn versions_are_sorted_whatever_the_order_of_arrival() {
     fn property(versions: Vec<u8>) -> TestResult {
         if versions.is_empty() {
             return TestResult::discard();
@@ -233,32 +234,32 @@
                 model: "m".into(),
                 version: u64::from(version),
             };
-            learn(&mut catalog, u64::from(version), fact, Time::default());
+            apply(&mut catalog, u64::from(version), fact, Time::default());
         }
-        let named = catalog.desired_versions("m");
-        let ordered = named
+        let desired = catalog.desired_versions("m");
+        let ordered = desired
             .windows(2)
             .all(|pair| pair[0].version < pair[1].version);
         let newest = versions.iter().copied().max().map(u64::from);
-        TestResult::from_bool(ordered && named.last().map(|last| last.version) == newest)
+        TestResult::from_bool(ordered && desired.last().map(|last| last.version) == newest)
     }
     quickcheck(property as fn(Vec<u8>) -> TestResult);
 }
 
 #[test]
-fn the_bound_of_entries_covers_all_that_may_be_at_work() {
+fn upper_bound_covers_all_entries_that_may_be_running() {
     let own = "10.0.0.1:8000".parse().unwrap();
     let mut peers = Peers::new(Some(own));
     let now = Time::from_millis(100_000);
-    let told: Vec<Advertisement> = (1..=6)
+    let advertised: Vec<Advertisement> = (1..=6)
         .map(|index| Advertisement {
             address: format!("10.0.0.{index}:8000").parse().unwrap(),
             hall: "lis-a".into(),
             age_ms: 0,
         })
         .collect();
-    peers.merge(&told, now);
-    // Itself and five others; more may have been added that nobody has told of.
+    peers.merge(&advertised, now);
+    // The process itself and five others; there may be more that were not reported.
     assert!(peers.upper_bound() > 6);
     peers.remove_expired(now + EXPIRY);
     assert!(peers.alive(now + EXPIRY).next().is_none());
@@ -266,16 +267,16 @@
 }
 
 #[test]
-fn a_process_that_just_began_takes_the_age_of_what_others_tell_as_it_is() {
+fn starting_process_adopts_the_age_of_received_facts() {
     let now = Clock::default().now();
     let own: SocketAddr = "10.0.0.1:80".parse().unwrap();
     let mut peers = Peers::new(Some(own));
-    let told = Advertisement {
+    let advertised = Advertisement {
         address: "10.0.0.2:80".parse().unwrap(),
         hall: "lis-a".into(),
         age_ms: 1_500,
     };
-    peers.merge(&[told], now);
+    peers.merge(&[advertised], now);
     assert_eq!(peers.alive(now).count(), 1);
     assert_eq!(peers.added(), 1);
 
@@ -291,29 +292,29 @@
     assert_eq!(
         catalog.oldest_allowed("m", bound, now),
         2,
-        "its bound is over"
+        "the bound of the version has ended"
     );
 }
 
 #[test]
-fn a_document_without_a_version_is_ordered_by_its_revision_alone() {
+fn document_without_a_version_is_ordered_by_revision() {
     let mut catalog = Catalog::default();
     let now = Time::from_millis(1_000);
-    let mut learn = |revision, version: u64| {
+    let mut apply = |revision, version: u64| {
         let mut document = document(version);
         document.gaps.version = version == 0;
         let fact = Fact::Routing(Arc::new(document));
         catalog.apply(Revisioned { revision, fact }, now, false)
     };
-    assert_eq!(learn(5, 7), Effect::Routing);
-    assert_eq!(learn(6, 7), Effect::None);
-    assert_eq!(learn(7, 0), Effect::Routing);
-    assert_eq!(learn(4, 9), Effect::None);
-    assert_eq!(learn(8, 3), Effect::Routing);
+    assert_eq!(apply(5, 7), Effect::Routing);
+    assert_eq!(apply(6, 7), Effect::None);
+    assert_eq!(apply(7, 0), Effect::Routing);
+    assert_eq!(apply(4, 9), Effect::None);
+    assert_eq!(apply(8, 3), Effect::Routing);
 }
 
-/// What one process knows after some changes, and what another learns of it.
-fn follower(first: &Catalog, second: &mut Catalog) {
+/// Transfers what `first` knows of the list of replicas to `second`.
+fn transfer_list(first: &Catalog, second: &mut Catalog) {
     let since = second.revisions().replicas;
     match first.changes_since(since) {
         Some(changes) => second.apply_changes(changes, Time::default(), false),
@@ -328,14 +329,14 @@
 }
 
 #[test]
-fn whoever_is_told_changes_alone_knows_the_same_list() {
+fn list_built_from_changes_is_identical() {
     fn property(steps: Vec<(u8, bool, bool)>) -> bool {
         let now = Time::default();
         let (mut first, mut second) = (Catalog::new(true), Catalog::new(true));
         first.apply_list(vec![(1, record("i-0"))], 1, now, false);
-        for (step, (id, goes, told)) in steps.into_iter().enumerate() {
+        for (step, (id, removed, transferred)) in steps.into_iter().enumerate() {
             let id = format!("i-{}", id % 6);
-            let fact = if goes {
+            let fact = if removed {
                 Fact::ReplicaGone(id.into())
             } else {
                 Fact::Replica(Record {
@@ -343,9 +344,9 @@
                     ..record(&id)
                 })
             };
-            learn(&mut first, step as u64 + 2, fact, now);
-            if told {
-                follower(&first, &mut second);
+            apply(&mut first, step as u64 + 2, fact, now);
+            if transferred {
+                transfer_list(&first, &mut second);
                 let present = |catalog: &Catalog| -> Vec<Record> {
                     let listed = catalog.replicas().values();
                     let listed = listed.filter(|listed| listed.removed_at.is_none());
@@ -362,18 +363,18 @@
 }
 
 #[test]
-fn changes_before_the_own_start_are_not_told_alone() {
+fn changes_before_the_first_list_are_not_sent() {
     let now = Time::default();
     let mut late = Catalog::new(true);
     late.apply_list(vec![(30, record("i-2"))], 50, now, false);
     assert!(
         late.changes_since(40).is_none(),
-        "what went before is not known"
+        "changes before the first list are not known"
     );
-    learn(&mut late, 51, Fact::Replica(record("i-3")), now);
+    apply(&mut late, 51, Fact::Replica(record("i-3")), now);
     let changes = late.changes_since(50).unwrap();
     assert!(changes.records.len() == 1 && changes.removals.is_empty());
-    // One that lacks more than the changes tell does not take them for the whole.
+    // A process that lacks earlier changes rejects these.
     let mut other = Catalog::new(true);
     other.apply_list(vec![(10, record("i-1"))], 10, now, false);
     assert_eq!(other.apply_changes(changes, now, false), Effect::None);
