--- a/tests/named.rs
+++ b/tests/named.rs
@@ -1,8 +1,9 @@
-//! From when on a version's bound is counted, and which versions a process knows of.
+//! Tests when a version's staleness bound starts, and which desired versions a process knows.
 //!
-//! Pattern: versions are named one soon after the other while a process begins, or while its watch of the
-//! store hangs. The store tells the newest version only and nothing of its age; whoever asks it late counts the bound from then
-//! on, and goes on sending to replicas of the version before. The other processes know better.
+//! Guards against a bound that starts late. Versions are published in quick succession while a
+//! process starts or while its watch of the store hangs. The store returns only the newest version
+//! and no age, so a process that reads it late would start the bound at that time, and go on
+//! sending requests to replicas of the previous version. Other processes know the age.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,11 +17,11 @@
 
 const MODEL: &str = "m";
 
-/// How much later than the other the one process asks the store.
-const LATER: Duration = Duration::from_millis(300);
+/// How much later the second process reads the store.
+const READ_DELAY: Duration = Duration::from_millis(300);
 
-/// What both may differ by once they have spoken.
-const SAME: Duration = Duration::from_millis(100);
+/// Tolerated difference between the ages at both processes after they have exchanged updates.
+const TOLERANCE: Duration = Duration::from_millis(100);
 
 fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, last], 7_000))
@@ -36,8 +37,9 @@
     Knowledge::new(identity, Vec::new(), 7, Policy::default(), Rc::default())
 }
 
-/// The store answers that `version` is wanted, by a change of that revision.
-fn store_tells(knowledge: &Knowledge, version: u64) {
+/// Delivers a batch from the store in which `version` is desired, at the revision of the same
+/// number.
+fn deliver_from_store(knowledge: &Knowledge, version: u64) {
     let fact = Fact::Version {
         model: MODEL.into(),
         version,
@@ -53,52 +55,55 @@
     knowledge.apply_batch(Topic::Operator, false, batch);
 }
 
-/// `knowledge` asks `other` for its news.
-fn asks(knowledge: &Knowledge, other: &Knowledge) {
-    let news = other.update_for(&knowledge.heartbeat(false), false);
-    knowledge.apply_update(other.identity.address, news);
+/// `knowledge` requests an update from `other`.
+fn request_update(knowledge: &Knowledge, other: &Knowledge) {
+    let update = other.update_for(&knowledge.heartbeat(false), false);
+    knowledge.apply_update(other.identity.address, update);
 }
 
-/// How long it has known each version.
+/// Returns how long the process has known each version.
 fn ages(knowledge: &Knowledge) -> Vec<(u64, Duration)> {
     let now = knowledge.now();
     let catalog = knowledge.catalog.borrow();
-    let named = catalog.desired_versions(MODEL).iter();
-    named
+    let desired = catalog.desired_versions(MODEL).iter();
+    desired
         .map(|DesiredVersion { version, since, .. }| (*version, now.since(*since)))
         .collect()
 }
 
 #[test]
-fn a_process_that_reads_a_version_late_counts_its_bound_as_the_others_do() {
-    let (first, late) = (entry(1), entry(2));
-    store_tells(&first, 2);
-    sleep(LATER);
-    store_tells(&late, 2);
-    let changes = *late.changed.borrow();
-    asks(&late, &first);
-    let (known, told) = (ages(&first)[0].1, ages(&late)[0].1);
-    assert!(known.abs_diff(told) < SAME, "{known:?}, {told:?}");
+fn late_reader_adopts_the_age_known_to_others() {
+    let (first, follower) = (entry(1), entry(2));
+    deliver_from_store(&first, 2);
+    sleep(READ_DELAY);
+    deliver_from_store(&follower, 2);
+    let changes = *follower.changed.borrow();
+    request_update(&follower, &first);
+    let (known, adopted) = (ages(&first)[0].1, ages(&follower)[0].1);
+    assert!(known.abs_diff(adopted) < TOLERANCE, "{known:?}, {told:?}");
     assert!(
-        *late.changed.borrow() > changes,
-        "its choices go by the new bound"
+        *follower.changed.borrow() > changes,
+        "decisions use the corrected bound"
     );
 }
 
 #[test]
-fn a_version_that_the_store_tells_no_more_is_learnt_from_the_others() {
-    let (first, late) = (entry(1), entry(2));
-    store_tells(&first, 2);
-    sleep(LATER);
-    for knowledge in [&first, &late] {
-        store_tells(knowledge, 3);
+fn version_missing_from_the_store_is_learned_from_others() {
+    let (first, follower) = (entry(1), entry(2));
+    deliver_from_store(&first, 2);
+    sleep(READ_DELAY);
+    for knowledge in [&first, &follower] {
+        deliver_from_store(knowledge, 3);
     }
-    asks(&late, &first);
-    let versions: Vec<u64> = ages(&late).iter().map(|(version, _)| *version).collect();
+    request_update(&follower, &first);
+    let versions: Vec<u64> = ages(&follower)
+        .iter()
+        .map(|(version, _)| *version)
+        .collect();
     assert_eq!(versions, [2, 3]);
-    let oldest = late
+    let oldest = follower
         .catalog
         .borrow()
-        .oldest_allowed(MODEL, LATER, late.now());
-    assert_eq!(oldest, 2, "nothing may start on version 1 any more");
+        .oldest_allowed(MODEL, READ_DELAY, follower.now());
+    assert_eq!(oldest, 2, "no request may start on version 1");
 }
