--- a/tests/named.rs
+++ b/tests/named.rs
@@ -73,37 +73,37 @@
 
 #[test]
 fn late_reader_adopts_the_age_known_to_others() {
-    let (first, follower) = (entry(1), entry(2));
+    let (first, late) = (entry(1), entry(2));
     deliver_from_store(&first, 2);
     sleep(READ_DELAY);
-    deliver_from_store(&follower, 2);
-    let changes = *follower.changed.borrow();
-    request_update(&follower, &first);
-    let (known, adopted) = (ages(&first)[0].1, ages(&follower)[0].1);
-    assert!(known.abs_diff(adopted) < TOLERANCE, "{known:?}, {told:?}");
+    deliver_from_store(&late, 2);
+    let changes = *late.changed.borrow();
+    request_update(&late, &first);
+    let (known, adopted) = (ages(&first)[0].1, ages(&late)[0].1);
     assert!(
-        *follower.changed.borrow() > changes,
+        known.abs_diff(adopted) < TOLERANCE,
+        "{known:?}, {adopted:?}"
+    );
+    assert!(
+        *late.changed.borrow() > changes,
         "decisions use the corrected bound"
     );
 }
 
 #[test]
 fn version_missing_from_the_store_is_learned_from_others() {
-    let (first, follower) = (entry(1), entry(2));
+    let (first, late) = (entry(1), entry(2));
     deliver_from_store(&first, 2);
     sleep(READ_DELAY);
-    for knowledge in [&first, &follower] {
+    for knowledge in [&first, &late] {
         deliver_from_store(knowledge, 3);
     }
-    request_update(&follower, &first);
-    let versions: Vec<u64> = ages(&follower)
-        .iter()
-        .map(|(version, _)| *version)
-        .collect();
+    request_update(&late, &first);
+    let versions: Vec<u64> = ages(&late).iter().map(|(version, _)| *version).collect();
     assert_eq!(versions, [2, 3]);
-    let oldest = follower
+    let oldest = late
         .catalog
         .borrow()
-        .oldest_allowed(MODEL, READ_DELAY, follower.now());
+        .oldest_allowed(MODEL, READ_DELAY, late.now());
     assert_eq!(oldest, 2, "no request may start on version 1");
 }
