--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -1,4 +1,5 @@
-//! Requests under which replicas ended: what entries know alike, and when they send one again.
+//! Tests of poison request detection: that entries agree on the crashes under a request, and when
+//! they send it again.
 
 use std::time::Duration;
 
@@ -9,11 +10,11 @@
 
 const NOW: Time = Time::from_millis(3_600_000);
 
-fn name() -> RequestHash {
+fn request() -> RequestHash {
     RequestHash::of("test.example", "/stream/x", "escola", b"body")
 }
 
-fn life(number: u8) -> Incarnation {
+fn instance(number: u8) -> Incarnation {
     Incarnation {
         id: format!("i-{number}").into(),
         born: 1,
@@ -24,154 +25,173 @@
     NOW + Duration::from_millis(millis)
 }
 
-/// An entry that knows of so many ends, the last of them at `NOW`.
-fn knowing(ends: usize) -> Registry {
-    let mut register = Registry::default();
-    for number in 0..ends as u8 {
-        register.record_crash(name(), life(number), NOW);
+/// Creates the registry of an entry that knows of `crashes` crashes, all at `NOW`.
+fn registry_with(crashes: usize) -> Registry {
+    let mut registry = Registry::default();
+    for number in 0..crashes as u8 {
+        registry.record_crash(request(), instance(number), NOW);
     }
-    register
+    registry
 }
 
 #[test]
-fn path_caller_and_body_name_a_request() {
+fn host_path_caller_and_body_identify_a_request() {
     let other = [
         RequestHash::of("other.example", "/stream/x", "escola", b"body"),
         RequestHash::of("test.example", "/stream/y", "escola", b"body"),
         RequestHash::of("test.example", "/stream/x", "outra", b"body"),
         RequestHash::of("test.example", "/stream/x", "escola", b"bode"),
-        // What one part ends with does not begin the next.
+        // The end of one part must not merge with the beginning of the next.
         RequestHash::of("test.example", "/stream/xe", "scola", b"body"),
     ];
-    assert!(other.iter().all(|other| *other != name()));
+    assert!(other.iter().all(|other| *other != request()));
 }
 
 #[test]
-fn a_request_is_barred_by_the_third_end() {
+fn request_is_blocked_after_the_third_crash() {
     assert_eq!(
-        knowing(MAX_CRASHES - 1).verdict(name(), NOW),
+        registry_with(MAX_CRASHES - 1).verdict(request(), NOW),
         Verdict::Allowed
     );
-    assert_eq!(knowing(MAX_CRASHES).verdict(name(), NOW), Verdict::Blocked);
+    assert_eq!(
+        registry_with(MAX_CRASHES).verdict(request(), NOW),
+        Verdict::Blocked
+    );
     let other = RequestHash::of("test.example", "/stream/x", "escola", b"other");
-    assert_eq!(knowing(MAX_CRASHES).verdict(other, NOW), Verdict::Allowed);
+    assert_eq!(
+        registry_with(MAX_CRASHES).verdict(other, NOW),
+        Verdict::Allowed
+    );
 }
 
 #[test]
-fn one_life_ends_once_whoever_tells_of_it() {
-    let mut register = knowing(1);
-    for seen_by in 1..5 {
+fn crash_of_one_instance_counts_once_whoever_reports_it() {
+    let mut registry = registry_with(1);
+    for delay in 1..5 {
         let mut other = Registry::default();
-        other.record_crash(name(), life(0), after(seen_by * 10));
-        register.merge(&other.take_changes(after(100)), after(100));
+        other.record_crash(request(), instance(0), after(delay * 10));
+        registry.merge(&other.take_changes(after(100)), after(100));
     }
-    assert_eq!(register.verdict(name(), after(100)), Verdict::Allowed);
-    assert_eq!(register.case(name(), after(100)).unwrap().crashes.len(), 1);
+    assert_eq!(registry.verdict(request(), after(100)), Verdict::Allowed);
+    assert_eq!(
+        registry.case(request(), after(100)).unwrap().crashes.len(),
+        1
+    );
 }
 
 #[test]
-fn a_replica_that_starts_again_under_its_id_is_another_life() {
-    let mut register = knowing(MAX_CRASHES - 1);
-    let again = Incarnation { born: 2, ..life(0) };
-    register.record_crash(name(), again, NOW);
-    assert_eq!(register.verdict(name(), NOW), Verdict::Blocked);
+fn restarted_replica_with_the_same_id_is_another_instance() {
+    let mut registry = registry_with(MAX_CRASHES - 1);
+    let restarted = Incarnation {
+        born: 2,
+        ..instance(0)
+    };
+    registry.record_crash(request(), restarted, NOW);
+    assert_eq!(registry.verdict(request(), NOW), Verdict::Blocked);
 }
 
 #[test]
-fn a_whole_answer_takes_all_ends_before_it_back_at_all_entries() {
-    let (mut one, mut other) = (knowing(MAX_CRASHES), Registry::default());
-    other.merge(&one.reports(NOW), NOW);
-    assert!(one.record_success(name(), after(500)));
-    let told = one.take_changes(after(500));
-    assert!(!other.merge(&told, after(520)).is_empty());
-    assert_eq!(other.verdict(name(), after(520)), Verdict::Allowed);
-    // Who has not heard it yet tells of the ends once more.
-    let late = knowing(MAX_CRASHES).reports(after(600));
-    assert!(one.merge(&late, after(600)).is_empty());
-    assert_eq!(one.verdict(name(), after(600)), Verdict::Allowed);
+fn complete_response_clears_earlier_crashes_at_all_entries() {
+    let (mut first, mut other) = (registry_with(MAX_CRASHES), Registry::default());
+    other.merge(&first.reports(NOW), NOW);
+    assert!(first.record_success(request(), after(500)));
+    let reports = first.take_changes(after(500));
+    assert!(!other.merge(&reports, after(520)).is_empty());
+    assert_eq!(other.verdict(request(), after(520)), Verdict::Allowed);
+    // An entry that has not received it yet reports the crashes again.
+    let late = registry_with(MAX_CRASHES).reports(after(600));
+    assert!(first.merge(&late, after(600)).is_empty());
+    assert_eq!(first.verdict(request(), after(600)), Verdict::Allowed);
 }
 
 #[test]
-fn a_barred_request_is_tried_by_one_at_a_time_and_less_and_less_often() {
-    let mut register = knowing(MAX_CRASHES);
-    let mut tries = Vec::new();
+fn blocked_request_is_tried_by_one_entry_at_a_time_and_less_often() {
+    let mut registry = registry_with(MAX_CRASHES);
+    let mut trials = Vec::new();
     for second in 0..120 {
         let now = after(second * 1_000);
-        // All others ask at the same moment.
-        let given = (0..5).filter(|_| register.claim_trial(name(), now)).count();
-        assert!(given <= 1);
-        if given == 1 {
-            tries.push(second);
-            register.record_crash(name(), life(100 + tries.len() as u8), now);
+        // Several entries ask at the same moment.
+        let claimed = (0..5)
+            .filter(|_| registry.claim_trial(request(), now))
+            .count();
+        assert!(claimed <= 1);
+        if claimed == 1 {
+            trials.push(second);
+            registry.record_crash(request(), instance(100 + trials.len() as u8), now);
         }
     }
-    assert_eq!(tries, [2, 22]);
+    assert_eq!(trials, [2, 22]);
 }
 
-/// Each try that fails has cost a replica, with all that ran there.
+/// Every failed trial has cost a replica and everything that ran there.
 #[test]
-fn three_tries_at_most_find_out_whether_it_has_become_good() {
-    let mut register = knowing(MAX_CRASHES);
-    let mut tries = Vec::new();
+fn at_most_three_trials_may_fail() {
+    let mut registry = registry_with(MAX_CRASHES);
+    let mut trials = Vec::new();
     for second in 0..3_600 {
         let now = after(second * 1_000);
-        register.remove_expired(now);
-        if register.claim_trial(name(), now) {
-            tries.push(second);
-            register.record_crash(name(), life(100 + tries.len() as u8), now);
+        registry.remove_expired(now);
+        if registry.claim_trial(request(), now) {
+            trials.push(second);
+            registry.record_crash(request(), instance(100 + trials.len() as u8), now);
         }
     }
-    assert_eq!(tries, [2, 22, 622]);
+    assert_eq!(trials, [2, 22, 622]);
 }
 
-/// A caller who leaves before its try has come to an end leaves open whether it has become good.
+/// If the caller disconnects before its trial has ended, it stays unknown whether the request has
+/// become harmless.
 #[test]
-fn tries_that_came_to_nothing_are_followed_by_others() {
-    let mut register = knowing(MAX_CRASHES);
-    let tried = (0..2_000).filter(|second| register.claim_trial(name(), after(second * 1_000)));
-    assert_eq!(tried.collect::<Vec<_>>(), [2, 22, 622, 1_222, 1_822]);
+fn trials_without_a_result_are_followed_by_others() {
+    let mut registry = registry_with(MAX_CRASHES);
+    let trials = (0..2_000).filter(|second| registry.claim_trial(request(), after(second * 1_000)));
+    assert_eq!(trials.collect::<Vec<_>>(), [2, 22, 622, 1_222, 1_822]);
 }
 
 #[test]
-fn what_was_learned_long_ago_is_forgotten() {
-    let mut register = knowing(MAX_CRASHES - 1);
-    register.remove_expired(after(1_000_000));
-    assert!(register.case(name(), after(1_000_000)).is_none());
-    let mut barred = knowing(MAX_CRASHES);
-    barred.remove_expired(after(3_500_000));
-    assert_eq!(barred.verdict(name(), after(3_500_000)), Verdict::TrialDue);
-    barred.remove_expired(after(3_700_000));
-    assert!(barred.case(name(), after(3_700_000)).is_none());
+fn cases_expire_after_their_retention() {
+    let mut registry = registry_with(MAX_CRASHES - 1);
+    registry.remove_expired(after(1_000_000));
+    assert!(registry.case(request(), after(1_000_000)).is_none());
+    let mut blocked = registry_with(MAX_CRASHES);
+    blocked.remove_expired(after(3_500_000));
+    assert_eq!(
+        blocked.verdict(request(), after(3_500_000)),
+        Verdict::TrialDue
+    );
+    blocked.remove_expired(after(3_700_000));
+    assert!(blocked.case(request(), after(3_700_000)).is_none());
 }
 
 #[test]
-fn many_requests_with_one_end_each_leave_those_with_more() {
-    let mut register = knowing(2);
+fn requests_with_more_crashes_are_kept_when_the_table_is_full() {
+    let mut registry = registry_with(2);
     for number in 0..5_000_u32 {
         let other = RequestHash::of("test.example", "/", "escola", &number.to_le_bytes());
-        register.record_crash(other, life(9), after(number.into()));
+        registry.record_crash(other, instance(9), after(number.into()));
     }
-    assert_eq!(register.case(name(), NOW).unwrap().crashes.len(), 2);
-    // A single end is told once; heartbeats bring what matters.
-    assert_eq!(register.reports(after(5_000)).len(), 1);
+    assert_eq!(registry.case(request(), NOW).unwrap().crashes.len(), 2);
+    // A single crash is reported once; heartbeats only carry repeated reports.
+    assert_eq!(registry.reports(after(5_000)).len(), 1);
 }
 
-/// What one entry saw: the end of a life, or a whole answer.
-fn saw(register: &mut Registry, (number, at): (u8, u16)) {
+/// Records an event at one entry: a crash or a complete response.
+fn record_event(registry: &mut Registry, (number, at): (u8, u16)) {
     let at = after(u64::from(at % 64) * 1_000);
     if number % 8 == 7 {
-        register.record_success(name(), at);
+        registry.record_success(request(), at);
     } else {
-        register.record_crash(name(), life(number % 8), at);
+        registry.record_crash(request(), instance(number % 8), at);
     }
 }
 
 quickcheck! {
-    /// Whatever two entries saw, and in whatever order each hears it, they come to know alike.
-    fn entries_that_tell_each_other_know_alike(one: Vec<(u8, u16)>, other: Vec<(u8, u16)>) -> bool {
+    /// Whatever two entries observed, and in whatever order the reports arrive, they agree in the
+    /// end.
+    fn entries_that_exchange_reports_agree(first_events: Vec<(u8, u16)>, second_events: Vec<(u8, u16)>) -> bool {
         let (mut first, mut second) = (Registry::default(), Registry::default());
-        one.into_iter().for_each(|event| saw(&mut first, event));
-        other.into_iter().for_each(|event| saw(&mut second, event));
+        first_events.into_iter().for_each(|event| record_event(&mut first, event));
+        second_events.into_iter().for_each(|event| record_event(&mut second, event));
         let now = after(64_000);
         for _ in 0..2 {
             second.merge(&first.reports(now), now);
@@ -180,10 +200,10 @@
         first.digest(now) == second.digest(now)
     }
 
-    /// Telling the same once more changes nothing, so that news die out.
-    fn what_is_told_twice_is_no_news(events: Vec<(u8, u16)>) -> bool {
+    /// Merging the same reports again changes nothing, so that reports stop spreading.
+    fn report_received_twice_changes_nothing(events: Vec<(u8, u16)>) -> bool {
         let (mut first, mut second) = (Registry::default(), Registry::default());
-        events.into_iter().for_each(|event| saw(&mut first, event));
+        events.into_iter().for_each(|event| record_event(&mut first, event));
         let now = after(64_000);
         second.merge(&first.reports(now), now);
         second.merge(&first.reports(now), now).is_empty()
