--- a/src/source.rs
+++ b/src/source.rs
@@ -23,7 +23,7 @@
     #[error("missing")]
     Missing,
     /// The part has an unexpected type or an invalid value.
-    #[error("unreadable")]
+    #[error("not readable")]
     Unreadable,
 }
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Remedy {
     /// The item that the part belongs to is ignored.
-    #[error("ignored")]
+    #[error("left out")]
     LeftOut,
     /// The default is used instead.
     #[error("default used")]
