--- a/tests/promise_config.rs
+++ b/tests/promise_config.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere and never reverts.
+//! Tests that an accepted configuration becomes active everywhere and never reverts.
 
 mod common;
 
@@ -31,7 +31,7 @@
             }
             assert!(
                 std::time::Instant::now() < deadline,
-                "box {index} lags behind"
+                "box {index} did not reach the revision in time"
             );
             actix_rt::time::sleep(Duration::from_millis(20)).await;
         }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_invalid_value_leaves_the_last_good_one_in_force_and_is_shown() {
+fn invalid_value_is_reported_and_the_last_valid_one_stays_active() {
     run(async {
         let served = Served::start(Shape {
             boxes: 2,
@@ -66,18 +66,18 @@
             .platform
             .publish(sample::CUSTOMER, Some(&fixed));
         until_revision(&served.fleet, revision).await;
-        assert!(status_without_rejections(&served.fleet).await);
+        assert!(nothing_rejected(&served.fleet).await);
     });
 }
 
-async fn status_without_rejections(fleet: &Fleet) -> bool {
+async fn nothing_rejected(fleet: &Fleet) -> bool {
     status(fleet, 0)
         .await
         .is_some_and(|status| status.rejected.is_empty())
 }
 
 #[test]
-fn a_service_that_comes_back_stale_reverts_nobody() {
+fn stale_service_reverts_no_box() {
     run(async {
         let served = Served::start(Shape {
             boxes: 2,
@@ -90,14 +90,14 @@
             all_serve(&served.fleet, newer)
         })
         .await;
-        // The service falls back to its first two revisions, as one restored from an old copy.
+        // The service reverts to its first two revisions, as if restored from an old backup.
         served.fleet.platform.revert_to(Revision(2));
         actix_rt::time::sleep(Duration::from_secs(2)).await;
         for index in 0..served.fleet.boxes.len() {
             let status = status(&served.fleet, index).await.unwrap();
             assert!(
                 status.revision >= 4,
-                "box {index} went back to {}",
+                "box {index} reverted to revision {}",
                 status.revision
             );
         }
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_box_started_empty_while_the_service_is_down_or_stale_takes_its_peers_newest() {
+fn empty_box_takes_the_newest_revision_from_peers_while_the_service_is_down_or_stale() {
     run(async {
         let mut fleet = start(&Shape {
             boxes: 3,
@@ -115,13 +115,13 @@
         });
         let (old, _) = add_model(&fleet, 1);
         publish(&fleet, old);
-        until("served", || all_serve(&fleet, old)).await;
+        until("the old version serves", || all_serve(&fleet, old)).await;
         let (newer, content) = add_model(&fleet, 2);
         publish(&fleet, newer);
-        until("newer served", || all_serve(&fleet, newer)).await;
+        until("the newer version serves", || all_serve(&fleet, newer)).await;
         fleet.platform.set_config_down(true);
         fleet.restart_box(0).unwrap();
-        until("the empty box serves the newest", || {
+        until("the empty box serves the newest version", || {
             all_serve(&fleet, newer)
         })
         .await;
@@ -129,16 +129,19 @@
         fleet.platform.revert_to(Revision(2));
         fleet.platform.set_config_down(false);
         fleet.restart_box(1).unwrap();
-        until("it serves the newest, whatever the service says", || {
-            let servable = fleet.boxes[1].probe().servable;
-            servable.iter().any(|(digest, _)| *digest == newer)
-        })
+        until(
+            "the restarted box serves the newest version despite the stale service",
+            || {
+                let servable = fleet.boxes[1].probe().servable;
+                servable.iter().any(|(digest, _)| *digest == newer)
+            },
+        )
         .await;
     });
 }
 
 #[test]
-fn a_box_that_slept_through_a_change_does_not_spread_the_old_one() {
+fn paused_box_does_not_spread_an_old_revision() {
     run(async {
         let fleet = start(&Shape {
             boxes: 3,
@@ -147,15 +150,16 @@
         });
         let (old, _) = add_model(&fleet, 1);
         publish(&fleet, old);
-        until("served", || all_serve(&fleet, old)).await;
+        until("the old version serves", || all_serve(&fleet, old)).await;
         fleet.boxes[0].pause(Duration::from_secs(3));
         let (newer, content) = add_model(&fleet, 2);
         publish(&fleet, newer);
-        until("all serve the newer, the sleeper too", || {
-            all_serve(&fleet, newer)
-        })
+        until(
+            "all boxes serve the newer version, including the paused one",
+            || all_serve(&fleet, newer),
+        )
         .await;
-        until("the old one is let go everywhere", || {
+        until("the old version is unloaded everywhere", || {
             fleet
                 .boxes
                 .iter()
@@ -165,7 +169,7 @@
     });
 }
 
-/// A change to one of a few names, at the next revision.
+/// A change to one of a few values, at the next revision.
 #[derive(Debug, Clone)]
 struct Publication {
     name: usize,
@@ -173,16 +177,16 @@
     removed: bool,
 }
 
-/// What happens to one reader.
+/// An event in the schedule.
 #[derive(Debug, Clone)]
 enum Step {
-    /// The operator publishes.
+    /// The operator publishes a value.
     Publish(Publication),
-    /// A reader asks a source for what it lacks. Sources may be stale or other readers.
+    /// A reader requests what it lacks from a source, which may be stale or another reader.
     Read { reader: usize, source: usize },
-    /// A reader loses everything.
+    /// A reader loses its state.
     Restart(usize),
-    /// An answer that was sent long ago arrives.
+    /// A delta that was sent earlier arrives again.
     Replay(usize),
 }
 
@@ -190,24 +194,24 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let small = |g: &mut Gen, bound: usize| usize::arbitrary(g) % bound;
-        match small(g, 10) {
+        let below = |g: &mut Gen, bound: usize| usize::arbitrary(g) % bound;
+        match below(g, 10) {
             0..=2 => Self::Publish(Publication {
-                name: small(g, 3),
+                name: below(g, 3),
                 good: bool::arbitrary(g),
-                removed: small(g, 8) == 0,
+                removed: below(g, 8) == 0,
             }),
             3..=7 => Self::Read {
-                reader: small(g, READERS),
-                source: small(g, READERS + 2),
+                reader: below(g, READERS),
+                source: below(g, READERS + 2),
             },
-            8 => Self::Restart(small(g, READERS)),
-            _ => Self::Replay(small(g, READERS)),
+            8 => Self::Restart(below(g, READERS)),
+            _ => Self::Replay(below(g, READERS)),
         }
     }
 }
 
-/// The service: its history, and a stale copy that stands still now and then.
+/// The service's values. A second one serves as a stale copy that is updated only now and then.
 #[derive(Default)]
 struct Service {
     revision: u64,
@@ -247,7 +251,7 @@
     }
 }
 
-fn with_template() -> Service {
+fn service_with_template() -> Service {
     let mut service = Service {
         revision: 1,
         ..Service::default()
@@ -261,11 +265,11 @@
     service
 }
 
-/// Runs a schedule. Returns whether any reader ever went back, or held half a revision.
-fn holds(steps: Vec<Step>) -> bool {
-    let mut service = with_template();
-    let mut stale = with_template();
-    let mut books: Vec<Configuration> = (0..READERS).map(|_| Configuration::default()).collect();
+/// Runs a schedule. Returns whether no reader ever reverted or applied a revision partly.
+fn never_reverts(steps: Vec<Step>) -> bool {
+    let mut service = service_with_template();
+    let mut stale = service_with_template();
+    let mut readers: Vec<Configuration> = (0..READERS).map(|_| Configuration::default()).collect();
     let mut sent: Vec<Option<Delta>> = vec![None; READERS];
     for (number, step) in steps.iter().enumerate() {
         match step {
@@ -276,23 +280,23 @@
                     stale.values = service.values.clone();
                 }
             }
-            Step::Restart(reader) => books[*reader] = Configuration::default(),
+            Step::Restart(reader) => readers[*reader] = Configuration::default(),
             Step::Replay(reader) => {
                 if let Some(delta) = sent[*reader].clone()
-                    && !take(&mut books[*reader], delta, &service)
+                    && !apply(&mut readers[*reader], delta, &service)
                 {
                     return false;
                 }
             }
             Step::Read { reader, source } => {
-                let from = books[*reader].revision();
+                let from = readers[*reader].revision();
                 let delta = match *source {
                     READERS => service.delta(from),
                     source if source > READERS => stale.delta(from),
-                    source => books[source].delta_since(from),
+                    source => readers[source].delta_since(from),
                 };
                 sent[*reader] = Some(delta.clone());
-                if !take(&mut books[*reader], delta, &service) {
+                if !apply(&mut readers[*reader], delta, &service) {
                     return false;
                 }
             }
@@ -301,40 +305,40 @@
     true
 }
 
-/// Applies a delta. Returns whether no customer went back, and what is in force is what the service
-/// had at the revision that the book claims.
-fn take(book: &mut Configuration, delta: Delta, service: &Service) -> bool {
-    let before: BTreeMap<String, Revision> = book
+/// Applies a delta. Returns whether no customer reverted, and the active fleets match what the
+/// service had at the revision that the reader claims.
+fn apply(reader: &mut Configuration, delta: Delta, service: &Service) -> bool {
+    let before: BTreeMap<String, Revision> = reader
         .customers()
         .iter()
         .map(|(name, entry)| (name.clone(), entry.revision))
         .collect();
-    let known = book.revision();
+    let known = reader.revision();
     let (from, to) = (delta.from, delta.to);
-    match book.apply(delta, 0) {
+    match reader.apply(delta, 0) {
         Err(DeltaError::Older { .. }) => return to <= known,
         Err(DeltaError::Gap { .. }) => return from > known,
         Ok(_) => {}
     }
-    let forward = book.customers().iter().all(|(name, entry)| {
+    let not_reverted = reader.customers().iter().all(|(name, entry)| {
         before
             .get(name)
             .is_none_or(|revision| *revision <= entry.revision)
     });
-    let whole = book.customers().iter().all(|(name, entry)| {
+    let complete = reader.customers().iter().all(|(name, entry)| {
         let value = &service.values[&format!("customers/{name}")];
-        // Up to date, or the newest value came later or is invalid.
+        // Up to date, or the newest value is later or invalid.
         value.revision <= entry.revision
-            || value.revision > book.revision()
-            || book.rejected().contains_key(name)
+            || value.revision > reader.revision()
+            || reader.rejected().contains_key(name)
     });
-    forward && whole && book.revision() >= known
+    not_reverted && complete && reader.revision() >= known
 }
 
 #[test]
-fn no_schedule_of_stale_sources_restarts_and_replays_reverts_a_reader() {
+fn stale_sources_restarts_and_replays_never_revert_a_reader() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 7))
         .tests(1_000)
-        .quickcheck(holds as fn(Vec<Step>) -> bool);
+        .quickcheck(never_reverts as fn(Vec<Step>) -> bool);
 }
