--- a/src/agent/door.rs
+++ b/src/agent/door.rs
@@ -303,7 +303,7 @@
     }
     let spent = agent.node.clock.now().since(arrived);
     let remaining = job.deadline.saturating_sub(spent);
-    let verdict = agent.in_flight.borrow().judge(job.priority, remaining);
+    let verdict = agent.in_flight.borrow().check(job.priority, remaining);
     verdict.map_err(|refusal| {
         let (reason, after) = match refusal {
             Refusal::Full { retry_after } => (Reason::Full, retry_after),
--- a/src/bench/relay.rs
+++ b/src/bench/relay.rs
@@ -19,7 +19,7 @@
 use crate::exchange;
 use crate::http::{self, ClientSetting, Server, plain};
 use crate::member::Role;
-use crate::route::Policy;
+use crate::route::Strategy;
 use crate::spread::Favour;
 use crate::standin::any_port;
 use crate::standin::engine::{self, Runs};
@@ -229,7 +229,7 @@
     for _ in 0..3 {
         fleet.add_box(Role::Service(sample::SERVICE.to_owned()))?;
     }
-    fleet.add_entry(0, Policy::Expected)?;
+    fleet.add_entry(0, Strategy::Expected)?;
     let template = sample::template(&fleet.setting.halls, Favour::Time);
     let template = template.replace("repeatable = false", "repeatable = true");
     let limits = format!("{template}\n[limits]\nin_flight = 10000\n");
--- a/src/bench/route.rs
+++ b/src/bench/route.rs
@@ -17,7 +17,7 @@
 use crate::http;
 use crate::member::Role;
 use crate::request::Outcome;
-use crate::route::Policy;
+use crate::route::Strategy;
 use crate::spread::Favour;
 use crate::standin::engine;
 use crate::standin::fleet::{Fleet, Setting as FleetSetting};
@@ -101,7 +101,7 @@
     /// What happens.
     pub scenario: Scenario,
     /// How targets are chosen.
-    pub policy: Policy,
+    pub policy: Strategy,
     /// Requests a second; `None` for half of the fleet's capacity.
     pub rate: Option<f64>,
     /// How long requests are sent.
@@ -116,7 +116,7 @@
     /// The scenario's name.
     pub scenario: String,
     /// The policy's name.
-    pub policy: Policy,
+    pub policy: Strategy,
     /// Requests a second that were meant to be sent.
     pub rate: f64,
     /// Requests a second that the engines could answer.
--- a/src/bench/spread.rs
+++ b/src/bench/spread.rs
@@ -15,7 +15,7 @@
 use super::sample;
 use crate::http;
 use crate::member::Role;
-use crate::route::Policy;
+use crate::route::Strategy;
 use crate::spread::swarm::Tally;
 use crate::spread::{self, Favour};
 use crate::standin::fleet::{self, Fleet};
@@ -194,7 +194,7 @@
             fleet.add_box(Role::Model)?;
         }
         for entry in 0..setting.entries {
-            fleet.add_entry(entry % setting.halls, Policy::default())?;
+            fleet.add_entry(entry % setting.halls, Strategy::default())?;
         }
         fleet.list_all();
         let mut experiment = Self {
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -14,7 +14,7 @@
 use crate::metric;
 use crate::node::{self, Node};
 use crate::request::RetryBudget;
-use crate::route::{Policy, Table};
+use crate::route::{Strategy, Table};
 use crate::stop::{self, Porter};
 
 mod attempt;
@@ -36,7 +36,7 @@
     /// Keys of the inner hop.
     pub keyring: Keyring,
     /// How targets are chosen.
-    pub policy: Policy,
+    pub policy: Strategy,
     /// Targets of each other hall that this entry follows.
     pub remote_targets: usize,
     /// Seed of random choices.
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -12,7 +12,7 @@
 use crate::clock::{Time, unix_millis};
 use crate::exchange::{self, Response, Reuse};
 use crate::request::Break;
-use crate::route::{Ask, End, Need, ReplicaKey};
+use crate::route::{Completion, Query, ReplicaKey, Resource};
 use crate::template::fleet::Priority;
 use crate::wire::header;
 
@@ -43,8 +43,8 @@
             .by_name(&key.name)
             .filter(|replica| !tried.contains(replica));
     }
-    let ask = Ask {
-        need: &job.need,
+    let ask = Query {
+        resource: &job.need,
         halls: &job.halls,
         prefix: job.prefix,
         tried,
@@ -67,7 +67,7 @@
     entry: Rc<Entry>,
     pub(super) replica: ReplicaKey,
     began: Time,
-    end: End,
+    end: Completion,
 }
 
 impl Attempt {
@@ -77,17 +77,17 @@
             entry: entry.clone(),
             replica,
             began: entry.node.clock.now(),
-            end: End::Neutral,
+            end: Completion::Neutral,
         }
     }
 
     pub(super) fn whole(&mut self) {
         let took = self.entry.node.clock.now().since(self.began);
-        self.end = End::Whole(took);
+        self.end = Completion::Success(took);
     }
 
     pub(super) fn failed(&mut self) {
-        self.end = End::Failed;
+        self.end = Completion::Failed;
     }
 }
 
@@ -127,8 +127,8 @@
     headers.push((header::PRIORITY, priority_name(job.priority).to_owned()));
     headers.push((header::REPEATABLE, yes_no(job.repeatable).to_owned()));
     match &job.need {
-        Need::Version(digest) => headers.push((header::VERSION, digest.to_string())),
-        Need::Service(name) => {
+        Resource::Version(digest) => headers.push((header::VERSION, digest.to_string())),
+        Resource::Service(name) => {
             headers.push((header::SERVICE, name.to_string()));
             headers.push((header::PATH, job.path.clone()));
         }
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -22,7 +22,7 @@
 use crate::http::{self, Answer};
 use crate::limit::Refusal;
 use crate::request::{self, Break, Key, Next, Outcome, Situation};
-use crate::route::{Need, ReplicaKey, hash_of};
+use crate::route::{ReplicaKey, Resource, hash_of};
 use crate::template::fleet::{Limits, Priority, WHOLE_SHARE};
 
 /// Header that names a request in its answer.
@@ -54,7 +54,7 @@
 pub(super) struct Job {
     pub(super) id: String,
     pub(super) customer: Arc<str>,
-    pub(super) need: Need,
+    pub(super) need: Resource,
     pub(super) halls: Vec<String>,
     pub(super) prefix: Option<u64>,
     pub(super) path: String,
@@ -135,7 +135,7 @@
 }
 
 impl Job {
-    pub(super) fn common(entry: &Entry, head: &Head, limits: &Limits, need: Need) -> Self {
+    pub(super) fn common(entry: &Entry, head: &Head, limits: &Limits, need: Resource) -> Self {
         let now = entry.node.clock.now();
         let millis = Duration::from_millis(limits.deadline_ms);
         let priority = head.priority.unwrap_or(limits.priority);
@@ -211,7 +211,7 @@
             "the model has no version that takes requests",
         )
     })?;
-    let need = Need::Version(version.digest);
+    let need = Resource::Version(version.digest);
     let job = Job {
         halls: fleet.serving_halls(draw).to_vec(),
         prefix: Some(prefix_hash(&completion.prompt)),
@@ -252,7 +252,7 @@
         path: format!("/{path}"),
         body,
         repeatable,
-        ..Job::common(entry, &head, &fleet.limits, Need::Service(name.into()))
+        ..Job::common(entry, &head, &fleet.limits, Resource::Service(name.into()))
     };
     let flight = Flight::begin(entry, &job.customer, &fleet.limits)?;
     Ok((job, flight))
@@ -273,7 +273,7 @@
         Situation {
             repeatable: self.job.repeatable,
             keyed: self.job.key.is_some(),
-            resumable: matches!(self.job.need, Need::Version(_)) && self.job.key.is_none(),
+            resumable: matches!(self.job.need, Resource::Version(_)) && self.job.key.is_none(),
             tainted: self.tainted,
             begun,
             attempts: self.attempts,
@@ -409,7 +409,8 @@
             return failure.answer();
         }
     };
-    let events = matches!(course.job.need, Need::Version(_)) && response.status == StatusCode::OK;
+    let events =
+        matches!(course.job.need, Resource::Version(_)) && response.status == StatusCode::OK;
     if events && course.job.key.is_none() {
         let streamed = course.job.streamed;
         let relay = Relay::new(course, response, attempt);
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -7,7 +7,7 @@
 use crate::http;
 use crate::member::Role;
 use crate::option::{self, Spec, Values};
-use crate::route::Policy;
+use crate::route::Strategy;
 use crate::stop::{self, HEAR};
 
 /// The program's name.
@@ -31,12 +31,12 @@
 ];
 
 /// Reads a policy's name.
-pub fn policy(name: &str) -> Result<Policy, option::Error> {
+pub fn policy(name: &str) -> Result<Strategy, option::Error> {
     match name {
-        "expected" => Ok(Policy::Expected),
-        "least-of-two" => Ok(Policy::LeastOfTwo),
-        "round-robin" => Ok(Policy::RoundRobin),
-        "declared" => Ok(Policy::Declared),
+        "expected" => Ok(Strategy::Expected),
+        "least-of-two" => Ok(Strategy::LeastOfTwo),
+        "round-robin" => Ok(Strategy::RoundRobin),
+        "declared" => Ok(Strategy::Declared),
         _ => Err(option::Error::Value {
             name: "policy",
             value: name.to_owned(),
--- a/src/entry/key.rs
+++ b/src/entry/key.rs
@@ -12,7 +12,7 @@
 use crate::config::InForce;
 use crate::exchange;
 use crate::http::{self, Answer};
-use crate::route::{Need, ReplicaKey};
+use crate::route::{ReplicaKey, Resource};
 use crate::wire::header;
 
 /// The body of a request for a key.
@@ -47,7 +47,7 @@
         .map_err(|error| Failure::not_run(Code::BadBody, error.to_string()))?;
     let need = key_need(&in_force, &head, &wanted)?;
     let mut job = Job::common(entry, &head, &in_force.fleet.limits, need);
-    if matches!(job.need, Need::Version(_)) {
+    if matches!(job.need, Resource::Version(_)) {
         let stable = head.session.as_deref().unwrap_or_default();
         let draw = draw(&head.customer, stable);
         job.halls = in_force.fleet.serving_halls(draw).to_vec();
@@ -62,11 +62,11 @@
     Err(no_replica(entry))
 }
 
-fn key_need(in_force: &InForce, head: &Head, wanted: &KeyRequest) -> Result<Need, Failure> {
+fn key_need(in_force: &InForce, head: &Head, wanted: &KeyRequest) -> Result<Resource, Failure> {
     let fleet = &in_force.fleet;
     if let Some(name) = &wanted.service {
         if fleet.services.iter().any(|service| service.name == *name) {
-            return Ok(Need::Service(name.as_str().into()));
+            return Ok(Resource::Service(name.as_str().into()));
         }
         let message = format!("the customer has no service `{name}`");
         return Err(Failure::not_run(Code::UnknownService, message));
@@ -76,7 +76,7 @@
     let stable = head.session.as_deref().unwrap_or_default();
     let draw = draw(&head.customer, stable);
     match model.and_then(|model| model.version_for(draw)) {
-        Some(version) => Ok(Need::Version(version.digest)),
+        Some(version) => Ok(Resource::Version(version.digest)),
         None => {
             let message = format!("the customer has no model `{name}`");
             Err(Failure::not_run(Code::UnknownModel, message))
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -15,7 +15,7 @@
 use crate::exchange::{self, Response};
 use crate::http::{self, Answer};
 use crate::request::{Break, Next, Outcome};
-use crate::route::{Need, ReplicaKey};
+use crate::route::{ReplicaKey, Resource};
 
 /// An answer of tokens on its way to the caller.
 pub(super) struct Relay {
@@ -130,7 +130,7 @@
             let name = HeaderName::from_static("x-pumicelatch-box");
             answer.headers_mut().insert(name, value);
         }
-        if let Need::Version(digest) = &self.course.job.need
+        if let Resource::Version(digest) = &self.course.job.need
             && let Ok(value) = HeaderValue::from_str(&digest.to_string())
         {
             answer
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -12,7 +12,7 @@
 
 use super::Entry;
 use crate::member::{Listed, Role, State};
-use crate::route::{Load, Need, ReplicaKey, hash_of};
+use crate::route::{Load, ReplicaKey, Resource, hash_of};
 use crate::wire::{self, Report};
 
 /// First pause before a target is followed again, doubled up to [`PAUSE_MAX`].
@@ -61,7 +61,7 @@
         let key = {
             let mut table = entry.table.borrow_mut();
             let key = table.add(&listed.name, &listed.hall, listed.address);
-            table.listed(key, listed.state == State::Leaving);
+            table.set_listed_leaving(key, listed.state == State::Leaving);
             key
         };
         let moved = follows
@@ -144,8 +144,8 @@
 }
 
 fn load(report: Report) -> Load {
-    let versions = report.servable.into_iter().map(Need::Version);
-    let service = report.service.map(|name| Need::Service(name.into()));
+    let versions = report.servable.into_iter().map(Resource::Version);
+    let service = report.service.map(|name| Resource::Service(name.into()));
     Load {
         serves: versions.chain(service).collect(),
         leaving: report.leaving,
--- a/src/exchange/answer.rs
+++ b/src/exchange/answer.rs
@@ -21,7 +21,7 @@
 use super::path::Guard;
 use super::{Connection, Error, Idle, Kept, Unframed, broken};
 use crate::clock::Time;
-use crate::patience::Progress;
+use crate::timeout::Progress;
 
 /// Idle connections kept for each peer.
 const IDLE_MAX: usize = 64;
@@ -183,10 +183,10 @@
     progress: &Progress,
 ) -> Result<Bytes, Error> {
     let mut all = BytesMut::new();
-    progress.came();
+    progress.touch();
     while let Some(part) = parts.next().await {
         let part = part?;
-        progress.came();
+        progress.touch();
         if all.len() + part.len() > limit {
             return Err(Error::TooLong { limit });
         }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -37,14 +37,14 @@
 use crate::knowledge::halls::Halls;
 use crate::knowledge::hub::Hub;
 use crate::knowledge::{Identity, Knowledge, gossip, store, traffic};
-use crate::limit::returning::{Refusals, Refused};
+use crate::limit::retry::{Rejection, Rejections};
 use crate::member::Role;
 use crate::member::replica::Record;
 use crate::metric::{self, Metrics};
 use crate::policy::Policy;
 use crate::request::budget::{self, Budget};
 use crate::route::pool::{Key, Pool};
-use crate::route::replica::Due;
+use crate::route::replica::Schedule;
 use crate::source::{Source, Topic};
 use crate::spread;
 use crate::stop::{self, Porter};
@@ -157,7 +157,7 @@
     halls: RefCell<Halls>,
     hub: RefCell<Hub>,
     /// Requests that were refused lately, here or as others told.
-    refusals: RefCell<Refusals>,
+    refusals: RefCell<Rejections>,
     suspects: RefCell<poison::Suspects>,
 }
 
@@ -377,7 +377,7 @@
     fn process_beside(&self, key: Key) -> Option<SocketAddr> {
         let now = self.knowledge.now();
         let pool = self.pool.borrow();
-        if !pool.gives_places(key, now) {
+        if !pool.grants_leases(key, now) {
             return None;
         }
         let host = pool.get(key)?.record.address.ip();
@@ -432,7 +432,7 @@
     }
 
     fn log_under_way(&self) {
-        let under_way = self.pool.borrow().under_way();
+        let under_way = self.pool.borrow().in_flight();
         self.instruments.under_way(under_way);
         if under_way > 0 {
             log::info!(under_way; "attempts under way");
@@ -472,10 +472,10 @@
             let evacuated = belief.evacuations().asked().cloned().collect();
             let mut pool = self.pool.borrow_mut();
             pool.update(list, due);
-            pool.evacuate(evacuated);
-            pool.tell_cold(self.knowledge.now());
+            pool.set_evacuated(evacuated);
+            pool.refresh_cold(self.knowledge.now());
         }
-        let reborn = self.pool.borrow_mut().take_reborn();
+        let reborn = self.pool.borrow_mut().take_restarted();
         for address in reborn {
             log::info!(replica:% = address; "a later life of a replica began");
             self.client.forget(address);
@@ -508,15 +508,15 @@
         rollout: rollout::Setting,
         waves: &Waves,
         record: &Record,
-    ) -> Option<Due> {
+    ) -> Option<Schedule> {
         let group = (record.service.clone(), record.hall.clone());
         let host = record.address.ip().to_string();
         let wave = *waves.get(&group)?.get(&host)?;
         let model = self.knowledge.model_of(&record.service)?;
-        Some(Due {
-            named: belief.named(&model).to_vec(),
-            begins: rollout::begins(rollout, wave).saturating_sub(rollout.notice),
-            bound: rollout.bound.saturating_sub(START_MARGIN),
+        Some(Schedule {
+            versions: belief.named(&model).to_vec(),
+            drain_after: rollout::begins(rollout, wave).saturating_sub(rollout.notice),
+            cutoff: rollout.bound.saturating_sub(START_MARGIN),
         })
     }
 
@@ -556,8 +556,8 @@
     }
 
     /// Others told of refused requests.
-    fn hear_refused(&self, told: &[Refused], now: Time) {
-        self.refusals.borrow_mut().hear(told, now);
+    fn hear_refused(&self, told: &[Rejection], now: Time) {
+        self.refusals.borrow_mut().merge(told, now);
     }
 
     /// A request was refused whose caller tried first at `first`. Only engines are short of places so
@@ -567,6 +567,6 @@
             return;
         }
         let mut refusals = self.refusals.borrow_mut();
-        refusals.refused(job.fingerprint, first, job.deadline);
+        refusals.record(job.fingerprint, first, job.deadline);
     }
 }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -21,13 +21,13 @@
 use crate::exchange::{self, Note, Options, Reuse, Unframed};
 use crate::http::Answer;
 use crate::member::replica::Life;
-use crate::patience;
 use crate::request::attempt::Ended;
 use crate::request::poison::Name;
 use crate::route::estimate::Demand;
-use crate::route::health::Sign;
+use crate::route::health::Signal;
 use crate::route::notice::Notice;
 use crate::route::pool::{Choice, Key};
+use crate::timeout;
 
 /// Objectives that a replica may be silent before a request that may be repeated goes elsewhere.
 const SILENCE_FACTOR: u32 = 3;
@@ -127,7 +127,7 @@
         let mut pool = gateway.pool.borrow_mut();
         let replica = pool
             .get(choice.key)
-            .filter(|replica| !replica.wish().refuses(now))?;
+            .filter(|replica| !replica.suspension().rejects(now))?;
         let (life, address) = (replica.record.life(), replica.record.address);
         let demand = job.demand();
         let model = job.ask.work.as_ref().map(|work| &*work.model);
@@ -160,14 +160,17 @@
         if !self.started.replace(true) {
             let now = self.gateway.knowledge.now();
             let mut pool = self.gateway.pool.borrow_mut();
-            pool.started(self.key, self.number, self.demand, came, now);
+            pool.record_first_event(self.key, self.number, self.demand, came, now);
         }
     }
 
     /// Notes something about the replica's health.
-    pub fn note(&self, sign: Sign) {
+    pub fn note(&self, sign: Signal) {
         let now = self.gateway.knowledge.now();
-        self.gateway.pool.borrow_mut().note(self.key, sign, now);
+        self.gateway
+            .pool
+            .borrow_mut()
+            .record_health(self.key, sign, now);
     }
 
     /// Time since the attempt began.
@@ -181,7 +184,7 @@
         self.gateway.instruments.attempt("whole");
     }
 
-    fn fail(&self, job: &Job, ended: Ended, sign: Sign, detail: String) -> Failure {
+    fn fail(&self, job: &Job, ended: Ended, sign: Signal, detail: String) -> Failure {
         self.note(sign);
         if ended != Ended::Broken {
             self.settled.set(true);
@@ -202,8 +205,8 @@
     }
 
     /// A failure after bytes left, because the answer is none or broke.
-    pub fn broken(&self, job: &Job, detail: String, sign: Sign) -> Failure {
-        if sign == Sign::Broken {
+    pub fn broken(&self, job: &Job, detail: String, sign: Signal) -> Failure {
+        if sign == Signal::Broken {
             self.suspect(Sight::Broke);
         }
         self.fail(job, Ended::Broken, sign, detail)
@@ -217,7 +220,7 @@
         let leaves = {
             let pool = self.gateway.pool.borrow();
             pool.get(self.key)
-                .is_some_and(|replica| replica.record.leaving || replica.wish().leaving())
+                .is_some_and(|replica| replica.record.leaving || replica.suspension().leaving())
         };
         if !leaves {
             let life = self.life.clone();
@@ -253,14 +256,14 @@
             // Its process may speak of another life than this one. What this one wants comes with reports.
             Some(Err(error @ reader::Error::TurnedAway { .. })) => {
                 let detail = format!("not sent: {error}");
-                Err(self.fail(job, Ended::NotSent, Sign::None, detail))
+                Err(self.fail(job, Ended::NotSent, Signal::Neutral, detail))
             }
             Some(Err(reader::Error::Exchange(exchange::Error::NotSent { reason }))) => {
                 let detail = format!("not sent: {reason}");
-                Err(self.fail(job, Ended::NotSent, Sign::Unreachable, detail))
+                Err(self.fail(job, Ended::NotSent, Signal::Unreachable, detail))
             }
             Some(Err(reader::Error::Exchange(error))) => Err(self.failed(job, &error)),
-            Some(Err(error)) => Err(self.broken(job, error.to_string(), Sign::Broken)),
+            Some(Err(error)) => Err(self.broken(job, error.to_string(), Signal::Broken)),
             Some(Ok(response)) => self.read(job, version.is_some(), response).await,
         }
     }
@@ -295,7 +298,10 @@
         log::info!(request = job.ask.id.as_str(), replica = &*self.life.id; "sent directly: {error}");
         if matches!(error, reader::Error::OutOfReach { .. }) {
             let now = self.now();
-            self.gateway.pool.borrow_mut().unheard(self.key, false, now);
+            self.gateway
+                .pool
+                .borrow_mut()
+                .mark_unresponsive(self.key, false, now);
         }
     }
 
@@ -317,11 +323,11 @@
                 .start_bound(job)
                 .map_or(remaining, |bound| bound.since(now));
             let longest = remaining.min(start);
-            let wait = patience::within(|| self.now(), silence.min(longest), &mut step);
+            let wait = timeout::within(|| self.now(), silence.min(longest), &mut step);
             if let Some(done) = wait.await {
                 return Some(done);
             }
-            if silence >= longest || !self.gateway.pool.borrow().queues(self.key, self.now()) {
+            if silence >= longest || !self.gateway.pool.borrow().has_queue(self.key, self.now()) {
                 return None;
             }
             silence = QUEUE_LOOK;
@@ -356,7 +362,7 @@
         } else {
             "the replica is silent"
         };
-        self.broken(job, detail.to_owned(), Sign::Silent)
+        self.broken(job, detail.to_owned(), Signal::TimedOut)
     }
 
     async fn read(self, job: &Job, versioned: bool, response: Reader) -> Result<Begun, Failure> {
@@ -376,24 +382,24 @@
             Reading::NotRun => {
                 let detail = format!("the replica answered {status}, not run");
                 // One that asks for rest is as well as it says.
-                let sign = if notice.rest.is_some() {
-                    Sign::None
+                let sign = if notice.backoff.is_some() {
+                    Signal::Neutral
                 } else {
-                    Sign::Refused
+                    Signal::Refused
                 };
                 Err(self.fail(job, Ended::Refused, sign, detail))
             }
             Reading::Misdirected => {
                 // Without a version in the request, it can only mean that the replica is another.
                 if !versioned {
-                    self.gateway.pool.borrow_mut().deny(self.key);
+                    self.gateway.pool.borrow_mut().invalidate(self.key);
                 }
                 let detail = "another replica has the address, or it holds another version";
-                Err(self.fail(job, Ended::Misdirected, Sign::None, detail.to_owned()))
+                Err(self.fail(job, Ended::Misdirected, Signal::Neutral, detail.to_owned()))
             }
             Reading::Foreign => {
                 let detail = format!("answer {status} is none to this request");
-                Err(self.broken(job, detail, Sign::Broken))
+                Err(self.broken(job, detail, Signal::Broken))
             }
             Reading::Failure => self.own_failure(job, response).await,
         }
@@ -403,7 +409,7 @@
     fn wants(&self, job: &Job, notice: Notice) {
         let now = self.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        if pool.take_notice(self.key, &self.life, notice, now) {
+        if pool.apply_notice(self.key, &self.life, notice, now) {
             log::info!(
                 request = job.ask.id.as_str(),
                 replica = &*self.life.id,
@@ -422,17 +428,17 @@
             version: None,
         };
         let (attempt, answer) = begun.whole(job).await?;
-        let mut failure = attempt.fail(job, Ended::Failed, Sign::Failed, detail);
+        let mut failure = attempt.fail(job, Ended::Failed, Signal::Failed, detail);
         failure.answer = Some(answer);
         Err(failure)
     }
 }
 
 /// What a failed exchange says about its replica: nothing, if its connection went silent with others.
-pub fn sign(error: &exchange::Error) -> Sign {
+pub fn sign(error: &exchange::Error) -> Signal {
     match error {
-        exchange::Error::Silent => Sign::None,
-        _ => Sign::Broken,
+        exchange::Error::Silent => Signal::Neutral,
+        _ => Signal::Broken,
     }
 }
 
@@ -440,7 +446,7 @@
 /// that a process that is killed with it costs no more than a replica that is.
 fn keeper(gateway: &Gateway, job: &Job, key: Key) -> Option<SocketAddr> {
     let streams = job.route.kind == Kind::Streaming && job.route.repeatable();
-    if !streams || !gateway.setting.policy.kept {
+    if !streams || !gateway.setting.policy.stream_buffering {
         return None;
     }
     gateway.process_beside(key)
@@ -488,7 +494,7 @@
     pub async fn gather(self, job: &Job) -> Result<Answer, Failure> {
         let (attempt, answer) = self.whole(job).await?;
         attempt.started();
-        attempt.note(Sign::Whole(attempt.elapsed()));
+        attempt.note(Signal::Success(attempt.elapsed()));
         attempt.count_whole();
         Ok(answer)
     }
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -14,12 +14,12 @@
 use super::trace::{Expected, Trace};
 use crate::clock::Time;
 use crate::http::Answer;
-use crate::limit::admission::{self, Bounds, Case, Verdict};
-use crate::limit::returning;
-use crate::place::Ration;
+use crate::lease::Throttle;
+use crate::limit::admission::{self, Bounds, Input, Verdict};
+use crate::limit::retry;
 use crate::request::Outcome;
 use crate::request::attempt::{self as next, Ended, Next, Situation};
-use crate::route::pool::{self, Choice, Key, ModelNeed, Shortage};
+use crate::route::pool::{self, Choice, Key, ModelQuery, Unavailable};
 use crate::stop;
 
 /// When a caller should come back if a service has no replica.
@@ -203,12 +203,16 @@
         let refusal = Refusal::new(Code::NoReplica, detail);
         let rest = {
             let pool = self.gateway.pool.borrow();
-            self.with_ask(&[], |ask| pool.rest(ask, now))
+            self.with_ask(&[], |ask| pool.backoff(ask, now))
         };
         if let Some(rest) = rest {
             return refusal.retry_after(self.after_rest(rest));
         }
-        let outage = self.gateway.pool.borrow().mostly_denied(&self.job.service);
+        let outage = self
+            .gateway
+            .pool
+            .borrow()
+            .mostly_invalidated(&self.job.service);
         refusal.retry_after(if outage {
             self.arrival(self.job.remaining(now))
         } else {
@@ -218,7 +222,7 @@
 
     /// Finds a place, waits for one, or refuses.
     pub(super) async fn admit(&mut self) -> Result<Choice, Refusal> {
-        let mut asks = self.gateway.setting.policy.asks;
+        let mut asks = self.gateway.setting.policy.lease_requests;
         loop {
             let chosen_before = self.trace.sent + self.unreached > 0;
             let limit = if chosen_before {
@@ -246,7 +250,7 @@
             asks = asks.min(ASKS_AGAIN);
             let now = self.gateway.knowledge.now();
             let remaining = self.job.remaining(now);
-            let case = Case {
+            let case = Input {
                 elapsed: now.since(self.job.arrived),
                 remaining,
                 expected: choice.as_ref().ok().map(|choice| choice.expected),
@@ -254,7 +258,7 @@
             let verdict = if idle {
                 Verdict::Send
             } else {
-                admission::judge(case, Bounds::new(self.job.objective(), limit))
+                admission::evaluate(case, Bounds::new(self.job.objective(), limit))
             };
             match (verdict, choice) {
                 (Verdict::Send, Ok(choice)) => {
@@ -276,11 +280,11 @@
         }
     }
 
-    fn shortage(&self, shortage: Shortage) -> Refusal {
+    fn shortage(&self, shortage: Unavailable) -> Refusal {
         let remaining = self.job.remaining(self.gateway.knowledge.now());
         let refusal = Refusal::new(Code::NoReplica, shortage.to_string());
         refusal.retry_after(match shortage {
-            Shortage::Resting { rest } => self.after_rest(rest),
+            Unavailable::BackingOff { remaining: rest } => self.after_rest(rest),
             _ => self.arrival(remaining),
         })
     }
@@ -301,7 +305,7 @@
     fn limit(&self) -> Duration {
         let (whole, late) = self.limits();
         let age = self.first_try.map(|first| self.job.arrived.since(first));
-        age.map_or(whole, |age| returning::limit(whole, late, age))
+        age.map_or(whole, |age| retry::remaining_limit(whole, late, age))
     }
 
     /// The limit that is common to requests of the service, as far as the policy shares it, and that
@@ -315,24 +319,27 @@
             None => own,
         };
         let policy = &gateway.setting.policy;
-        (base * policy.admit / 100, base * policy.return_admit / 100)
+        (
+            base * policy.admit_percent / 100,
+            base * policy.retry_admit_percent / 100,
+        )
     }
 
     /// When the caller should come back to find weights at the replicas.
     fn arrival(&self, remaining: Duration) -> Duration {
         let gateway = &self.gateway;
-        if !gateway.setting.policy.named_return {
+        if !gateway.setting.policy.retry_after_eta {
             return NO_REPLICA_RETRY;
         }
         let now = gateway.knowledge.now();
-        let arrival = gateway.pool.borrow().arrival(&self.job.service, now);
+        let arrival = gateway.pool.borrow().weights_eta(&self.job.service, now);
         let spread = gateway.knowledge.rng.borrow_mut().random_range(0.0..1.0);
-        admission::come_back(arrival, remaining, spread)
+        admission::retry_after(arrival, remaining, spread)
     }
 
     /// Chooses a replica, if possible none of `full`; for a begun answer, one of its version. Tells as
     /// well whether the service is mostly idle, so that nothing is to be refused.
-    pub fn choose(&self, full: &[Key]) -> (Result<Choice, Shortage>, bool) {
+    pub fn choose(&self, full: &[Key]) -> (Result<Choice, Unavailable>, bool) {
         let gateway = &self.gateway;
         gateway.refresh_pool();
         let now = gateway.knowledge.now();
@@ -346,7 +353,7 @@
     }
 
     /// Calls `then` with what this request asks the pool for.
-    pub(super) fn with_ask<T>(&self, full: &[Key], then: impl FnOnce(pool::Ask<'_>) -> T) -> T {
+    pub(super) fn with_ask<T>(&self, full: &[Key], then: impl FnOnce(pool::Query<'_>) -> T) -> T {
         let gateway = &self.gateway;
         let now = gateway.knowledge.now();
         let service = self.job.routing.service(&self.job.service);
@@ -361,12 +368,12 @@
         let entries = gateway.knowledge.peers.borrow().bound() as u32;
         let connections = service.map_or(u32::MAX, |service| service.connections_max);
         let regions = gateway.knowledge.regions.borrow();
-        then(pool::Ask {
+        then(pool::Query {
             service: &self.job.service,
-            model: model.map(|model| ModelNeed {
+            model: model.map(|model| ModelQuery {
                 model,
-                oldest: self.oldest_version(model, now),
-                only: self.only,
+                min_version: self.oldest_version(model, now),
+                pinned_version: self.only,
             }),
             engine,
             demand: self.job.demand(),
@@ -392,23 +399,23 @@
     }
 
     /// What the replica `key` bears, if it is cold.
-    pub(super) fn ration(&self, key: Key) -> Option<Ration> {
+    pub(super) fn ration(&self, key: Key) -> Option<Throttle> {
         let per_s = self.cold_per_s();
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
         let rest = pool.get(key)?.cold(now);
-        (per_s > 0.0 && !rest.is_zero()).then_some(Ration {
+        (per_s > 0.0 && !rest.is_zero()).then_some(Throttle {
             rest_ms: rest.as_millis() as u64,
             per_s,
         })
     }
 
     /// The choice, unless no place is kept there, and the replica is cold and bears no more.
-    fn unless_cold(&self, choice: Choice, given: bool) -> Result<Choice, Shortage> {
+    fn unless_cold(&self, choice: Choice, given: bool) -> Result<Choice, Unavailable> {
         let now = self.gateway.knowledge.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        let bears = given || pool.take_cold(choice.key, self.own_cold_per_s(), now);
-        bears.then_some(choice).ok_or(Shortage::Cold)
+        let bears = given || pool.take_cold_token(choice.key, self.own_cold_per_s(), now);
+        bears.then_some(choice).ok_or(Unavailable::Cold)
     }
 
     fn oldest_version(&self, model: &str, now: Time) -> u64 {
--- a/src/gateway/greet.rs
+++ b/src/gateway/greet.rs
@@ -44,7 +44,7 @@
         self.refresh_pool();
         let now = self.knowledge.now();
         let hall = &self.knowledge.identity.hall;
-        let hosts = self.pool.borrow().silent(hall, now);
+        let hosts = self.pool.borrow().unreported_hosts(hall, now);
         let port = self.setting.sidecar_port;
         let (own, fellows) = (self.knowledge.identity.address, self.knowledge.fellows());
         let greets = |host: &IpAddr| {
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -65,7 +65,12 @@
 /// Returns the [`FAR_MAX`] least loaded replicas. Those that take no requests sort last: they mostly
 /// have nothing in progress and would otherwise displace replicas that can serve.
 fn least_loaded(mut reports: Vec<Reported>) -> Vec<Reported> {
-    let key = |reported: &Reported| (!reported.load.takes_requests(), reported.load.present());
+    let key = |reported: &Reported| {
+        (
+            !reported.load.accepts_requests(),
+            reported.load.in_progress(),
+        )
+    };
     reports.sort_by_key(key);
     reports.truncate(FAR_MAX);
     reports
@@ -84,7 +89,10 @@
         for ask in self.due_halls(now) {
             actix_rt::spawn(ask_hall(self.clone(), ask));
         }
-        let changed = self.pool.borrow().changed(&knowledge.identity.hall);
+        let changed = self
+            .pool
+            .borrow()
+            .last_availability_change(&knowledge.identity.hall);
         let extent = self.hub.borrow_mut().due(place, changed, now);
         if let Some(extent) = extent {
             self.tell_hall(extent, now);
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -13,9 +13,9 @@
 use crate::clock::Time;
 use crate::config::routing::{Access, Limits, Routing};
 use crate::http::{self, Error};
-use crate::limit::returning::Fingerprint;
-use crate::patience;
+use crate::limit::retry::Fingerprint;
 use crate::request::poison;
+use crate::timeout;
 
 /// When a caller should come back to a process that knows no configuration yet.
 const NOT_READY_RETRY: Duration = Duration::from_millis(300);
@@ -193,7 +193,7 @@
         return Ok(None);
     }
     let body = http::read_request(request, limits.body_bytes);
-    match patience::within(now, longest, body).await {
+    match timeout::within(now, longest, body).await {
         None => Err(Refusal::new(
             Code::BodyTooSlow,
             "the body did not come in time",
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -11,7 +11,7 @@
 use crate::clock::Time;
 use crate::config::residency::Residency;
 use crate::config::routing::{Route, Routing};
-use crate::limit::returning::Fingerprint;
+use crate::limit::retry::Fingerprint;
 use crate::request::poison;
 use crate::route::estimate::Demand;
 
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -7,10 +7,10 @@
 use crate::clock::Time;
 use crate::exchange::Note;
 use crate::knowledge::gossip;
-use crate::patience;
-use crate::place::{self, Answer};
-use crate::route::pool::{Choice, Key, Limits, Shortage};
-use crate::route::search::{Said, Search, Step};
+use crate::lease::{self, Response};
+use crate::route::pool::{Choice, Key, Limits, Unavailable};
+use crate::route::search::{Reply, Search, Step};
+use crate::timeout;
 
 /// How long the process beside a replica may take to answer. In a hall that is 0.2 ms, and 60 ms are
 /// two chunks of weights on its link: what takes longer would hold up the request as well.
@@ -23,7 +23,7 @@
 /// What was found for a request.
 pub struct Found {
     /// The replica to send it to, or the best that is known.
-    pub choice: Result<Choice, Shortage>,
+    pub choice: Result<Choice, Unavailable>,
     /// Whether a place is kept there.
     pub given: bool,
     /// Whether the service is mostly idle, as far as is known.
@@ -50,15 +50,15 @@
         let mut tried_before = None;
         loop {
             let (key, known) = match search.step() {
-                Step::Judge => {
-                    let known = self.choose(search.asked());
+                Step::Decide => {
+                    let known = self.choose(search.probed());
                     return self.best_known(&search, known, tried_before);
                 }
-                Step::Again(key) => (key, None),
-                Step::Another => {
-                    let known = self.choose(search.asked());
+                Step::Retry(key) => (key, None),
+                Step::Probe => {
+                    let known = self.choose(search.probed());
                     match known.0 {
-                        Ok(choice) if search.asked().contains(&choice.key) => {
+                        Ok(choice) if search.probed().contains(&choice.key) => {
                             search.exhausted();
                             continue;
                         }
@@ -68,12 +68,16 @@
                 }
             };
             let Some((process, limits)) = self.process_beside(key, limit) else {
-                let known = known.unwrap_or_else(|| self.choose(search.asked()));
+                let known = known.unwrap_or_else(|| self.choose(search.probed()));
                 return self.best_known(&search, known, tried_before);
             };
-            let again = search.asked().contains(&key);
-            let at = if again { limits.whole } else { limits.tight };
-            let ask = self.place_ask(key, process, at, limits.whole);
+            let again = search.probed().contains(&key);
+            let at = if again {
+                limits.queued
+            } else {
+                limits.immediate
+            };
+            let ask = self.place_ask(key, process, at, limits.queued);
             let answer = self.ask(&mut search, key, process, &ask).await;
             tried_before = tried_before.max(answer.tried_before);
             if let Some(choice) = answer.choice {
@@ -81,7 +85,7 @@
                     choice: Ok(choice),
                     given: true,
                     idle: false,
-                    asked: search.asked().len() as u32 + 1,
+                    asked: search.probed().len() as u32 + 1,
                     tried_before,
                 };
             }
@@ -93,12 +97,12 @@
     fn best_known(
         &self,
         search: &Search,
-        known: (Result<Choice, Shortage>, bool),
+        known: (Result<Choice, Unavailable>, bool),
         tried_before: Option<Duration>,
     ) -> Found {
         let (known, idle) = known;
         let now = self.gateway.knowledge.now();
-        let least = search.least().filter(|_| !idle);
+        let least = search.best().filter(|_| !idle);
         // Its process knows better than this entry what it has to do.
         let least = least.and_then(|(expected, key)| {
             let choice = self.expects(key, now)?;
@@ -108,7 +112,7 @@
             choice: least.map_or(known, Ok),
             given: false,
             idle,
-            asked: search.asked().len() as u32,
+            asked: search.probed().len() as u32,
             tried_before,
         }
     }
@@ -121,14 +125,17 @@
         process: SocketAddr,
         at: Duration,
         whole: Duration,
-    ) -> place::Ask {
+    ) -> lease::Request {
         let gateway = &self.gateway;
         let knowledge = &gateway.knowledge;
         let demand = self.job.demand();
         let known = self.first_try.is_some();
         let (_, late) = self.limits();
-        let told = gateway.refusals.borrow_mut().tell(process, knowledge.now());
-        place::Ask {
+        let told = gateway
+            .refusals
+            .borrow_mut()
+            .take_pending(process, knowledge.now());
+        lease::Request {
             from: Some(knowledge.identity.address),
             prompt: demand.prompt,
             output: demand.output,
@@ -149,12 +156,12 @@
         search: &mut Search,
         key: Key,
         process: SocketAddr,
-        ask: &place::Ask,
+        ask: &lease::Request,
     ) -> Asked {
         let knowledge = &self.gateway.knowledge;
         let (within, note) = ((ANSWERS_WITHIN, ANSWERS_AGAIN), Note::default());
         let answer =
-            gossip::ask_within::<_, Answer>(knowledge, process, place::PATH, ask, within, &note);
+            gossip::ask_within::<_, Response>(knowledge, process, lease::PATH, ask, within, &note);
         let answer = answer.await;
         let now = knowledge.now();
         match answer {
@@ -170,7 +177,7 @@
                 self.gateway.hear_refused(&answer.refused, now);
                 let tried_before = answer.tried_before_ms.map(Duration::from_millis);
                 if answer.dealt_out {
-                    self.gateway.pool.borrow_mut().dealt_out(key, now);
+                    self.gateway.pool.borrow_mut().mark_cold_exhausted(key, now);
                 }
                 let choice = self
                     .expects_by(key, &answer, now)
@@ -181,8 +188,9 @@
                         tried_before,
                     };
                 }
-                let said = choice.map_or(Said::Nothing, |choice| Said::Later(choice.expected));
-                search.heard(key, said);
+                let said =
+                    choice.map_or(Reply::Unavailable, |choice| Reply::Queued(choice.expected));
+                search.record(key, said);
                 Asked {
                     choice: None,
                     tried_before,
@@ -195,13 +203,16 @@
                 );
                 let silent = matches!(
                     error,
-                    gossip::Error::Patience(patience::Error::NoAnswer { .. })
+                    gossip::Error::Patience(timeout::Error::NoAnswer { .. })
                 );
-                self.gateway.pool.borrow_mut().unheard(key, silent, now);
+                self.gateway
+                    .pool
+                    .borrow_mut()
+                    .mark_unresponsive(key, silent, now);
                 if silent {
-                    search.silent(key);
+                    search.timed_out(key);
                 } else {
-                    search.heard(key, Said::Nothing);
+                    search.record(key, Reply::Unavailable);
                 }
                 Asked::default()
             }
@@ -210,7 +221,7 @@
 
     /// The choice of the replica `key`, whose process expects what `answer` says: it knows its passes, and
     /// this entry what is known of the link to it.
-    fn expects_by(&self, key: Key, answer: &Answer, now: Time) -> Option<Choice> {
+    fn expects_by(&self, key: Key, answer: &Response, now: Time) -> Option<Choice> {
         let choice = self.expects(key, now)?;
         let told = answer.expected_ms.map(Duration::from_millis);
         let expected = told.and_then(|told| self.corrected(key, told, now));
@@ -222,11 +233,13 @@
 
     fn corrected(&self, key: Key, told: Duration, now: Time) -> Option<Duration> {
         let pool = self.gateway.pool.borrow();
-        self.with_ask(&[], |ask| pool.corrected_at(key, ask, told, now))
+        self.with_ask(&[], |ask| pool.corrected_estimate(key, ask, told, now))
     }
 
     fn expects(&self, key: Key, now: Time) -> Option<Choice> {
-        self.with_ask(&[], |ask| self.gateway.pool.borrow().expects(key, ask, now))
+        self.with_ask(&[], |ask| {
+            self.gateway.pool.borrow().estimate(key, ask, now)
+        })
     }
 
     /// Where the process beside a replica is asked, and the limits that it is told; `None` if
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -126,7 +126,12 @@
                 sleep(pause).await;
                 self.take_ended(address, false);
                 // Callers may leave often, and the process beside a replica knows without a connection.
-                if !asked && !self.pool.borrow().heard_of(address, self.knowledge.now()) {
+                if !asked
+                    && !self
+                        .pool
+                        .borrow()
+                        .recently_reported(address, self.knowledge.now())
+                {
                     asked = true;
                     self.clone().connect(address).await;
                 }
@@ -161,7 +166,7 @@
         };
         let pool = self.pool.borrow();
         let over = |suspect: &mut Suspect| {
-            refused || pool.outlived(address, suspect.life.born, &suspect.known, now)
+            refused || pool.superseded(address, suspect.life.born, &suspect.known, now)
         };
         let ended: Vec<Suspect> = watch.suspects.extract_if(.., over).collect();
         let Some(first) = ended.first() else {
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -21,9 +21,9 @@
 use super::{CONNECT_TIMEOUT, Gateway, IDLE_MAX};
 use crate::clock::Time;
 use crate::exchange::{self, Client, Note, Options, Request, Response, Reuse, answer};
-use crate::patience::Progress;
 use crate::route::notice::{self, Notice};
 use crate::run::{Call, Key, TOLD, Told};
+use crate::timeout::Progress;
 
 /// How long a connection may bring nothing before the answer is asked for over a new one as well. Events come every 0.1 s, and
 /// a pause of 0.4 s makes a stream late; a new connection brings what has come meanwhile within a few milliseconds.
@@ -370,7 +370,7 @@
                 Ok(Some(response))
             }
             Some(told) if self.came == 0 && told.not_run(self.line.age()) => {
-                let notice = Notice::of(response.header(notice::HEADER));
+                let notice = Notice::parse(response.header(notice::HEADER));
                 let error = if notice.is_empty() {
                     Error::NotSent
                 } else {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -13,8 +13,8 @@
 use super::reader::Reader;
 use crate::clock::Time;
 use crate::http::Answer;
-use crate::patience;
-use crate::route::health::Sign;
+use crate::route::health::Signal;
+use crate::timeout;
 
 /// A stream without an event for so long is taken up elsewhere, if it may be.
 const SILENCE: Duration = Duration::from_millis(1_500);
@@ -28,13 +28,13 @@
     /// The end.
     End,
     /// A break, and what it says about the replica.
-    Broken(String, Sign),
+    Broken(String, Signal),
     /// The request's time is over.
     Late,
 }
 
 fn broken(detail: &str) -> Step {
-    Step::Broken(detail.to_owned(), Sign::Broken)
+    Step::Broken(detail.to_owned(), Signal::Broken)
 }
 
 /// A stream on its way to the caller. Dropping it closes the connection to the replica.
@@ -136,7 +136,7 @@
         let first = self.course.trace.elapsed();
         self.course.trace.first = Some(first);
         self.course.gateway.instruments.first(first);
-        self.attempt.note(Sign::Whole(self.attempt.elapsed()));
+        self.attempt.note(Signal::Success(self.attempt.elapsed()));
     }
 
     async fn step(&mut self) -> Step {
@@ -151,22 +151,22 @@
         // What nobody else may take up is waited for.
         self.response.set_guarded(may_move);
         let clock = self.course.gateway.knowledge.clock;
-        match patience::within(|| clock.now(), patience, self.response.next()).await {
+        match timeout::within(|| clock.now(), patience, self.response.next()).await {
             Some(Some(Ok(bytes))) => match self.cutter.push(bytes) {
                 Ok(events) if events.is_empty() => Step::Part,
                 Ok(events) => Step::Events(events),
-                Err(error) => Step::Broken(error.to_string(), Sign::Broken),
+                Err(error) => Step::Broken(error.to_string(), Signal::Broken),
             },
             Some(Some(Err(error))) => Step::Broken(error.to_string(), attempt::sign(&error)),
             Some(None) if self.cutter.midway() => broken("it ended inside an event"),
             Some(None) => Step::End,
             None if patience == remaining => Step::Late,
-            None => Step::Broken("the replica is silent".to_owned(), Sign::Silent),
+            None => Step::Broken("the replica is silent".to_owned(), Signal::TimedOut),
         }
     }
 
     /// Takes the stream up at another replica, after the last whole event.
-    async fn resume(&mut self, detail: String, sign: Sign) -> bool {
+    async fn resume(&mut self, detail: String, sign: Signal) -> bool {
         let passed = self.cutter.passed();
         let detail = format!("{detail} after {passed} events");
         let mut failure = self.attempt.broken(&self.course.job, detail, sign);
--- a/src/http.rs
+++ b/src/http.rs
@@ -17,7 +17,7 @@
 use serde::de::DeserializeOwned;
 use tokio::net::TcpListener;
 
-use crate::patience::{self, Progress};
+use crate::timeout::{self, Progress};
 
 pub mod held;
 pub mod server;
@@ -241,9 +241,9 @@
     S: Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin,
 {
     let mut all = BytesMut::new();
-    progress.came();
+    progress.touch();
     while let Some(part) = payload.next().await {
-        progress.came();
+        progress.touch();
         let part = part.map_err(|error| Error::Exchange {
             reason: error.to_string(),
         })?;
@@ -343,8 +343,8 @@
     progress: &Progress,
     exchange: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
-    let waits = patience::Setting::beginning_within(first);
-    let ended = patience::wait(exchange, progress, waits).await;
+    let waits = timeout::Config::with_first_byte(first);
+    let ended = timeout::wait(exchange, progress, waits).await;
     ended.unwrap_or_else(|error| {
         Err(Error::Exchange {
             reason: error.to_string(),
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -151,7 +151,7 @@
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             client: exchange::Client::sharing(paths),
             traffic: Traffic::default(),
-            belief: RefCell::new(Belief::new(!policy.doubt)),
+            belief: RefCell::new(Belief::new(!policy.removal_grace)),
             policy,
             peers: RefCell::new(Peers::new(own)),
             brief: RefCell::default(),
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -20,9 +20,9 @@
 use super::traffic::Purpose;
 use crate::config::belief::Marks;
 use crate::exchange::{Note, Options, Request};
-use crate::patience::{self, Progress};
-use crate::place;
+use crate::lease;
 use crate::source::Topic;
+use crate::timeout::{self, Progress};
 use crate::wire::sync::{FRAME_PATH, HALL_PATH, News, REPORT_PATH, SYNC_PATH, Sync};
 
 /// Shortest time between two rounds of telling that there is news.
@@ -50,7 +50,7 @@
     Exchange(#[from] crate::exchange::Error),
     /// It was not waited for any longer.
     #[error(transparent)]
-    Patience(#[from] patience::Error),
+    Patience(#[from] timeout::Error),
     /// It answered with a failure.
     #[error("answered {status}")]
     Status {
@@ -131,7 +131,7 @@
     };
     let after = within + again;
     let answer = actix_rt::time::timeout(after, call.exchange(knowledge, note, || true)).await;
-    answer.unwrap_or(Err(patience::Error::NoAnswer { after }.into()))
+    answer.unwrap_or(Err(timeout::Error::NoAnswer { after }.into()))
 }
 
 /// Sends an already encoded message to another process of the system and reads its answer.
@@ -201,8 +201,8 @@
                 reason: error.to_string(),
             })
         };
-        let waits = patience::Setting::default();
-        patience::wait_while(exchange, &progress, waits, || {}, needed).await?
+        let waits = timeout::Config::default();
+        timeout::wait_while(exchange, &progress, waits, || {}, needed).await?
     }
 }
 
@@ -211,7 +211,7 @@
         REPORT_PATH => Purpose::Report,
         HALL_PATH => Purpose::Hall,
         FRAME_PATH | FRAME_FORWARD_PATH => Purpose::PassOn,
-        place::PATH => Purpose::Place,
+        lease::PATH => Purpose::Place,
         poison::PATH | poison::TRY_PATH => Purpose::Poison,
         _ => Purpose::Heartbeat,
     }
@@ -251,7 +251,7 @@
                     fanout::send(&knowledge, &Message::News, knowledge.fellows());
                 }
             }
-            Err(Error::Patience(patience::Error::NotNeeded)) => {}
+            Err(Error::Patience(timeout::Error::Cancelled)) => {}
             Err(error) => log::warn!(peer:% = peer, ms; "configuration not drawn: {error}"),
         }
     });
--- a/src/knowledge/pace.rs
+++ b/src/knowledge/pace.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use crate::backoff::Backoff;
-use crate::patience;
 use crate::source::Topic;
+use crate::timeout;
 
 /// How long a watch of what operators write waits: with [`MARGIN`] less than the three seconds that
 /// machines have, by the rules, to be in touch again after trouble of the store.
@@ -75,8 +75,8 @@
 
     /// How long an answer is waited for; `whole` for a read of everything. A long one may take
     /// its time once it has begun.
-    pub fn patience(&self, whole: bool) -> patience::Setting {
-        patience::Setting::beginning_within(if whole {
+    pub fn patience(&self, whole: bool) -> timeout::Config {
+        timeout::Config::with_first_byte(if whole {
             READ_TIMEOUT
         } else {
             self.wait() + MARGIN
--- a/src/knowledge/store.rs
+++ b/src/knowledge/store.rs
@@ -11,8 +11,8 @@
 use super::Knowledge;
 use super::pace::Pace;
 use super::traffic::Purpose;
-use crate::patience::{self, Progress};
 use crate::source::{Batch, Error, Source, Topic};
+use crate::timeout::{self, Progress};
 
 /// How often an entry looks whether it has to read for itself.
 const STANDBY: Duration = Duration::from_millis(100);
@@ -100,7 +100,7 @@
     let moved = || knowledge.store_is_answering();
     let needed = || knowledge.reads(topic);
     let waits = pace.patience(after.is_none());
-    let call = pin!(patience::wait_while(call, &progress, waits, moved, needed));
+    let call = pin!(timeout::wait_while(call, &progress, waits, moved, needed));
     let regained = pin!(knowledge.store_regained.notified());
     let ended = match select(call, regained).await {
         Either::Left((ended, _)) => ended,
@@ -111,7 +111,7 @@
     match ended {
         Ok(Err(Error::Silent)) => Ended::AskAgain,
         Ok(answer) => Ended::Call(answer),
-        Err(patience::Error::NotNeeded) => Ended::AskAgain,
+        Err(timeout::Error::Cancelled) => Ended::AskAgain,
         Err(error) => {
             let reason = error.to_string();
             Ended::Call(Err(Error::Unreachable { reason }))
--- a/src/place.rs
+++ b/src/lease.rs
@@ -16,8 +16,8 @@
 
 use crate::clock::Time;
 use crate::config::routing::Engine;
-use crate::limit::returning::{self, Fingerprint, Refusals, Refused};
-use crate::route::cold::Allowance;
+use crate::limit::retry::{self, Fingerprint, Rejection, Rejections};
+use crate::route::cold::TokenBucket;
 use crate::route::estimate;
 use crate::route::replica::Load;
 
@@ -46,7 +46,7 @@
     /// Time from `now` until a prompt of so many tokens is read; `requests` are there already.
     fn first_event(&mut self, engine: &Engine, prompt: u32, load: &Load, now: Time) -> Duration {
         self.advance(engine, load, now);
-        let own = estimate::read(engine, prompt, load.pace);
+        let own = estimate::prefill(engine, prompt, load.pace);
         self.rest(engine, load, now) + self.next_pass(engine, load) + own
     }
 
@@ -67,9 +67,9 @@
 
     /// Time of the next pass, as far as is known what is read in it.
     fn next_pass(&self, engine: &Engine, load: &Load) -> Duration {
-        let read = |prompt: &u32| estimate::read(engine, *prompt, load.pace);
+        let read = |prompt: &u32| estimate::prefill(engine, *prompt, load.pace);
         let reads: Duration = self.next.iter().map(read).sum();
-        estimate::pass(engine, load.present(), load.pace) + reads
+        estimate::iteration(engine, load.in_progress(), load.pace) + reads
     }
 
     /// What is left of the present pass: of one in which nothing is read, half of it on average.
@@ -77,13 +77,13 @@
         if self.ends > now {
             return self.ends.since(now);
         }
-        estimate::pass(engine, load.present(), load.pace).mul_f64(estimate::PASS_WAITED)
+        estimate::iteration(engine, load.in_progress(), load.pace).mul_f64(estimate::PASS_WAITED)
     }
 }
 
 /// What a cold replica bears.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Ration {
+pub struct Throttle {
     /// Milliseconds for which it is cold.
     pub rest_ms: u64,
     /// Requests a second that it bears meanwhile.
@@ -92,7 +92,7 @@
 
 /// An entry asks for a place.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The entry that asks, if it tells.
     #[serde(default)]
     pub from: Option<SocketAddr>,
@@ -116,13 +116,13 @@
     pub late_ms: u64,
     /// Requests that the asker refused lately.
     #[serde(default)]
-    pub refused: Vec<Refused>,
+    pub refused: Vec<Rejection>,
     /// What the replica bears, if the asker knows that it is cold.
     #[serde(default)]
-    pub cold: Option<Ration>,
+    pub cold: Option<Throttle>,
 }
 
-impl Ask {
+impl Request {
     /// The limit, where the caller's first try was so long ago, if it was refused before.
     fn limit(&self, tried_before: Option<Duration>) -> Duration {
         let at = Duration::from_millis(self.limit_ms);
@@ -131,13 +131,13 @@
         };
         let whole = Duration::from_millis(self.whole_ms);
         let late = Duration::from_millis(self.late_ms);
-        at.min(returning::limit(whole, late, age))
+        at.min(retry::remaining_limit(whole, late, age))
     }
 }
 
 /// The answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct Response {
     /// Whether there is a place, which is kept for a moment.
     pub given: bool,
     /// How the replica does, other requests on their way to it included.
@@ -150,7 +150,7 @@
     pub tried_before_ms: Option<u64>,
     /// Requests that other entries refused lately.
     #[serde(default)]
-    pub refused: Vec<Refused>,
+    pub refused: Vec<Rejection>,
     /// Whether the replica is cold, and bears no more at the moment.
     #[serde(default)]
     pub dealt_out: bool,
@@ -168,15 +168,15 @@
     leases: VecDeque<Lease>,
     present: u32,
     passes: Passes,
-    refusals: Refusals,
-    cold: Option<(Ration, Time)>,
-    allowance: Allowance,
+    refusals: Rejections,
+    cold: Option<(Throttle, Time)>,
+    allowance: TokenBucket,
 }
 
 impl Ledger {
     /// The engine shows so many requests, running and waiting, at `at`. A lease ends with each one
     /// more than before, and once its request is sure to be among them.
-    pub fn shown(&mut self, present: u32, at: Time) {
+    pub fn observe(&mut self, present: u32, at: Time) {
         let more = present.saturating_sub(self.present) as usize;
         self.leases.drain(..more.min(self.leases.len()));
         self.leases.retain(|lease| at.since(lease.at) < ARRIVES);
@@ -184,7 +184,7 @@
     }
 
     /// The engine is gone, with all that it had.
-    pub fn lost(&mut self) {
+    pub fn reset(&mut self) {
         self.leases.clear();
         self.present = 0;
         self.passes = Passes::default();
@@ -192,14 +192,14 @@
     }
 
     /// What one entry knows of the replica's being cold binds all: others may not know it yet.
-    fn hear_cold(&mut self, told: Option<Ration>, now: Time) {
-        let until = |told: Ration| now + Duration::from_millis(told.rest_ms);
+    fn hear_cold(&mut self, told: Option<Throttle>, now: Time) {
+        let until = |told: Throttle| now + Duration::from_millis(told.rest_ms);
         let known = self.cold.map(|(_, until)| until);
         let Some(told) = told.filter(|told| known.is_none_or(|known| known < until(*told))) else {
             return;
         };
         if known.is_none_or(|known| known <= now) {
-            self.allowance = Allowance::new(now);
+            self.allowance = TokenBucket::new(now);
         }
         self.cold = Some((told, until(told)));
     }
@@ -219,9 +219,15 @@
 
     /// Answers `ask` at a replica that does as `load` says, without those on their way. `engine` has
     /// its figures, if they are known.
-    pub fn answer(&mut self, ask: &Ask, load: Load, engine: Option<&Engine>, now: Time) -> Answer {
-        let told = ask.from.map(|from| self.refusals.tell(from, now));
-        self.refusals.pass_on(&ask.refused, now);
+    pub fn answer(
+        &mut self,
+        ask: &Request,
+        load: Load,
+        engine: Option<&Engine>,
+        now: Time,
+    ) -> Response {
+        let told = ask.from.map(|from| self.refusals.take_pending(from, now));
+        self.refusals.merge_and_forward(&ask.refused, now);
         let first = ask
             .request
             .and_then(|request| self.refusals.first_try(request, now));
@@ -243,7 +249,7 @@
                 self.passes.enter(engine, ask.prompt, &load, now);
             }
         }
-        Answer {
+        Response {
             given,
             load,
             expected_ms: expected.map(|expected| expected.as_millis() as u64),
@@ -255,8 +261,8 @@
 
     /// When the first event of a request that comes now is expected, where `load` includes those on
     /// their way.
-    fn expected(&mut self, ask: &Ask, load: &Load, engine: &Engine, now: Time) -> Duration {
-        let queue = estimate::queue(engine, load.present(), load.pace, ask.queue_spread);
+    fn expected(&mut self, ask: &Request, load: &Load, engine: &Engine, now: Time) -> Duration {
+        let queue = estimate::queue_wait(engine, load.in_progress(), load.pace, ask.queue_spread);
         queue + self.passes.first_event(engine, ask.prompt, load, now)
     }
 }
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -1,7 +1,7 @@
 //! Limits: what a target or a customer may have in progress, judged before any queue.
 
 pub mod admission;
-pub mod returning;
+pub mod retry;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -94,7 +94,7 @@
     }
 
     /// Judges a request with `remaining` until its deadline.
-    pub fn judge(&self, priority: Priority, remaining: Duration) -> Result<(), Refusal> {
+    pub fn check(&self, priority: Priority, remaining: Duration) -> Result<(), Refusal> {
         let capacity = self.capacity();
         if self.total < capacity {
             return Ok(());
--- a/src/limit/admission.rs
+++ b/src/limit/admission.rs
@@ -27,7 +27,7 @@
 
 /// What is known of a request when it is judged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Case {
+pub struct Input {
     /// Time since its head came.
     pub elapsed: Duration,
     /// Time until its deadline.
@@ -70,7 +70,7 @@
 }
 
 /// Judges a request.
-pub fn judge(case: Case, bounds: Bounds) -> Verdict {
+pub fn evaluate(case: Input, bounds: Bounds) -> Verdict {
     if let Some(expected) = case.expected
         && case.elapsed + expected <= bounds.limit
     {
@@ -90,7 +90,7 @@
 
 /// When a caller should come back who was refused for want of weights that are expected after
 /// `arrival`, if that can be told. `spread`, between 0 and 1, keeps those who return apart.
-pub fn come_back(arrival: Option<Duration>, remaining: Duration, spread: f64) -> Duration {
+pub fn retry_after(arrival: Option<Duration>, remaining: Duration, spread: f64) -> Duration {
     let longest = (remaining * HEEDED / 100).max(RETRY_MIN);
     let apart = SPREAD.mul_f64(spread);
     let after = arrival.map_or(longest, |arrival| arrival + apart);
--- a/src/limit/returning.rs
+++ b/src/limit/retry.rs
@@ -40,7 +40,7 @@
 /// A refused request as one process tells another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u32)", into = "(u32, u32, u32)")]
-pub struct Refused {
+pub struct Rejection {
     /// The request.
     pub request: Fingerprint,
     /// Milliseconds since its caller's first try.
@@ -49,7 +49,7 @@
     pub left_ms: u32,
 }
 
-impl Refused {
+impl Rejection {
     /// When its caller tried first, and until when it can be back, where that was told at `now`.
     pub fn times(&self, now: Time) -> (Time, Time) {
         let age = Duration::from_millis(self.age_ms.into());
@@ -58,7 +58,7 @@
     }
 }
 
-impl From<(u32, u32, u32)> for Refused {
+impl From<(u32, u32, u32)> for Rejection {
     fn from((request, age_ms, left_ms): (u32, u32, u32)) -> Self {
         Self {
             request: Fingerprint(request),
@@ -68,8 +68,8 @@
     }
 }
 
-impl From<Refused> for (u32, u32, u32) {
-    fn from(refused: Refused) -> Self {
+impl From<Rejection> for (u32, u32, u32) {
+    fn from(refused: Rejection) -> Self {
         (refused.request.0, refused.age_ms, refused.left_ms)
     }
 }
@@ -82,14 +82,14 @@
 
 /// Requests that were refused lately.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct History {
     tries: BTreeMap<Fingerprint, Try>,
     order: VecDeque<Fingerprint>,
 }
 
-impl Memory {
+impl History {
     /// A request was refused whose caller tried first at `first`, and can be back up to `until`.
-    pub fn refused(&mut self, request: Fingerprint, first: Time, until: Time) {
+    pub fn record(&mut self, request: Fingerprint, first: Time, until: Time) {
         let remembered = self.tries.get(&request).copied();
         // Whoever asks for the same after that is another caller, or the same one for the first time again.
         let known = remembered.filter(|known| first <= known.until);
@@ -108,11 +108,11 @@
     }
 
     /// Another process told of a refused request. Returns whether that is news.
-    pub fn heard(&mut self, refused: Refused, now: Time) -> bool {
+    pub fn merge(&mut self, refused: Rejection, now: Time) -> bool {
         let (first, until) = refused.times(now);
         let known = self.tries.get(&refused.request);
         let news = known.is_none_or(|known| first > known.until);
-        self.refused(refused.request, first, until);
+        self.record(refused.request, first, until);
         news
     }
 
@@ -137,15 +137,15 @@
 
 /// What is to be told of refused requests, and who was told what.
 #[derive(Debug, Default)]
-pub struct Log {
+pub struct Outbox {
     entries: VecDeque<Entry>,
     next: u64,
     told: BTreeMap<SocketAddr, u64>,
 }
 
-impl Log {
+impl Outbox {
     /// A request was refused, as for [`Memory::refused`].
-    pub fn refused(&mut self, request: Fingerprint, first: Time, until: Time) {
+    pub fn record(&mut self, request: Fingerprint, first: Time, until: Time) {
         self.next += 1;
         self.entries.push_back(Entry {
             number: self.next,
@@ -158,7 +158,7 @@
     }
 
     /// What the process at `listener` is told now: what it was not told, and matters yet.
-    pub fn tell(&mut self, listener: SocketAddr, now: Time) -> Vec<Refused> {
+    pub fn take_pending(&mut self, listener: SocketAddr, now: Time) -> Vec<Rejection> {
         if self.told.len() > LISTENERS_MAX {
             self.told.clear();
         }
@@ -166,7 +166,7 @@
         let new = self.entries.iter().filter(|entry| entry.number > before);
         let matters = new.filter(|entry| now <= entry.tried.until);
         matters
-            .map(|entry| Refused {
+            .map(|entry| Rejection {
                 request: entry.request,
                 age_ms: now.since(entry.tried.first).as_millis() as u32,
                 left_ms: entry.tried.until.since(now).as_millis() as u32,
@@ -177,31 +177,31 @@
 
 /// Requests that were refused lately, as one process knows them, and what it tells of them.
 #[derive(Debug, Default)]
-pub struct Refusals {
-    memory: Memory,
-    log: Log,
+pub struct Rejections {
+    memory: History,
+    log: Outbox,
 }
 
-impl Refusals {
+impl Rejections {
     /// A request was refused here, as for [`Memory::refused`]: others are told.
-    pub fn refused(&mut self, request: Fingerprint, first: Time, until: Time) {
-        self.memory.refused(request, first, until);
-        self.log.refused(request, first, until);
+    pub fn record(&mut self, request: Fingerprint, first: Time, until: Time) {
+        self.memory.record(request, first, until);
+        self.log.record(request, first, until);
     }
 
     /// Others told of refused requests.
-    pub fn hear(&mut self, told: &[Refused], now: Time) {
+    pub fn merge(&mut self, told: &[Rejection], now: Time) {
         for refused in told {
-            self.memory.heard(*refused, now);
+            self.memory.merge(*refused, now);
         }
     }
 
     /// Others told of refused requests; what is news is told on.
-    pub fn pass_on(&mut self, told: &[Refused], now: Time) {
+    pub fn merge_and_forward(&mut self, told: &[Rejection], now: Time) {
         for refused in told {
-            if self.memory.heard(*refused, now) {
+            if self.memory.merge(*refused, now) {
                 let (first, until) = refused.times(now);
-                self.log.refused(refused.request, first, until);
+                self.log.record(refused.request, first, until);
             }
         }
     }
@@ -212,14 +212,14 @@
     }
 
     /// What the process at `listener` is told, as for [`Log::tell`].
-    pub fn tell(&mut self, listener: SocketAddr, now: Time) -> Vec<Refused> {
-        self.log.tell(listener, now)
+    pub fn take_pending(&mut self, listener: SocketAddr, now: Time) -> Vec<Rejection> {
+        self.log.take_pending(listener, now)
     }
 }
 
 /// The limit on the first event of a request whose caller tried first `age` ago, where `whole` is that
 /// of a first try: what is left of it, so that whoever can be in time is treated like any other, and
 /// `late` for whoever cannot.
-pub fn limit(whole: Duration, late: Duration, age: Duration) -> Duration {
+pub fn remaining_limit(whole: Duration, late: Duration, age: Duration) -> Duration {
     whole.saturating_sub(age).max(late.min(whole))
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -38,7 +38,7 @@
 
 /// Weights that one box should carry.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Carry {
+pub struct Artifact {
     /// The weights' digest: a version's or an adapter's.
     pub digest: Digest,
     /// Their size.
@@ -70,14 +70,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Assignment {
     /// What each box carries, by box name.
-    pub boxes: BTreeMap<Arc<str>, Vec<Carry>>,
+    pub boxes: BTreeMap<Arc<str>, Vec<Artifact>>,
     /// Demands that were not met in full.
     pub shortfalls: Vec<Shortfall>,
 }
 
 impl Assignment {
     /// The boxes that carry `digest`.
-    pub fn carriers(&self, digest: Digest) -> impl Iterator<Item = &Arc<str>> {
+    pub fn holders(&self, digest: Digest) -> impl Iterator<Item = &Arc<str>> {
         self.boxes
             .iter()
             .filter(move |(_, carried)| carried.iter().any(|carry| carry.digest == digest))
@@ -128,7 +128,7 @@
 struct Load {
     free: u64,
     held: BTreeSet<Digest>,
-    carried: Vec<Carry>,
+    carried: Vec<Artifact>,
 }
 
 /// Places `demands` on `boxes`.
@@ -223,7 +223,7 @@
     load.free -= needed;
     for (digest, bytes) in wanted {
         load.held.insert(digest);
-        load.carried.push(Carry {
+        load.carried.push(Artifact {
             digest,
             bytes,
             customer: demand.customer.clone(),
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -22,16 +22,16 @@
     /// Entries take part in bursts as relays, because their links are wide.
     pub relays: bool,
     /// Processes beside replicas that are asked for a place before a request is judged.
-    pub asks: u32,
+    pub lease_requests: u32,
     /// Replicas whose cost is over the least by no more than this are as good: what is known of
     /// them is up to a second old, in which a replica takes some six requests.
-    pub window: Duration,
+    pub cost_tolerance: Duration,
     /// Whether the delay of a replica's link is part of its estimate.
     pub link_delay: bool,
     /// Cost of each taken slot: a fuller engine writes more slowly.
-    pub crowding: Duration,
+    pub slot_cost: Duration,
     /// Handicap of a replica in another hall.
-    pub remote: Duration,
+    pub remote_penalty: Duration,
     /// Hundredths of the mean time in an engine's queue that are expected: whoever waits has to be
     /// in time mostly, not just on average.
     pub queue_spread: u32,
@@ -46,47 +46,47 @@
     /// Whether halls exchange digests, and agents tell their own hall only.
     pub digests: bool,
     /// Whether removals shortly after trouble of the store are doubted.
-    pub doubt: bool,
+    pub removal_grace: bool,
     /// Whether a failed attempt is made again elsewhere.
     pub retries: bool,
     /// Whether a broken stream is taken up elsewhere.
     pub resume: bool,
     /// Whether processes beside replicas keep what streams bring, so that whoever reads them may change the connection.
-    pub kept: bool,
+    pub stream_buffering: bool,
     /// Hundredths of the limit within which the first event has to be expected.
-    pub admit: u32,
+    pub admit_percent: u32,
     /// Whether the limit is the tightest objective of a service for all kinds of request.
     pub shared_limit: bool,
     /// Hundredths of the limit for a request whose caller has been away already: those who come for
     /// the first time go first.
-    pub return_admit: u32,
+    pub retry_admit_percent: u32,
     /// Whether a refusal for want of weights tells when they are expected.
-    pub named_return: bool,
+    pub retry_after_eta: bool,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Self {
             relays: true,
-            asks: 3,
-            window: Duration::from_millis(30),
+            lease_requests: 3,
+            cost_tolerance: Duration::from_millis(30),
             link_delay: true,
-            crowding: Duration::from_millis(3),
-            remote: Duration::from_millis(60),
+            slot_cost: Duration::from_millis(3),
+            remote_penalty: Duration::from_millis(60),
             queue_spread: 130,
             waves: 0,
             chunk_order: true,
             claims: true,
             few_readers: true,
             digests: true,
-            doubt: true,
+            removal_grace: true,
             retries: true,
             resume: true,
-            kept: true,
-            admit: 100,
+            stream_buffering: true,
+            admit_percent: 100,
             shared_limit: true,
-            return_admit: 25,
-            named_return: true,
+            retry_admit_percent: 25,
+            retry_after_eta: true,
         }
     }
 }
@@ -119,25 +119,25 @@
 /// The mechanisms by the names that `--policy` takes.
 const MECHANISMS: [(&str, Set); 20] = [
     ("relays", |set, to| set.relays = to > 0),
-    ("asks", |set, to| set.asks = to),
-    ("window-ms", |set, to| set.window = millis(to)),
+    ("asks", |set, to| set.lease_requests = to),
+    ("window-ms", |set, to| set.cost_tolerance = millis(to)),
     ("link-delay", |set, to| set.link_delay = to > 0),
-    ("crowding-ms", |set, to| set.crowding = millis(to)),
-    ("remote-ms", |set, to| set.remote = millis(to)),
+    ("crowding-ms", |set, to| set.slot_cost = millis(to)),
+    ("remote-ms", |set, to| set.remote_penalty = millis(to)),
     ("queue-spread", |set, to| set.queue_spread = to),
     ("waves", |set, to| set.waves = to),
     ("chunk-order", |set, to| set.chunk_order = to > 0),
     ("claims", |set, to| set.claims = to > 0),
     ("few-readers", |set, to| set.few_readers = to > 0),
     ("digests", |set, to| set.digests = to > 0),
-    ("doubt", |set, to| set.doubt = to > 0),
+    ("doubt", |set, to| set.removal_grace = to > 0),
     ("retries", |set, to| set.retries = to > 0),
     ("resume", |set, to| set.resume = to > 0),
-    ("kept", |set, to| set.kept = to > 0),
-    ("admit", |set, to| set.admit = to),
+    ("kept", |set, to| set.stream_buffering = to > 0),
+    ("admit", |set, to| set.admit_percent = to),
     ("shared-limit", |set, to| set.shared_limit = to > 0),
-    ("return-admit", |set, to| set.return_admit = to),
-    ("named-return", |set, to| set.named_return = to > 0),
+    ("return-admit", |set, to| set.retry_admit_percent = to),
+    ("named-return", |set, to| set.retry_after_eta = to > 0),
 ];
 
 fn millis(value: u32) -> Duration {
--- a/src/route.rs
+++ b/src/route.rs
@@ -57,7 +57,7 @@
 /// How a target is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Policy {
+pub enum Strategy {
     /// One after another.
     RoundRobin,
     /// The less loaded of two at random.
@@ -72,7 +72,7 @@
 /// What a request needs.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Need {
+pub enum Resource {
     /// A version of a model.
     Version(Digest),
     /// A plain service.
@@ -83,7 +83,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
     /// What it can serve.
-    pub serves: Vec<Need>,
+    pub serves: Vec<Resource>,
     /// Whether it takes no more work.
     pub leaving: bool,
     /// The process that reports.
@@ -151,9 +151,9 @@
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// What is needed.
-    pub need: &'a Need,
+    pub resource: &'a Resource,
     /// The halls that may serve it; empty for any.
     pub halls: &'a [String],
     /// Hash of the prompt's beginning, for affinity.
@@ -200,7 +200,7 @@
     own_hall: Arc<str>,
     replicas: SlotMap<ReplicaKey, Replica>,
     names: BTreeMap<Arc<str>, ReplicaKey>,
-    pools: BTreeMap<Need, Pool>,
+    pools: BTreeMap<Resource, Pool>,
 }
 
 impl Table {
@@ -266,7 +266,7 @@
     }
 
     /// The list says whether a target leaves. It cannot call back one that announced it by itself.
-    pub fn listed(&mut self, key: ReplicaKey, leaving: bool) {
+    pub fn set_listed_leaving(&mut self, key: ReplicaKey, leaving: bool) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.listed_leaving = leaving;
         }
@@ -290,7 +290,7 @@
     }
 
     fn rebuild(&mut self) {
-        let turns: BTreeMap<Need, usize> = self
+        let turns: BTreeMap<Resource, usize> = self
             .pools
             .iter()
             .map(|(need, pool)| (need.clone(), pool.turn))
@@ -312,21 +312,21 @@
     /// Chooses a target.
     pub fn choose(
         &mut self,
-        ask: Ask<'_>,
-        policy: Policy,
+        ask: Query<'_>,
+        policy: Strategy,
         now: Time,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let pool = self.pools.get_mut(ask.need)?;
+        let pool = self.pools.get_mut(ask.resource)?;
         pool.turn = pool.turn.wrapping_add(1);
-        let pool = &self.pools[ask.need];
+        let pool = &self.pools[ask.resource];
         let choice = match policy {
-            Policy::RoundRobin => self.next_in_turn(pool, ask, now),
-            Policy::LeastOfTwo => self.cheapest(pool, ask, now, rng, 2, |replica| {
+            Strategy::RoundRobin => self.next_in_turn(pool, ask, now),
+            Strategy::LeastOfTwo => self.cheapest(pool, ask, now, rng, 2, |replica| {
                 u64::from(replica.estimate())
             }),
-            Policy::Expected => self.expected(pool, ask, now, rng),
-            Policy::Declared => self.cheapest(pool, ask, now, rng, usize::MAX, |replica| {
+            Strategy::Expected => self.expected(pool, ask, now, rng),
+            Strategy::Declared => self.cheapest(pool, ask, now, rng, usize::MAX, |replica| {
                 let free = replica.capacity().saturating_sub(replica.estimate());
                 u64::MAX - u64::from(free)
             }),
@@ -339,18 +339,18 @@
         Some(choice)
     }
 
-    fn eligible(&self, key: ReplicaKey, ask: Ask<'_>, now: Time) -> bool {
+    fn eligible(&self, key: ReplicaKey, ask: Query<'_>, now: Time) -> bool {
         let replica = &self.replicas[key];
         replica.open(now)
             && !ask.tried.contains(&key)
             && (ask.halls.is_empty() || ask.halls.iter().any(|hall| **hall == *replica.hall))
     }
 
-    fn ready(&self, key: ReplicaKey, ask: Ask<'_>, now: Time) -> bool {
+    fn ready(&self, key: ReplicaKey, ask: Query<'_>, now: Time) -> bool {
         self.eligible(key, ask, now) && !self.replicas[key].put_aside(now)
     }
 
-    fn next_in_turn(&self, pool: &Pool, ask: Ask<'_>, now: Time) -> Option<Choice> {
+    fn next_in_turn(&self, pool: &Pool, ask: Query<'_>, now: Time) -> Option<Choice> {
         let length = pool.ring.len();
         (0..length)
             .map(|step| pool.ring[(pool.turn + step) % length].1)
@@ -365,7 +365,7 @@
     fn cheapest(
         &self,
         pool: &Pool,
-        ask: Ask<'_>,
+        ask: Query<'_>,
         now: Time,
         rng: &mut impl Rng,
         count: usize,
@@ -402,7 +402,13 @@
         })
     }
 
-    fn expected(&self, pool: &Pool, ask: Ask<'_>, now: Time, rng: &mut impl Rng) -> Option<Choice> {
+    fn expected(
+        &self,
+        pool: &Pool,
+        ask: Query<'_>,
+        now: Time,
+        rng: &mut impl Rng,
+    ) -> Option<Choice> {
         let cost = |replica: &Replica| {
             let near = replica.hall == self.own_hall;
             let factor = if near { 100 } else { REMOTE_COST };
@@ -427,7 +433,7 @@
     }
 
     /// The target whose place on the ring follows the prefix's.
-    fn home(&self, pool: &Pool, prefix: u64, ask: Ask<'_>, now: Time) -> Option<ReplicaKey> {
+    fn home(&self, pool: &Pool, prefix: u64, ask: Query<'_>, now: Time) -> Option<ReplicaKey> {
         let length = pool.ring.len();
         let start = pool.ring.partition_point(|(hash, _)| *hash < prefix);
         (0..length.min(SAMPLED))
@@ -436,7 +442,7 @@
     }
 
     /// When all that could serve are put aside, any of them is better than none.
-    fn last_resort(&self, pool: &Pool, ask: Ask<'_>, now: Time) -> Option<Choice> {
+    fn last_resort(&self, pool: &Pool, ask: Query<'_>, now: Time) -> Option<Choice> {
         let open = pool.ring.iter().map(|(_, key)| *key);
         open.filter(|&key| self.eligible(key, ask, now))
             .min_by_key(|&key| self.replicas[key].paused_until)
@@ -454,14 +460,14 @@
     }
 
     /// A request at a target ended.
-    pub fn end(&mut self, key: ReplicaKey, end: End, now: Time) {
+    pub fn end(&mut self, key: ReplicaKey, end: Completion, now: Time) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
         replica.own = replica.own.saturating_sub(1);
         replica.own_at_report = replica.own_at_report.min(replica.own);
         match end {
-            End::Whole(took) => {
+            Completion::Success(took) => {
                 replica.failures = 0;
                 replica.probing = false;
                 replica.usual = Some(match replica.usual {
@@ -469,22 +475,22 @@
                     Some(usual) => (usual * (SMOOTHING - 1) + took) / SMOOTHING,
                 });
             }
-            End::Failed => {
+            Completion::Failed => {
                 let doublings = replica.failures.min(DOUBLINGS_MAX);
                 replica.paused_until = now + PAUSE * 2u32.pow(doublings);
                 replica.failures += 1;
                 replica.probing = false;
             }
-            End::Neutral => replica.probing = false,
+            Completion::Neutral => replica.probing = false,
         }
     }
 }
 
 /// How a request at a target ended, as far as the choice of targets is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Completion {
     /// The answer came whole, after this long.
-    Whole(Duration),
+    Success(Duration),
     /// The target failed.
     Failed,
     /// It tells nothing of the target: the caller left, or the target was full.
--- a/src/route/cold.rs
+++ b/src/route/cold.rs
@@ -36,12 +36,12 @@
 /// Requests that may be sent to a cold replica, at a rate. It begins empty: what was sent before the
 /// replica turned cold is not known.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Allowance {
+pub struct TokenBucket {
     requests: f64,
     at: Time,
 }
 
-impl Allowance {
+impl TokenBucket {
     /// None yet: the replica turned cold at `now`.
     pub fn new(now: Time) -> Self {
         Self {
--- a/src/route/correction.rs
+++ b/src/route/correction.rs
@@ -26,7 +26,7 @@
 
 impl Correction {
     /// Something that was `expected`, this correction included, `took` so long.
-    pub fn note(&mut self, expected: Duration, took: Duration) {
+    pub fn record(&mut self, expected: Duration, took: Duration) {
         let expected = expected.max(EXPECTED_MIN).as_secs_f64();
         let took = took.max(EXPECTED_MIN).as_secs_f64();
         let off = (took / expected).powf(1.0 / SMOOTHING);
--- a/src/route/estimate.rs
+++ b/src/route/estimate.rs
@@ -15,11 +15,11 @@
 
 /// What an engine has to do already.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Work {
+pub struct Backlog {
     /// Requests that it writes, reads, or that wait there.
     pub requests: u32,
     /// Prompt tokens of those that have not begun to be written.
-    pub unread: f64,
+    pub prompt_tokens: f64,
     /// Factor on all its times; above 1 it is slow.
     pub pace: f64,
 }
@@ -58,12 +58,12 @@
 }
 
 /// Time of a pass in which nothing is read, where there are `requests` beside a new one.
-pub fn pass(engine: &Engine, requests: u32, pace: f64) -> Duration {
+pub fn iteration(engine: &Engine, requests: u32, pace: f64) -> Duration {
     millis(pass_ms(engine, requests) * pace.max(1.0))
 }
 
 /// Time that the reading of one prompt adds to a pass.
-pub fn read(engine: &Engine, prompt: u32, pace: f64) -> Duration {
+pub fn prefill(engine: &Engine, prompt: u32, pace: f64) -> Duration {
     let tokens = f64::from(prompt);
     let pairs = tokens * tokens / 2.0 / 1e6 * engine.pairs_ms_per_million;
     millis((read_ms(engine, tokens) + pairs) * pace.max(1.0))
@@ -71,13 +71,13 @@
 
 /// Time until a place is free where there are `requests` already, and `queue_spread` is the factor on
 /// the mean time in a queue, in hundredths.
-pub fn queue(engine: &Engine, requests: u32, pace: f64, queue_spread: u32) -> Duration {
+pub fn queue_wait(engine: &Engine, requests: u32, pace: f64, queue_spread: u32) -> Duration {
     let waiting = requests.saturating_sub(engine.slots.max(1) - 1);
-    turnover(engine, pace) * waiting * queue_spread / 100
+    completion_interval(engine, pace) * waiting * queue_spread / 100
 }
 
 /// Time between two requests that end at an engine whose slots are all taken.
-pub fn turnover(engine: &Engine, pace: f64) -> Duration {
+pub fn completion_interval(engine: &Engine, pace: f64) -> Duration {
     let slots = f64::from(engine.slots.max(1));
     let writing = engine.usual_answer * step_ms(engine, slots) / slots;
     let reading = read_ms(engine, engine.usual_prompt);
@@ -87,16 +87,16 @@
 /// Time until the first event of a request that is sent now.
 ///
 /// `queue_spread` is the factor on the mean time in a queue, in hundredths.
-pub fn first_event(engine: &Engine, work: Work, demand: Demand, queue_spread: u32) -> Duration {
+pub fn first_event(engine: &Engine, work: Backlog, demand: Demand, queue_spread: u32) -> Duration {
     let pass = pass_ms(engine, work.requests);
-    let read = read_ms(engine, work.unread + f64::from(demand.prompt));
+    let read = read_ms(engine, work.prompt_tokens + f64::from(demand.prompt));
     let pace = work.pace.max(1.0);
-    let queue = queue(engine, work.requests, pace, queue_spread);
+    let queue = queue_wait(engine, work.requests, pace, queue_spread);
     queue + millis(pass * (1.0 + PASS_WAITED) + read).mul_f64(pace)
 }
 
 /// Time that a request takes from its first event to its last.
-pub fn writing(engine: &Engine, work: Work, demand: Demand) -> Duration {
+pub fn decode(engine: &Engine, work: Backlog, demand: Demand) -> Duration {
     let slots = engine.slots.max(1);
     let batch = batch(engine, work.requests);
     // While it is written, others come and are read between its steps.
--- a/src/route/health.rs
+++ b/src/route/health.rs
@@ -28,21 +28,21 @@
 
 /// How an attempt ended, as far as the replica's health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
+pub enum Signal {
     /// An answer came whole after so long (a stream: its first event).
-    Whole(Duration),
+    Success(Duration),
     /// The replica answered with a failure of its own.
     Failed,
     /// The answer broke, or was none.
     Broken,
     /// Nothing came for longer than it may be silent.
-    Silent,
+    TimedOut,
     /// No connection could be opened.
     Unreachable,
     /// It refused, without having run the request.
     Refused,
     /// Nothing about the replica: the caller left, say, or the connection went silent with others.
-    None,
+    Neutral,
 }
 
 /// A replica's health as seen from here.
@@ -58,10 +58,10 @@
 impl Health {
     /// Takes the end of an attempt. `fellows` is the rate of failures of the service's other
     /// replicas.
-    pub fn note(&mut self, sign: Sign, fellows: f64, now: Time) {
+    pub fn record(&mut self, sign: Signal, fellows: f64, now: Time) {
         match sign {
-            Sign::None => {}
-            Sign::Whole(took) => {
+            Signal::Neutral => {}
+            Signal::Success(took) => {
                 self.row = 0;
                 self.count(true);
                 self.usual = Some(match self.usual {
@@ -69,11 +69,11 @@
                     Some(usual) => (usual * (SMOOTHING - 1) + took) / SMOOTHING,
                 });
             }
-            Sign::Unreachable => self.pause(now),
-            Sign::Failed | Sign::Broken | Sign::Silent | Sign::Refused => {
+            Signal::Unreachable => self.pause(now),
+            Signal::Failed | Signal::Broken | Signal::TimedOut | Signal::Refused => {
                 self.count(false);
                 let judged = self.good + self.bad >= SAMPLES_MIN;
-                if judged && self.rate() > fellows + RATE_OVER {
+                if judged && self.failure_rate() > fellows + RATE_OVER {
                     self.pause(now);
                 }
             }
@@ -99,7 +99,7 @@
     }
 
     /// Share of recent attempts that failed.
-    pub fn rate(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         let all = self.good + self.bad;
         if all < 1.0 { 0.0 } else { self.bad / all }
     }
@@ -115,7 +115,7 @@
     }
 
     /// How long its answers took lately.
-    pub fn usual(&self) -> Option<Duration> {
+    pub fn latency(&self) -> Option<Duration> {
         self.usual
     }
 }
--- a/src/route/notice.rs
+++ b/src/route/notice.rs
@@ -25,7 +25,7 @@
     /// It leaves: it finishes what it has, and wants nothing more in this life.
     pub leaving: bool,
     /// It turned the request away, and wants nothing for so long.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
 }
 
 impl Notice {
@@ -36,12 +36,12 @@
         let rest = wanted.map(|seconds| seconds.min(REST_MAX.as_secs_f64()));
         Self {
             leaving,
-            rest: rest.map(Duration::from_secs_f64),
+            backoff: rest.map(Duration::from_secs_f64),
         }
     }
 
     /// The value of [`HEADER`], read; empty if it is none.
-    pub fn of(value: &str) -> Self {
+    pub fn parse(value: &str) -> Self {
         let (leaving, rest) = value.split_once(';').unwrap_or_default();
         let millis = rest
             .strip_prefix("rest-ms=")
@@ -61,24 +61,24 @@
 impl fmt::Display for Notice {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let leaving = if self.leaving { "leaving" } else { "" };
-        let rest = self.rest.unwrap_or_default();
+        let rest = self.backoff.unwrap_or_default();
         write!(formatter, "{leaving};rest-ms={}", rest.as_millis())
     }
 }
 
 /// What one life of a replica wants, by all that it told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Wish {
+pub struct Suspension {
     leaving: bool,
     rests_until: Time,
 }
 
-impl Wish {
+impl Suspension {
     /// It told `notice` at `now`. A shorter rest does not end a longer one. Returns whether that is news.
-    pub fn take(&mut self, notice: Notice, now: Time) -> bool {
+    pub fn apply(&mut self, notice: Notice, now: Time) -> bool {
         let before = *self;
         self.leaving |= notice.leaving;
-        let until = notice.rest.map_or(self.rests_until, |rest| now + rest);
+        let until = notice.backoff.map_or(self.rests_until, |rest| now + rest);
         self.rests_until = self.rests_until.max(until);
         *self != before
     }
@@ -89,34 +89,34 @@
     }
 
     /// For how long it still wants nothing.
-    pub fn rest(&self, now: Time) -> Duration {
+    pub fn backoff(&self, now: Time) -> Duration {
         self.rests_until.since(now)
     }
 
     /// Whether it is to get nothing now.
-    pub fn refuses(&self, now: Time) -> bool {
-        self.leaving || !self.rest(now).is_zero()
+    pub fn rejects(&self, now: Time) -> bool {
+        self.leaving || !self.backoff(now).is_zero()
     }
 
     /// What others are told of it now.
     pub fn notice(&self, now: Time) -> Notice {
-        Notice::new(self.leaving, Some(self.rest(now).as_secs_f64()))
+        Notice::new(self.leaving, Some(self.backoff(now).as_secs_f64()))
     }
 }
 
 /// What lives of replicas want, listed or not.
 #[derive(Debug, Default)]
-pub struct Wishes(BTreeMap<Life, (Wish, Time)>);
+pub struct Suspensions(BTreeMap<Life, (Suspension, Time)>);
 
-impl Wishes {
+impl Suspensions {
     /// The life `life` wants so now.
-    pub fn remember(&mut self, life: Life, wish: Wish, now: Time) {
+    pub fn remember(&mut self, life: Life, wish: Suspension, now: Time) {
         self.0.retain(|_, (_, at)| now.since(*at) < REMEMBERED);
         self.0.insert(life, (wish, now));
     }
 
     /// What the life `life` wants, as far as is remembered.
-    pub fn of(&self, life: &Life) -> Wish {
+    pub fn of(&self, life: &Life) -> Suspension {
         self.0.get(life).map(|(wish, _)| *wish).unwrap_or_default()
     }
 }
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -13,9 +13,9 @@
 use slotmap::SlotMap;
 
 use super::correction::Correction;
-use super::estimate::{self, Demand, Work};
-use super::health::Sign;
-use super::notice::{Notice, Wishes};
+use super::estimate::{self, Backlog, Demand};
+use super::health::Signal;
+use super::notice::{Notice, Suspensions};
 use super::replica::Replica;
 use crate::clock::Time;
 use crate::config::residency::{Regions, Residency};
@@ -58,22 +58,22 @@
 
 /// The model that a request needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ModelNeed<'a> {
+pub struct ModelQuery<'a> {
     /// The model.
     pub model: &'a str,
     /// The oldest version that will do.
-    pub oldest: u64,
+    pub min_version: u64,
     /// The only version that will do, if a begun answer is to be taken up.
-    pub only: Option<u64>,
+    pub pinned_version: Option<u64>,
 }
 
 /// What is asked for.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// The service.
     pub service: &'a str,
     /// The model, if the service serves models.
-    pub model: Option<ModelNeed<'a>>,
+    pub model: Option<ModelQuery<'a>>,
     /// The engine's figures.
     pub engine: Option<&'a Engine>,
     /// What the request asks of it.
@@ -107,31 +107,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// That of a place at once.
-    pub tight: Duration,
+    pub immediate: Duration,
     /// That of a place in a queue.
-    pub whole: Duration,
+    pub queued: Duration,
 }
 
 /// Why no replica can be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Shortage {
+pub enum Unavailable {
     /// The list shows none for the service.
     #[error("no replica is listed")]
     NoneListed,
     /// None stands in a region where the request may be served, and in a hall that is not evacuated.
     #[error("no replica stands where the request may be served")]
-    NoneThere,
+    NoneAllowed,
     /// All are leaving, or hold no weights that are allowed.
     #[error("no replica is fit")]
-    NoneFit,
+    NoneEligible,
     /// All that are fit are cold, and bear no more at the moment.
     #[error("all replicas are cold and bear no more")]
     Cold,
     /// All that are fit asked for rest.
-    #[error("all replicas asked for rest, the first for {} ms more", rest.as_millis())]
-    Resting {
+    #[error("all replicas asked for rest, the first for {} ms more", remaining.as_millis())]
+    BackingOff {
         /// Until the first of them takes requests again.
-        rest: Duration,
+        remaining: Duration,
     },
     /// All that are fit were tried.
     #[error("all replicas were tried")]
@@ -163,7 +163,7 @@
     corrections: BTreeMap<Arc<str>, Correction>,
     evacuated: BTreeSet<Arc<str>>,
     reborn: Vec<SocketAddr>,
-    wishes: Wishes,
+    wishes: Suspensions,
     begun: u64,
 }
 
@@ -190,7 +190,7 @@
     }
 
     /// Replicas of one service.
-    pub fn of(&self, service: &str) -> &[Key] {
+    pub fn by_service(&self, service: &str) -> &[Key] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// When the last replica of `hall` began or ended to take requests, by its reports.
-    pub fn changed(&self, hall: &str) -> Option<Time> {
+    pub fn last_availability_change(&self, hall: &str) -> Option<Time> {
         self.of_hall(hall).map(Replica::turned_at).max()
     }
 
@@ -234,7 +234,7 @@
     }
 
     /// The hosts of a hall's model replicas without a fresh report.
-    pub fn silent(&self, hall: &str, now: Time) -> Vec<IpAddr> {
+    pub fn unreported_hosts(&self, hall: &str, now: Time) -> Vec<IpAddr> {
         let silent = self
             .of_hall(hall)
             .filter(|replica| !replica.record.models.is_empty() && replica.reported(now).is_none());
@@ -245,40 +245,40 @@
     }
 
     /// The process beside a replica did not answer; with `silent`, its link may be held up.
-    pub fn unheard(&mut self, key: Key, silent: bool, now: Time) {
+    pub fn mark_unresponsive(&mut self, key: Key, silent: bool, now: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.unheard(silent, now);
         }
     }
 
     /// Whether a replica has a queue, which explains that it is silent.
-    pub fn queues(&self, key: Key, now: Time) -> bool {
+    pub fn has_queue(&self, key: Key, now: Time) -> bool {
         self.replicas
             .get(key)
             .is_some_and(|replica| replica.queues(now))
     }
 
     /// Whether the process beside a replica is to be asked for a place.
-    pub fn gives_places(&self, key: Key, now: Time) -> bool {
+    pub fn grants_leases(&self, key: Key, now: Time) -> bool {
         self.replicas
             .get(key)
             .is_some_and(|replica| replica.gives_places(now))
     }
 
     /// The replicas of `halls` are to get nothing more, and those of no others.
-    pub fn evacuate(&mut self, halls: BTreeSet<Arc<str>>) {
+    pub fn set_evacuated(&mut self, halls: BTreeSet<Arc<str>>) {
         self.evacuated = halls;
     }
 
     /// Takes how long replicas say that they are cold.
-    pub fn tell_cold(&mut self, now: Time) {
+    pub fn refresh_cold(&mut self, now: Time) {
         for replica in self.replicas.values_mut() {
             replica.tell_cold(now);
         }
     }
 
     /// The process beside a cold replica has dealt out what that bears.
-    pub fn dealt_out(&mut self, key: Key, now: Time) {
+    pub fn mark_cold_exhausted(&mut self, key: Key, now: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.dealt_out(now);
         }
@@ -286,45 +286,53 @@
 
     /// Takes a request to the replica `key` from this entry's part of what it bears while it is cold,
     /// `per_s` a second, if it may be sent.
-    pub fn take_cold(&mut self, key: Key, per_s: f64, now: Time) -> bool {
+    pub fn take_cold_token(&mut self, key: Key, per_s: f64, now: Time) -> bool {
         let replica = self.replicas.get_mut(key);
         replica.is_none_or(|replica| replica.take_cold(per_s, now))
     }
 
     /// A replica is not the one that is listed any more: nothing more goes there.
-    pub fn deny(&mut self, key: Key) {
+    pub fn invalidate(&mut self, key: Key) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.denied = true;
         }
     }
 
     /// The replica `key` told `notice`, in its life `life`. Returns whether that is news.
-    pub fn take_notice(&mut self, key: Key, life: &Life, notice: Notice, now: Time) -> bool {
+    pub fn apply_notice(&mut self, key: Key, life: &Life, notice: Notice, now: Time) -> bool {
         if notice.is_empty() {
             return false;
         }
         let mut wish = self.wishes.of(life);
-        let news = wish.take(notice, now);
+        let news = wish.apply(notice, now);
         self.wishes.remember(life.clone(), wish, now);
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.wish.take(notice, now);
+            replica.wish.apply(notice, now);
         }
         news
     }
 
     /// For how long nothing can be served because all replicas that are fit asked for rest, if they did.
-    pub fn rest(&self, ask: Ask<'_>, now: Time) -> Option<Duration> {
-        let able = self.of(ask.service).iter().map(|&key| &self.replicas[key]);
+    pub fn backoff(&self, ask: Query<'_>, now: Time) -> Option<Duration> {
+        let able = self
+            .by_service(ask.service)
+            .iter()
+            .map(|&key| &self.replicas[key]);
         let able = able.filter(|replica| self.there(replica, ask) && self.able(replica, ask, now));
-        let rest = able.map(|replica| replica.wish.rest(now)).min()?;
+        let rest = able.map(|replica| replica.wish.backoff(now)).min()?;
         (!rest.is_zero()).then_some(rest)
     }
 
     /// Chooses a replica.
-    pub fn choose(&self, ask: Ask<'_>, now: Time, rng: &mut impl Rng) -> Result<Choice, Shortage> {
-        let listed = self.of(ask.service);
+    pub fn choose(
+        &self,
+        ask: Query<'_>,
+        now: Time,
+        rng: &mut impl Rng,
+    ) -> Result<Choice, Unavailable> {
+        let listed = self.by_service(ask.service);
         if listed.is_empty() {
-            return Err(Shortage::NoneListed);
+            return Err(Unavailable::NoneListed);
         }
         let there: Vec<Key> = listed
             .iter()
@@ -332,47 +340,47 @@
             .filter(|&key| self.there(&self.replicas[key], ask))
             .collect();
         if there.is_empty() {
-            return Err(Shortage::NoneThere);
+            return Err(Unavailable::NoneAllowed);
         }
         let fit: Vec<Key> = there
             .into_iter()
             .filter(|&key| self.able(&self.replicas[key], ask, now))
             .collect();
         if fit.is_empty() {
-            return Err(Shortage::NoneFit);
+            return Err(Unavailable::NoneEligible);
         }
         let fit: Vec<Key> = fit
             .into_iter()
             .filter(|&key| self.replicas[key].bears(ask.cold_per_s, now))
             .collect();
         if fit.is_empty() {
-            return Err(Shortage::Cold);
+            return Err(Unavailable::Cold);
         }
         let first = fit
             .iter()
-            .map(|&key| self.replicas[key].wish.rest(now))
+            .map(|&key| self.replicas[key].wish.backoff(now))
             .min();
         let fit: Vec<Key> = fit
             .into_iter()
-            .filter(|&key| !self.replicas[key].wish.refuses(now))
+            .filter(|&key| !self.replicas[key].wish.rejects(now))
             .collect();
         if fit.is_empty() {
             let rest = first.unwrap_or_default();
-            return Err(Shortage::Resting { rest });
+            return Err(Unavailable::BackingOff { remaining: rest });
         }
         let untried: Vec<Key> = fit
             .into_iter()
             .filter(|key| !ask.tried.contains(key))
             .collect();
         if untried.is_empty() {
-            return Err(Shortage::AllTried);
+            return Err(Unavailable::AllTried);
         }
         let connected: Vec<Key> = untried
             .into_iter()
             .filter(|&key| self.replicas[key].own() < ask.connections_max)
             .collect();
         if connected.is_empty() {
-            return Err(Shortage::Connections);
+            return Err(Unavailable::Connections);
         }
         let well: Vec<Key> = connected
             .iter()
@@ -389,22 +397,22 @@
         // The least full one is better than none.
         let candidates = if open.is_empty() { candidates } else { open };
         self.cheapest(&candidates, ask, now, rng)
-            .ok_or(Shortage::NoneFit)
+            .ok_or(Unavailable::NoneEligible)
     }
 
     /// Whether a replica stands where the request may be served.
-    fn there(&self, replica: &Replica, ask: Ask<'_>) -> bool {
+    fn there(&self, replica: &Replica, ask: Query<'_>) -> bool {
         let hall = &replica.record.hall;
         !self.evacuated.contains(hall) && ask.residency.allows(ask.regions.of(hall))
     }
 
-    fn fit(&self, replica: &Replica, ask: Ask<'_>, now: Time) -> bool {
-        let rests = replica.wish.refuses(now);
+    fn fit(&self, replica: &Replica, ask: Query<'_>, now: Time) -> bool {
+        let rests = replica.wish.rejects(now);
         !rests && self.there(replica, ask) && self.able(replica, ask, now)
     }
 
     /// Whether a replica takes the request, wherever it stands.
-    fn able(&self, replica: &Replica, ask: Ask<'_>, now: Time) -> bool {
+    fn able(&self, replica: &Replica, ask: Query<'_>, now: Time) -> bool {
         let leaving = replica.record.leaving || replica.wish.leaving();
         if leaving || replica.denied || replica.dead(now) {
             return false;
@@ -415,7 +423,8 @@
         let Some(version) = replica.version(need.model, now) else {
             return false;
         };
-        let wanted = version >= need.oldest && need.only.is_none_or(|only| only == version);
+        let wanted =
+            version >= need.min_version && need.pinned_version.is_none_or(|only| only == version);
         // What waits there too long would start on a version that is not allowed any more.
         let starts = || now + self.expected(replica, ask, now);
         let change = replica.change(need.model, now);
@@ -425,7 +434,7 @@
     fn cheapest(
         &self,
         candidates: &[Key],
-        ask: Ask<'_>,
+        ask: Query<'_>,
         now: Time,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
@@ -436,7 +445,7 @@
         let least = costs.iter().map(|(cost, _)| *cost).min()?;
         let near: Vec<&(Duration, Key)> = costs
             .iter()
-            .filter(|(cost, _)| *cost <= least + self.policy.window)
+            .filter(|(cost, _)| *cost <= least + self.policy.cost_tolerance)
             .collect();
         // The better of two at random: all entries see the same reports, and would all choose the
         // best.
@@ -452,7 +461,7 @@
 
     /// When the first event is expected of a request that is sent to the replica `key` now, if it may
     /// be sent there.
-    pub fn expects(&self, key: Key, ask: Ask<'_>, now: Time) -> Option<Choice> {
+    pub fn estimate(&self, key: Key, ask: Query<'_>, now: Time) -> Option<Choice> {
         let replica = self.replicas.get(key)?;
         self.fit(replica, ask, now).then(|| Choice {
             key,
@@ -464,29 +473,29 @@
     /// The limits within which a replica's process, which knows its engine's load only, is to expect
     /// a first event so that it comes within `limit`: what is known of its link and of the engine's
     /// figures is left out. The tight one is that of an engine with a place free and little to read.
-    pub fn limits(&self, key: Key, ask: Ask<'_>, limit: Duration, now: Time) -> Option<Limits> {
+    pub fn limits(&self, key: Key, ask: Query<'_>, limit: Duration, now: Time) -> Option<Limits> {
         let (replica, engine) = (self.replicas.get(key)?, ask.engine?);
         let late = self.late(replica, now);
         let whole = self.uncorrected(ask.service, engine, limit.saturating_sub(late));
-        let light = Work {
+        let light = Backlog {
             requests: engine.slots.saturating_sub(1),
-            unread: engine.usual_prompt * LIGHT_PROMPTS,
+            prompt_tokens: engine.usual_prompt * LIGHT_PROMPTS,
             pace: 1.0,
         };
         let spread = self.policy.queue_spread;
         let tight = estimate::first_event(engine, light, ask.demand, spread);
         Some(Limits {
-            tight: tight.min(whole),
-            whole,
+            immediate: tight.min(whole),
+            queued: whole,
         })
     }
 
     /// The estimate `told` by the process beside the replica `key`, with what is known here of its link and
     /// of the engine's figures.
-    pub fn corrected_at(
+    pub fn corrected_estimate(
         &self,
         key: Key,
-        ask: Ask<'_>,
+        ask: Query<'_>,
         told: Duration,
         now: Time,
     ) -> Option<Duration> {
@@ -509,12 +518,12 @@
         replica.late(now).max(held_up)
     }
 
-    fn cost(&self, replica: &Replica, ask: Ask<'_>, now: Time) -> Duration {
-        let crowding = self.policy.crowding * replica.requests(now);
+    fn cost(&self, replica: &Replica, ask: Query<'_>, now: Time) -> Duration {
+        let crowding = self.policy.slot_cost * replica.requests(now);
         let far = if replica.record.hall == self.own_hall {
             Duration::ZERO
         } else {
-            self.policy.remote
+            self.policy.remote_penalty
         };
         let expected = self.expected(replica, ask, now);
         expected + crowding + far + self.overrun(replica, ask, expected, now) / OVERRUN
@@ -522,7 +531,13 @@
 
     /// How much longer than until its next change of version a replica would work on a request:
     /// for so long it would take nothing new.
-    fn overrun(&self, replica: &Replica, ask: Ask<'_>, expected: Duration, now: Time) -> Duration {
+    fn overrun(
+        &self,
+        replica: &Replica,
+        ask: Query<'_>,
+        expected: Duration,
+        now: Time,
+    ) -> Duration {
         let change = ask.model.and_then(|need| replica.change(need.model, now));
         let (Some(due), Some(engine)) = (change, ask.engine) else {
             return Duration::ZERO;
@@ -533,22 +548,22 @@
             return Duration::ZERO;
         }
         let work = self.work(replica, engine, now);
-        let ends = now + expected + estimate::writing(engine, work, ask.demand);
+        let ends = now + expected + estimate::decode(engine, work, ask.demand);
         ends.since(due.at)
     }
 
-    fn work(&self, replica: &Replica, engine: &Engine, now: Time) -> Work {
-        Work {
+    fn work(&self, replica: &Replica, engine: &Engine, now: Time) -> Backlog {
+        Backlog {
             requests: replica.requests(now),
-            unread: replica.unread(engine.usual_prompt, now),
+            prompt_tokens: replica.unread(engine.usual_prompt, now),
             pace: replica.pace(now),
         }
     }
 
     /// When the first event (or the answer) of a request that is sent now is expected.
-    fn expected(&self, replica: &Replica, ask: Ask<'_>, now: Time) -> Duration {
+    fn expected(&self, replica: &Replica, ask: Query<'_>, now: Time) -> Duration {
         let Some(engine) = ask.engine else {
-            let usual = replica.health.usual().unwrap_or(USUAL_UNKNOWN);
+            let usual = replica.health.latency().unwrap_or(USUAL_UNKNOWN);
             let slots = replica.record.slots.max(1);
             let waiting = replica.requests(now).saturating_sub(slots - 1);
             return usual + usual * waiting / slots;
@@ -561,7 +576,7 @@
             return expected;
         }
         // It finishes what runs before it takes anything new.
-        expected + estimate::turnover(engine, work.pace) * engine.slots / 2
+        expected + estimate::completion_interval(engine, work.pace) * engine.slots / 2
     }
 
     /// The estimate `first` of an engine of `service`, corrected if its figures are guesses.
@@ -572,8 +587,8 @@
 
     /// Whether a third of a service's replicas or more turned out not to be what the list says: they
     /// have lost their weights, and the list does not know it yet.
-    pub fn mostly_denied(&self, service: &str) -> bool {
-        let listed = self.of(service);
+    pub fn mostly_invalidated(&self, service: &str) -> bool {
+        let listed = self.by_service(service);
         let denied = listed.iter().filter(|&&key| self.replicas[key].denied);
         let denied = denied.count() as u32;
         denied > 0 && denied * DENIED_PART >= listed.len() as u32
@@ -581,8 +596,11 @@
 
     /// When weights are expected at the replicas of a service that lack them: at half of those that
     /// tell how far they are.
-    pub fn arrival(&self, service: &str, now: Time) -> Option<Duration> {
-        let replicas = self.of(service).iter().map(|&key| &self.replicas[key]);
+    pub fn weights_eta(&self, service: &str, now: Time) -> Option<Duration> {
+        let replicas = self
+            .by_service(service)
+            .iter()
+            .map(|&key| &self.replicas[key]);
         let mut arrivals: Vec<Duration> = replicas
             .filter_map(|replica| replica.arrival(now))
             .collect();
@@ -591,8 +609,11 @@
     }
 
     /// Taken places of a service's fit replicas, and all of them.
-    pub fn occupancy(&self, ask: Ask<'_>, now: Time) -> (u32, u32) {
-        let fit = self.of(ask.service).iter().map(|&key| &self.replicas[key]);
+    pub fn occupancy(&self, ask: Query<'_>, now: Time) -> (u32, u32) {
+        let fit = self
+            .by_service(ask.service)
+            .iter()
+            .map(|&key| &self.replicas[key]);
         fit.filter(|replica| self.fit(replica, ask, now)).fold(
             (0, 0),
             |(taken, places), replica| {
@@ -612,7 +633,14 @@
     }
 
     /// A request's first event came; `false` if it ended without one.
-    pub fn started(&mut self, key: Key, number: u64, demand: Demand, came: bool, now: Time) {
+    pub fn record_first_event(
+        &mut self,
+        key: Key,
+        number: u64,
+        demand: Demand,
+        came: bool,
+        now: Time,
+    ) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
@@ -621,7 +649,7 @@
             self.corrections
                 .entry(service)
                 .or_default()
-                .note(expected, took);
+                .record(expected, took);
         }
     }
 
@@ -640,27 +668,27 @@
     }
 
     /// Attempts of this entry that have not ended.
-    pub fn under_way(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         let replicas = self.replicas.values();
         replicas.map(|replica| replica.under_way()).sum()
     }
 
     /// Something was learned of a replica's health.
-    pub fn note(&mut self, key: Key, sign: Sign, now: Time) {
+    pub fn record_health(&mut self, key: Key, sign: Signal, now: Time) {
         let Some(replica) = self.replicas.get(key) else {
             return;
         };
         let fellows = self.fellows_rate(key, &replica.record.service);
-        self.replicas[key].health.note(sign, fellows, now);
+        self.replicas[key].health.record(sign, fellows, now);
     }
 
     /// Rate of failures of a service's other replicas: the middle one of theirs.
     fn fellows_rate(&self, key: Key, service: &str) -> f64 {
         let mut rates: Vec<f64> = self
-            .of(service)
+            .by_service(service)
             .iter()
             .filter(|&&other| other != key)
-            .map(|&other| self.replicas[other].health.rate())
+            .map(|&other| self.replicas[other].health.failure_rate())
             .collect();
         rates.sort_by(f64::total_cmp);
         rates.get(rates.len() / 2).copied().unwrap_or(0.0)
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -8,14 +8,14 @@
 use crate::clock::Time;
 use crate::config::belief::Listed;
 use crate::member::replica::Record;
-use crate::route::replica::{Due, Load, Replica};
+use crate::route::replica::{Load, Replica, Schedule};
 
 impl Pool {
     /// Takes the list as it stands now, and what change of version each replica has before it.
     pub fn update(
         &mut self,
         list: &BTreeMap<Arc<str>, Listed>,
-        due: impl Fn(&Record) -> Option<Due>,
+        due: impl Fn(&Record) -> Option<Schedule>,
     ) {
         let tell_lives: BTreeSet<&str> = list
             .values()
@@ -77,7 +77,7 @@
 
     /// Addresses of replicas of which a later life began since the last call: connections to the
     /// earlier one lead nowhere.
-    pub fn take_reborn(&mut self) -> Vec<SocketAddr> {
+    pub fn take_restarted(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.reborn)
     }
 
@@ -93,14 +93,20 @@
     }
 
     /// Whether the process beside a replica at `address` was heard of lately.
-    pub fn heard_of(&self, address: SocketAddr, now: Time) -> bool {
+    pub fn recently_reported(&self, address: SocketAddr, now: Time) -> bool {
         self.at(address)
             .any(|replica| replica.reported(now).is_some())
     }
 
     /// Whether the life that started at `born` at `address` is over, where only the replicas of the ids `known` were: a later one is
     /// known there, or the process beside it finds nobody.
-    pub fn outlived(&self, address: SocketAddr, born: u64, known: &[Arc<str>], now: Time) -> bool {
+    pub fn superseded(
+        &self,
+        address: SocketAddr,
+        born: u64,
+        known: &[Arc<str>],
+        now: Time,
+    ) -> bool {
         let later = |replica: &Replica| {
             let reborn = born > 0 && replica.record.born > born;
             reborn || !known.contains(&replica.record.id)
@@ -133,7 +139,7 @@
             let record = &self.replicas[key].record;
             if load.born == 0 || load.born == record.born {
                 let life = record.life();
-                self.take_notice(key, &life, load.notice(), at);
+                self.apply_notice(key, &life, load.notice(), at);
                 self.replicas[key].report(load, at);
             } else if !known && record.born < load.born {
                 // The list does not tell of this life yet.
--- a/src/route/replica.rs
+++ b/src/route/replica.rs
@@ -4,10 +4,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::cold::{Allowance, Cold};
+use super::cold::{Cold, TokenBucket};
 use super::estimate::Demand;
 use super::health::Health;
-use super::notice::{Notice, Wish};
+use super::notice::{Notice, Suspension};
 use crate::clock::Time;
 use crate::config::belief::{self, Wanted};
 use crate::member::replica::{self, Held, Record};
@@ -71,12 +71,12 @@
 
 impl Load {
     /// Requests in progress.
-    pub fn present(&self) -> u32 {
+    pub fn in_progress(&self) -> u32 {
         self.running + self.queued
     }
 
     /// Whether it takes requests for any model, according to the report of its process.
-    pub fn takes_requests(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.alive && !self.switching && !self.leaving && !self.models.is_empty()
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Whether it takes requests of the same versions as by `other`.
-    pub fn takes_like(&self, other: &Self) -> bool {
+    pub fn same_availability(&self, other: &Self) -> bool {
         let same_state = self.switching == other.switching && self.alive == other.alive;
         let rests = |load: &Self| load.rest_ms > 0;
         let same_wish = self.leaving == other.leaving && rests(self) == rests(other);
@@ -111,12 +111,12 @@
     arriving: Option<Arriving>,
     cold: Cold,
     /// Requests of this entry that may be sent while it is cold and nobody beside it deals them out.
-    allowance: Allowance,
+    allowance: TokenBucket,
     /// Until when the process beside it has no request of a cold replica to deal out.
     dealt_out: Time,
-    pub(super) due: Option<Due>,
+    pub(super) due: Option<Schedule>,
     pub(super) denied: bool,
-    pub(super) wish: Wish,
+    pub(super) wish: Suspension,
 }
 
 /// Own requests that have had no event yet.
@@ -205,13 +205,13 @@
 
 /// The versions that were named for a replica's model, and its place in the rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Due {
+pub struct Schedule {
     /// The versions, oldest first.
-    pub named: Vec<Wanted>,
+    pub versions: Vec<Wanted>,
     /// Time from a version's naming until the replica takes nothing new any more.
-    pub begins: Duration,
+    pub drain_after: Duration,
     /// Time from a version's naming until nothing may start on an older one any more.
-    pub bound: Duration,
+    pub cutoff: Duration,
 }
 
 /// A change of version that a replica has before it.
@@ -238,17 +238,17 @@
             lag: Lag::default(),
             arriving: None,
             cold: Cold::default(),
-            allowance: Allowance::default(),
+            allowance: TokenBucket::default(),
             dealt_out: Time::default(),
             due: None,
             health: Health::default(),
             denied: false,
-            wish: Wish::default(),
+            wish: Suspension::default(),
         }
     }
 
     /// What it wants, by its own words.
-    pub fn wish(&self) -> Wish {
+    pub fn suspension(&self) -> Suspension {
         self.wish
     }
 
@@ -264,7 +264,7 @@
 
     /// Requests in progress there, as far as this entry can tell.
     pub fn requests(&self, now: Time) -> u32 {
-        let reported = self.fresh(now).map_or(0, Load::present);
+        let reported = self.fresh(now).map_or(0, Load::in_progress);
         reported.saturating_sub(self.own_at_report) + self.own()
     }
 
@@ -286,10 +286,10 @@
     /// The change of version that it has before it: the oldest that it lacks sets the times.
     pub(super) fn change(&self, model: &str, now: Time) -> Option<Change> {
         let due = self.due.as_ref()?;
-        let since = belief::first_lacking(&due.named, self.version(model, now)?)?.since;
+        let since = belief::first_lacking(&due.versions, self.version(model, now)?)?.since;
         Some(Change {
-            at: since + due.begins,
-            bound: since + due.bound,
+            at: since + due.drain_after,
+            bound: since + due.cutoff,
         })
     }
 
@@ -324,7 +324,7 @@
     /// Whether it has a queue, or takes nothing new while it changes its weights.
     pub(super) fn queues(&self, now: Time) -> bool {
         self.fresh(now).is_some_and(|load| {
-            let full = load.present() >= self.record.slots;
+            let full = load.in_progress() >= self.record.slots;
             load.alive && (load.switching || full)
         })
     }
@@ -349,7 +349,7 @@
         let warm = self.cold(now).is_zero();
         self.cold.tell(self.record.cold_ms, now);
         if warm {
-            self.allowance = Allowance::new(now);
+            self.allowance = TokenBucket::new(now);
         }
     }
 
@@ -402,7 +402,7 @@
         }
         self.note_arriving(load, at);
         let known = self.load.as_ref();
-        if known.is_none_or(|(known, _)| !known.takes_like(load)) {
+        if known.is_none_or(|(known, _)| !known.same_availability(load)) {
             self.turned_at = at;
         }
         self.load = Some((load.clone(), at));
--- a/src/route/search.rs
+++ b/src/route/search.rs
@@ -13,20 +13,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Choose a replica that was not asked yet and ask for a place within the tight limit.
-    Another,
+    Probe,
     /// Ask this one again, for a place within the whole limit.
-    Again(Key),
+    Retry(Key),
     /// Nobody has a place, or nobody answers: go by what is known.
-    Judge,
+    Decide,
 }
 
 /// What a replica's process said.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Said {
+pub enum Reply {
     /// There is no place within the tight limit, but a first event is expected after so long.
-    Later(Duration),
+    Queued(Duration),
     /// It does not answer, or takes nothing.
-    Nothing,
+    Unavailable,
 }
 
 /// The search for one request's place.
@@ -54,12 +54,12 @@
     }
 
     /// Replicas that were asked.
-    pub fn asked(&self) -> &[Key] {
+    pub fn probed(&self) -> &[Key] {
         &self.asked
     }
 
     /// The replica that is the least behind of those that said so, and when its first event is expected.
-    pub fn least(&self) -> Option<(Duration, Key)> {
+    pub fn best(&self) -> Option<(Duration, Key)> {
         self.least
     }
 
@@ -67,14 +67,14 @@
     pub fn step(&self) -> Step {
         // One silent process costs a good part of the objective; a second one would cost the rest.
         if self.silent || self.insisted {
-            return Step::Judge;
+            return Step::Decide;
         }
         if (self.asked.len() as u32) < self.asks {
-            return Step::Another;
+            return Step::Probe;
         }
         match self.least {
-            Some((expected, key)) if expected <= self.limit => Step::Again(key),
-            _ => Step::Judge,
+            Some((expected, key)) if expected <= self.limit => Step::Retry(key),
+            _ => Step::Decide,
         }
     }
 
@@ -84,25 +84,25 @@
     }
 
     /// The process beside `key` answered something else than that there is a place.
-    pub fn heard(&mut self, key: Key, said: Said) {
+    pub fn record(&mut self, key: Key, said: Reply) {
         if self.asked.contains(&key) {
             self.insisted = true;
         } else {
             self.asked.push(key);
         }
         match said {
-            Said::Later(expected) => {
+            Reply::Queued(expected) => {
                 // What the one that was asked again says now replaces what it said at first.
                 if self.insisted || self.least.is_none_or(|(least, _)| expected < least) {
                     self.least = Some((expected, key));
                 }
             }
-            Said::Nothing => {}
+            Reply::Unavailable => {}
         }
     }
 
     /// The process beside `key` was silent.
-    pub fn silent(&mut self, key: Key) {
+    pub fn timed_out(&mut self, key: Key) {
         self.asked.push(key);
         self.silent = true;
     }
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -29,11 +29,11 @@
 use crate::gateway::control::message;
 use crate::http::{self, Answer, ClientSetting, Server};
 use crate::knowledge::{Identity, Knowledge, traffic};
+use crate::lease::{self, Ledger};
 use crate::member::Listed;
 use crate::metric::{self, Metrics};
-use crate::place::{self, Ledger};
 use crate::policy::Policy;
-use crate::route::notice::Wish;
+use crate::route::notice::Suspension;
 use crate::run::{Call, Shelf};
 use crate::source::Source;
 use crate::spread;
@@ -103,7 +103,7 @@
     /// The replica's life, as [`State::born`].
     born: Cell<u64>,
     /// What it wants in this life.
-    wish: Cell<Wish>,
+    wish: Cell<Suspension>,
     noticed: Cell<Option<Time>>,
     staged: RefCell<reconcile::Staged>,
     /// An older version that the replica takes while the newest cannot be had.
@@ -352,12 +352,12 @@
             Err(answer) => answer,
         };
     }
-    if path == place::PATH {
+    if path == lease::PATH {
         let ticket = sidecar.porter.enter(stop::Kind::Peer);
         if ticket.refused() {
             return http::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let answer = match message::<place::Ask>(&mut request).await {
+        let answer = match message::<lease::Request>(&mut request).await {
             Ok(ask) => http::pack(StatusCode::OK, &sidecar.place(&ask)),
             Err(answer) => answer,
         };
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -19,11 +19,11 @@
 use crate::knowledge::hub;
 use crate::knowledge::readers::Readers;
 use crate::knowledge::traffic::Purpose;
-use crate::patience::{self, Progress};
-use crate::place;
-use crate::route::notice::{Notice, Wish};
+use crate::lease;
+use crate::route::notice::{Notice, Suspension};
 use crate::route::replica::Load;
 use crate::source::Topic;
+use crate::timeout::{self, Progress};
 use crate::wire::sync::{REPORT_PATH, Report, Sync};
 
 /// How often the replica is asked.
@@ -81,7 +81,7 @@
             Ok(Err(Error::TurnedAway { rest })) => {
                 sidecar.misses.set(0);
                 let notice = Notice {
-                    rest: Some(rest),
+                    backoff: Some(rest),
                     ..Notice::default()
                 };
                 sidecar.wants(notice);
@@ -134,15 +134,15 @@
         match &state {
             Some(state) => self.wants(Notice::new(state.leaving, None)),
             // Without the start of its life, only its absence shows that another may follow.
-            None if self.born.get() == 0 => self.wish.set(Wish::default()),
+            None if self.born.get() == 0 => self.wish.set(Suspension::default()),
             None => {}
         }
         let before = self.state.replace(state);
         let now = self.state.borrow();
         let mut ledger = self.ledger.borrow_mut();
         match &*now {
-            Some(state) => ledger.shown(state.running + state.queued, self.knowledge.now()),
-            None => ledger.lost(),
+            Some(state) => ledger.observe(state.running + state.queued, self.knowledge.now()),
+            None => ledger.reset(),
         }
         let takes = |state: &Option<State>| {
             let state = state.as_ref();
@@ -161,9 +161,9 @@
     /// earlier life. What lies there all the same is read back before it is used.
     fn begin_life(&self, born: u64) {
         log::info!(born; "a life of the replica began");
-        self.wish.set(Wish::default());
+        self.wish.set(Suspension::default());
         self.state.replace(None);
-        self.ledger.borrow_mut().lost();
+        self.ledger.borrow_mut().reset();
         self.client.forget(self.engine.address());
         self.staged.replace(Staged::default());
         self.set_noticed(None);
@@ -172,7 +172,7 @@
     /// The replica told what it wants, which binds this process for all entries.
     pub(super) fn wants(&self, notice: Notice) {
         let mut wish = self.wish.get();
-        if wish.take(notice, self.knowledge.now()) {
+        if wish.apply(notice, self.knowledge.now()) {
             log::info!(notice:% = notice; "the replica told what it wants");
             self.wish.set(wish);
             self.turned.set(self.turned.get() + 1);
@@ -187,7 +187,7 @@
     }
 
     /// Answers an entry that asks for a place.
-    pub(super) fn place(&self, ask: &place::Ask) -> place::Answer {
+    pub(super) fn place(&self, ask: &lease::Request) -> lease::Response {
         let engine = self.knowledge.brief().and_then(|brief| brief.engine);
         let now = self.knowledge.now();
         let load = self.load();
@@ -199,7 +199,7 @@
         let notice = self.wish.get().notice(self.knowledge.now());
         Load {
             leaving: notice.leaving,
-            rest_ms: notice.rest.map_or(0, |rest| rest.as_millis() as u32),
+            rest_ms: notice.backoff.map_or(0, |rest| rest.as_millis() as u32),
             ..self.seen()
         }
     }
@@ -401,8 +401,8 @@
 async fn read_store(sidecar: &Sidecar, topic: Topic) {
     let progress = Progress::default();
     let call = sidecar.source.read(topic, progress.clone());
-    let waits = patience::Setting::beginning_within(ALONE_READ);
-    match patience::wait(call, &progress, waits).await {
+    let waits = timeout::Config::with_first_byte(ALONE_READ);
+    match timeout::wait(call, &progress, waits).await {
         Ok(Ok(batch)) => sidecar.knowledge.take_batch(topic, true, batch),
         Ok(Err(error)) => log::info!(topic:? = topic; "{error}"),
         Err(error) => log::info!(topic:? = topic; "store: {error}"),
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -23,7 +23,7 @@
 use crate::http;
 use crate::member::{Listed, Role, State};
 use crate::node;
-use crate::route::Policy;
+use crate::route::Strategy;
 use crate::spread;
 use crate::spread::swarm::Tally;
 use crate::weight::Digest;
@@ -372,7 +372,7 @@
     }
 
     /// Starts an entry in hall `hall`, without listing it.
-    pub fn add_entry(&mut self, hall: usize, policy: Policy) -> Result<&EntryBox, http::Error> {
+    pub fn add_entry(&mut self, hall: usize, policy: Strategy) -> Result<&EntryBox, http::Error> {
         let index = self.entries.len();
         let ip = box_address(hall, ENTRY_PLACES + index);
         let hall_name = self.setting.halls[hall].clone();
--- a/src/patience.rs
+++ b/src/timeout.rs
@@ -26,7 +26,7 @@
 
 impl Progress {
     /// Bytes came now.
-    pub fn came(&self) {
+    pub fn touch(&self) {
         self.last.set(Some(Instant::now()));
     }
 
@@ -38,33 +38,33 @@
 
 /// How long a transfer is waited for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Setting {
+pub struct Config {
     /// Until its first byte.
-    pub first: Duration,
+    pub first_byte: Duration,
     /// From one byte to the next.
-    pub pause: Duration,
+    pub idle: Duration,
     /// In all: a peer that hands out a byte now and then holds nobody for ever.
-    pub whole: Duration,
+    pub total: Duration,
 }
 
-impl Setting {
+impl Config {
     /// The default for a transfer whose first byte is due within `first`.
-    pub fn beginning_within(first: Duration) -> Self {
+    pub fn with_first_byte(first: Duration) -> Self {
         Self {
-            first,
+            first_byte: first,
             ..Self::default()
         }
     }
 }
 
-impl Default for Setting {
+impl Default for Config {
     /// The pause is that after which the kernel gives a silent peer up. In the longest time a
     /// document of a megabyte crosses a link of half a megabit per second.
     fn default() -> Self {
         Self {
-            first: Duration::from_millis(1_000),
-            pause: exchange::LOST,
-            whole: Duration::from_secs(20),
+            first_byte: Duration::from_millis(1_000),
+            idle: exchange::LOST,
+            total: Duration::from_secs(20),
         }
     }
 }
@@ -80,7 +80,7 @@
     },
     /// It stopped.
     #[error("nothing more came for {} ms", after.as_millis())]
-    Stopped {
+    Stalled {
         /// How long it was waited for more.
         after: Duration,
     },
@@ -92,14 +92,14 @@
     },
     /// Whoever waited does not need it any more.
     #[error("not needed any more")]
-    NotNeeded,
+    Cancelled,
 }
 
 /// Waits for `transfer`, which notes its `progress`.
 pub async fn wait<F: Future>(
     transfer: F,
     progress: &Progress,
-    setting: Setting,
+    setting: Config,
 ) -> Result<F::Output, Error> {
     wait_while(transfer, progress, setting, || {}, || true).await
 }
@@ -109,7 +109,7 @@
 pub async fn wait_while<F: Future>(
     transfer: F,
     progress: &Progress,
-    setting: Setting,
+    setting: Config,
     mut moved: impl FnMut(),
     needed: impl Fn() -> bool,
 ) -> Result<F::Output, Error> {
@@ -129,7 +129,7 @@
             return Err(error);
         }
         if !needed() {
-            return Err(Error::NotNeeded);
+            return Err(Error::Cancelled);
         }
     }
 }
@@ -157,17 +157,17 @@
     }
 }
 
-fn given_up(setting: Setting, began: Instant, last: Option<Instant>) -> Option<Error> {
-    let Setting {
-        first,
-        pause,
-        whole,
+fn given_up(setting: Config, began: Instant, last: Option<Instant>) -> Option<Error> {
+    let Config {
+        first_byte: first,
+        idle: pause,
+        total: whole,
     } = setting;
     if began.elapsed() >= whole {
         return Some(Error::TooLong { after: whole });
     }
     match last {
         None => (began.elapsed() >= first).then_some(Error::NoAnswer { after: first }),
-        Some(last) => (last.elapsed() >= pause).then_some(Error::Stopped { after: pause }),
+        Some(last) => (last.elapsed() >= pause).then_some(Error::Stalled { after: pause }),
     }
 }
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::{Clock, since_boot};
-use pumicelatch::patience;
+use pumicelatch::timeout;
 
 #[test]
 fn time_since_boot_is_the_kernels_uptime_which_counts_suspended_time() {
@@ -35,7 +35,7 @@
             actix_rt::time::sleep(Duration::from_millis(50)).await;
             woken.set(Duration::from_secs(3));
         };
-        let wait = patience::within(now, Duration::from_millis(2_900), pending::<()>());
+        let wait = timeout::within(now, Duration::from_millis(2_900), pending::<()>());
         let began = clock.now();
         let (ended, ()) = futures_util::join!(wait, suspend);
         assert!(ended.is_none());
@@ -47,7 +47,7 @@
 fn what_is_ready_is_taken_though_its_limit_is_over() {
     actix_rt::System::new().block_on(async {
         let clock = Clock::default();
-        let step = patience::within(|| clock.now(), Duration::ZERO, async { 7 });
+        let step = timeout::within(|| clock.now(), Duration::ZERO, async { 7 });
         assert_eq!(step.await, Some(7));
     });
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use pumicelatch::bench::sample;
 use pumicelatch::bench::spread::model;
 use pumicelatch::member::Role;
-use pumicelatch::route::Policy;
+use pumicelatch::route::Strategy;
 use pumicelatch::spread::Favour;
 use pumicelatch::standin::engine;
 use pumicelatch::standin::fleet::{Fleet, Setting};
@@ -92,7 +92,7 @@
     }
     for entry in 0..shape.entries {
         fleet
-            .add_entry(entry % shape.halls, Policy::default())
+            .add_entry(entry % shape.halls, Strategy::default())
             .unwrap();
     }
     fleet.list_all();
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -10,7 +10,7 @@
 use pumicelatch::request::{
     Admission, Answer, Break, Key, Ledger, Next, Outcome, RetryBudget, Situation, after_break,
 };
-use pumicelatch::route::{Ask, End, Load, Need, Policy, ReplicaKey, Table};
+use pumicelatch::route::{Completion, Load, Query, ReplicaKey, Resource, Strategy, Table};
 use pumicelatch::template::fleet::Priority;
 use pumicelatch::version::{self, EngineState, Fence, Local, Residence, Step};
 use pumicelatch::weight::Digest;
@@ -234,8 +234,8 @@
     assert_eq!(keys[1].to_string().parse(), Ok(keys[1].clone()));
 }
 
-fn need() -> Need {
-    Need::Version(Digest::of(b"v"))
+fn need() -> Resource {
+    Resource::Version(Digest::of(b"v"))
 }
 
 fn load(in_flight: u32) -> Load {
@@ -265,12 +265,12 @@
 fn choose(
     table: &mut Table,
     tried: &[ReplicaKey],
-    policy: Policy,
+    policy: Strategy,
     now: Time,
 ) -> Option<ReplicaKey> {
     let need = need();
-    let ask = Ask {
-        need: &need,
+    let ask = Query {
+        resource: &need,
         halls: &[],
         prefix: None,
         tried,
@@ -281,11 +281,11 @@
         .map(|choice| choice.replica)
 }
 
-const POLICIES: [Policy; 4] = [
-    Policy::RoundRobin,
-    Policy::LeastOfTwo,
-    Policy::Expected,
-    Policy::Declared,
+const POLICIES: [Strategy; 4] = [
+    Strategy::RoundRobin,
+    Strategy::LeastOfTwo,
+    Strategy::Expected,
+    Strategy::Declared,
 ];
 
 #[test]
@@ -296,7 +296,7 @@
         leaving.leaving = true;
         table.report(keys[0], leaving, Time::default());
         table.report(keys[0], load(0), Time::default());
-        table.listed(keys[1], true);
+        table.set_listed_leaving(keys[1], true);
         let mut empty = load(0);
         empty.serves.clear();
         table.report(keys[2], empty, Time::default());
@@ -315,17 +315,17 @@
     let (mut table, keys) = table(2);
     let start = Time::default();
     table.begin(keys[0]);
-    table.end(keys[0], End::Failed, start);
+    table.end(keys[0], Completion::Failed, start);
     for step in 0..20 {
         let now = start + Duration::from_millis(step);
         assert_eq!(
-            choose(&mut table, &[], Policy::RoundRobin, now),
+            choose(&mut table, &[], Strategy::RoundRobin, now),
             Some(keys[1])
         );
     }
     let later = start + Duration::from_millis(300);
     let chosen: Vec<_> = (0..10)
-        .map(|_| choose(&mut table, &[], Policy::RoundRobin, later))
+        .map(|_| choose(&mut table, &[], Strategy::RoundRobin, later))
         .collect();
     let tries = chosen
         .iter()
@@ -344,7 +344,7 @@
     let mut to_second = 0;
     for step in 0..30 {
         let now = Time(step);
-        let chosen = choose(&mut table, &[], Policy::Expected, now).unwrap();
+        let chosen = choose(&mut table, &[], Strategy::Expected, now).unwrap();
         table.begin(chosen);
         to_second += usize::from(chosen == keys[1]);
     }
@@ -360,17 +360,17 @@
     target.set_capacity(2);
     let second = Duration::from_secs(1);
     for _ in 0..2 {
-        target.judge(Priority::Low, second).unwrap();
+        target.check(Priority::Low, second).unwrap();
         target.begin(None);
     }
     target.begin(None);
     target.end(None, Some(Duration::from_millis(400)));
-    assert!(target.judge(Priority::High, second).is_ok());
-    let hasty = target.judge(Priority::High, Duration::from_millis(10));
+    assert!(target.check(Priority::High, second).is_ok());
+    let hasty = target.check(Priority::High, Duration::from_millis(10));
     assert!(matches!(hasty, Err(limit::Refusal::Deadline { .. })));
     let mut admitted = BTreeMap::new();
     for priority in [Priority::Low, Priority::Normal, Priority::High] {
-        while target.judge(priority, Duration::from_secs(60)).is_ok() {
+        while target.check(priority, Duration::from_secs(60)).is_ok() {
             target.begin(None);
             *admitted.entry(priority).or_insert(0) += 1;
         }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -10,16 +10,16 @@
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::gateway::event::Cutter;
-use pumicelatch::limit::admission::{self, Bounds, Case, Verdict};
+use pumicelatch::limit::admission::{self, Bounds, Input, Verdict};
 use pumicelatch::member::replica::{Held, Record};
 use pumicelatch::policy::Policy;
 use pumicelatch::request::Outcome;
 use pumicelatch::request::attempt::{self, Ended, Next, Situation};
 use pumicelatch::request::budget::{Budget, Setting};
-use pumicelatch::route::estimate::{self, Demand, Work};
-use pumicelatch::route::health::{Health, Sign};
-use pumicelatch::route::pool::{Ask, Key, ModelNeed, Pool, Shortage};
-use pumicelatch::route::replica::{Due, Load};
+use pumicelatch::route::estimate::{self, Backlog, Demand};
+use pumicelatch::route::health::{Health, Signal};
+use pumicelatch::route::pool::{Key, ModelQuery, Pool, Query, Unavailable};
+use pumicelatch::route::replica::{Load, Schedule};
 use pumicelatch::sidecar::trip::Trips;
 use pumicelatch::version::rollout;
 use pumicelatch::weight::Digest;
@@ -78,7 +78,7 @@
     }
 }
 
-fn pool_of(records: Vec<Record>, due: Option<Due>) -> Pool {
+fn pool_of(records: Vec<Record>, due: Option<Schedule>) -> Pool {
     let mut pool = Pool::new("lis-a".into(), Policy::default());
     let list: BTreeMap<Arc<str>, Listed> = records
         .into_iter()
@@ -109,13 +109,13 @@
 }
 
 impl Asking {
-    fn ask(&self) -> Ask<'_> {
-        Ask {
+    fn ask(&self) -> Query<'_> {
+        Query {
             service: "tutor",
-            model: Some(ModelNeed {
+            model: Some(ModelQuery {
                 model: MODEL,
-                oldest: self.oldest,
-                only: self.only,
+                min_version: self.oldest,
+                pinned_version: self.only,
             }),
             engine: Some(&self.engine),
             demand: Demand {
@@ -131,7 +131,7 @@
         }
     }
 
-    fn choose(&self, pool: &Pool, now: Time) -> Result<String, Shortage> {
+    fn choose(&self, pool: &Pool, now: Time) -> Result<String, Unavailable> {
         let mut rng = SmallRng::seed_from_u64(7);
         let choice = pool.choose(self.ask(), now, &mut rng)?;
         Ok(pool.get(choice.key).unwrap().record.id.to_string())
@@ -205,18 +205,18 @@
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     pool.report(address(1), &report(0, 0, 1), NOW);
     pool.report(address(2), &report(16, 9, 1), NOW);
-    let keys = pool.of("tutor").to_vec();
+    let keys = pool.by_service("tutor").to_vec();
     let first = |key: &&Key| pool.get(**key).unwrap().record.address == address(1);
     let first = *keys.iter().find(first).unwrap();
     let asking = Asking::default();
     let mut rng = SmallRng::seed_from_u64(7);
     let full = [first];
-    let ask = Ask {
+    let ask = Query {
         full: &full,
         ..asking.ask()
     };
     assert_ne!(pool.choose(ask, NOW, &mut rng).unwrap().key, first);
-    let ask = Ask {
+    let ask = Query {
         full: &keys,
         ..asking.ask()
     };
@@ -229,27 +229,27 @@
     for host in [1, 2] {
         pool.report(address(host), &report(2, 0, 1), NOW);
     }
-    let key = pool.of("tutor")[0];
+    let key = pool.by_service("tutor")[0];
     let id = pool.get(key).unwrap().record.id.clone();
-    assert!(pool.gives_places(key, NOW));
-    pool.unheard(key, true, NOW);
-    assert!(!pool.gives_places(key, NOW));
+    assert!(pool.grants_leases(key, NOW));
+    pool.mark_unresponsive(key, true, NOW);
+    assert!(!pool.grants_leases(key, NOW));
     assert_ne!(Asking::default().choose(&pool, NOW).unwrap(), *id);
     let later = NOW + Duration::from_millis(1_100);
-    assert!(pool.gives_places(key, later));
+    assert!(pool.grants_leases(key, later));
 }
 
 #[test]
 fn a_queue_explains_a_silence_while_someone_says_that_it_is_there() {
     let mut pool = pool_of(vec![record(1, 1)], None);
-    let key = pool.of("tutor")[0];
-    assert!(!pool.queues(key, NOW), "nobody says so");
+    let key = pool.by_service("tutor")[0];
+    assert!(!pool.has_queue(key, NOW), "nobody says so");
     pool.report(address(1), &report(15, 0, 1), NOW);
-    assert!(!pool.queues(key, NOW), "a place is free");
+    assert!(!pool.has_queue(key, NOW), "a place is free");
     pool.report(address(1), &report(16, 4, 1), NOW);
-    assert!(pool.queues(key, NOW));
+    assert!(pool.has_queue(key, NOW));
     assert!(
-        !pool.queues(key, NOW + Duration::from_secs(3)),
+        !pool.has_queue(key, NOW + Duration::from_secs(3)),
         "it was long ago"
     );
     let dead = Load {
@@ -257,7 +257,7 @@
         ..report(16, 4, 1)
     };
     pool.report(address(1), &dead, NOW);
-    assert!(!pool.queues(key, NOW), "nobody is there");
+    assert!(!pool.has_queue(key, NOW), "nobody is there");
 }
 
 #[test]
@@ -267,15 +267,15 @@
     for host in [1, 2] {
         pool.report(address(host), &report(2, 0, 1), NOW);
     }
-    assert_eq!(pool.changed("lis-a"), Some(NOW));
+    assert_eq!(pool.last_availability_change("lis-a"), Some(NOW));
     pool.report(address(1), &report(9, 3, 1), at(100));
-    assert_eq!(pool.changed("lis-a"), Some(NOW));
+    assert_eq!(pool.last_availability_change("lis-a"), Some(NOW));
     let switching = Load {
         switching: true,
         ..report(9, 3, 1)
     };
     pool.report(address(2), &switching, at(200));
-    assert_eq!(pool.changed("lis-a"), Some(at(200)));
+    assert_eq!(pool.last_availability_change("lis-a"), Some(at(200)));
     let told = pool.reports_since("lis-a", at(150), at(210));
     assert_eq!(told.len(), 1);
     assert!(told[0].address == address(2) && told[0].load.switching && told[0].age_ms == 10);
@@ -296,12 +296,15 @@
     pool.report(address(2), &dead, NOW);
     assert_eq!(Asking::default().choose(&pool, NOW).unwrap(), "i-3");
     let third = *pool
-        .of("tutor")
+        .by_service("tutor")
         .iter()
         .find(|key| &*pool.get(**key).unwrap().record.id == "i-3")
         .unwrap();
-    pool.deny(third);
-    assert_eq!(Asking::default().choose(&pool, NOW), Err(Shortage::NoneFit));
+    pool.invalidate(third);
+    assert_eq!(
+        Asking::default().choose(&pool, NOW),
+        Err(Unavailable::NoneEligible)
+    );
 }
 
 #[test]
@@ -325,40 +328,40 @@
 
 #[test]
 fn nothing_is_sent_that_would_start_on_an_old_version_after_its_bound() {
-    let due = Due {
-        named: vec![Wanted {
+    let due = Schedule {
+        versions: vec![Wanted {
             version: 2,
             revision: 1,
             since: NOW,
         }],
-        begins: Duration::from_millis(5_000),
-        bound: Duration::from_millis(7_400),
+        drain_after: Duration::from_millis(5_000),
+        cutoff: Duration::from_millis(7_400),
     };
     let mut pool = pool_of(vec![record(1, 1)], Some(due));
     let at = |millis| NOW + Duration::from_millis(millis);
     assert!(Asking::default().choose(&pool, at(1_000)).is_ok());
     assert_eq!(
         Asking::default().choose(&pool, at(7_390)),
-        Err(Shortage::NoneFit)
+        Err(Unavailable::NoneEligible)
     );
     // Behind others it would wait too long already a little earlier.
     pool.report(address(1), &report(16, 8, 1), at(6_900));
     assert_eq!(
         Asking::default().choose(&pool, at(6_900)),
-        Err(Shortage::NoneFit)
+        Err(Unavailable::NoneEligible)
     );
 }
 
 #[test]
 fn a_request_that_outlasts_a_change_of_version_goes_to_a_replica_that_changes_later() {
-    let due = |begins| Due {
-        named: vec![Wanted {
+    let due = |begins| Schedule {
+        versions: vec![Wanted {
             version: 2,
             revision: 1,
             since: NOW,
         }],
-        begins: Duration::from_millis(begins),
-        bound: Duration::from_millis(7_400),
+        drain_after: Duration::from_millis(begins),
+        cutoff: Duration::from_millis(7_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
     let list: BTreeMap<Arc<str>, Listed> = [record(1, 1), record(2, 1)]
@@ -378,14 +381,14 @@
 /// their change passes, and nobody has changed.
 #[test]
 fn replicas_whose_change_is_late_are_not_left_to_those_that_change_last() {
-    let named = |begins_ms| Due {
-        named: vec![Wanted {
+    let named = |begins_ms| Schedule {
+        versions: vec![Wanted {
             version: 2,
             revision: 1,
             since: NOW,
         }],
-        begins: Duration::from_millis(begins_ms),
-        bound: Duration::from_millis(9_400),
+        drain_after: Duration::from_millis(begins_ms),
+        cutoff: Duration::from_millis(9_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
     let list: BTreeMap<Arc<str>, Listed> = (1..=5)
@@ -409,7 +412,7 @@
 fn a_replica_whose_first_events_are_overdue_is_left_for_another() {
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     let key = |pool: &Pool, id: &str| {
-        let keys = pool.of("tutor").to_vec();
+        let keys = pool.by_service("tutor").to_vec();
         keys.into_iter()
             .find(|key| &*pool.get(*key).unwrap().record.id == id)
             .unwrap()
@@ -423,15 +426,15 @@
 }
 
 /// A replica that has version 2 before it, named now, with its bound after 7.4 s.
-fn due_in_seven_seconds() -> Due {
-    Due {
-        named: vec![Wanted {
+fn due_in_seven_seconds() -> Schedule {
+    Schedule {
+        versions: vec![Wanted {
             version: 2,
             revision: 1,
             since: NOW,
         }],
-        begins: Duration::from_millis(7_000),
-        bound: Duration::from_millis(7_400),
+        drain_after: Duration::from_millis(7_000),
+        cutoff: Duration::from_millis(7_400),
     }
 }
 
@@ -484,7 +487,7 @@
     pool.update(&BTreeMap::new(), |_| None);
     assert_eq!(
         Asking::default().choose(&pool, NOW),
-        Err(Shortage::NoneListed)
+        Err(Unavailable::NoneListed)
     );
 }
 
@@ -495,9 +498,9 @@
         prompt: 979,
         output: 92,
     };
-    let work = |requests, unread| Work {
+    let work = |requests, unread| Backlog {
         requests,
-        unread,
+        prompt_tokens: unread,
         pace: 1.0,
     };
     let spread = Policy::default().queue_spread;
@@ -513,18 +516,18 @@
 fn a_replica_that_fails_more_than_its_fellows_is_passed_over_and_tried_again() {
     let mut health = Health::default();
     for _ in 0..6 {
-        health.note(Sign::Failed, 0.1, NOW);
+        health.record(Signal::Failed, 0.1, NOW);
     }
     assert!(health.paused(NOW));
     assert!(!health.paused(health.paused_until()));
     let mut usual = Health::default();
     for step in 0..50 {
         let sign = if step % 7 == 0 {
-            Sign::Failed
+            Signal::Failed
         } else {
-            Sign::Whole(Duration::ZERO)
+            Signal::Success(Duration::ZERO)
         };
-        usual.note(sign, 0.14, NOW);
+        usual.record(sign, 0.14, NOW);
         assert!(!usual.paused(NOW), "it fails no more than its fellows");
     }
 }
@@ -536,14 +539,14 @@
             return TestResult::discard();
         }
         let objective = Duration::from_millis(u64::from(objective));
-        let case = Case {
+        let case = Input {
             elapsed: Duration::from_millis(u64::from(elapsed)),
             remaining: Duration::from_secs(6),
             expected: Some(Duration::from_millis(u64::from(expected))),
         };
         let quarter = objective / 4;
         TestResult::from_bool(
-            match admission::judge(case, Bounds::new(objective, objective)) {
+            match admission::evaluate(case, Bounds::new(objective, objective)) {
                 Verdict::Send => case.elapsed + case.expected.unwrap() <= objective,
                 Verdict::Wait(pause) => case.elapsed + pause <= quarter,
                 Verdict::Refuse { retry_after } => !retry_after.is_zero(),
@@ -841,15 +844,15 @@
 #[test]
 fn a_list_that_names_weights_which_are_lost_is_noticed() {
     let mut pool = pool_of((1..=4).map(|host| record(host, 1)).collect(), None);
-    assert!(!pool.mostly_denied("tutor"));
-    let keys = pool.of("tutor").to_vec();
-    pool.deny(keys[0]);
+    assert!(!pool.mostly_invalidated("tutor"));
+    let keys = pool.by_service("tutor").to_vec();
+    pool.invalidate(keys[0]);
     assert!(
-        !pool.mostly_denied("tutor"),
+        !pool.mostly_invalidated("tutor"),
         "one may just have been replaced"
     );
-    pool.deny(keys[1]);
-    assert!(pool.mostly_denied("tutor"));
+    pool.invalidate(keys[1]);
+    assert!(pool.mostly_invalidated("tutor"));
 }
 
 #[test]
@@ -862,14 +865,14 @@
         ..report(0, 0, 1)
     };
     pool.report(address(1), &progress(0), NOW);
-    assert_eq!(pool.arrival("tutor", NOW), None, "nothing has come yet");
+    assert_eq!(pool.weights_eta("tutor", NOW), None, "nothing has come yet");
     let later = NOW + Duration::from_millis(500);
     pool.report(address(1), &progress(16), later);
-    let arrival = pool.arrival("tutor", later).unwrap();
+    let arrival = pool.weights_eta("tutor", later).unwrap();
     // 48 more chunks at 32 a second, and the time to take them in.
     assert!(arrival > Duration::from_millis(1_500) && arrival < Duration::from_millis(2_500));
-    let nearer = pool.arrival("tutor", later + Duration::from_millis(300));
+    let nearer = pool.weights_eta("tutor", later + Duration::from_millis(300));
     assert_eq!(nearer, Some(arrival - Duration::from_millis(300)));
     pool.report(address(1), &report(0, 0, 1), later);
-    assert_eq!(pool.arrival("tutor", later), None, "it holds them");
+    assert_eq!(pool.weights_eta("tutor", later), None, "it holds them");
 }
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -359,7 +359,7 @@
                 let jitter = 0.7 + 0.6 * f64::from(jitters.next().unwrap_or(255)) / 255.0;
                 let waits = pace.patience(false);
                 // A call may fall silent before its answer or within it.
-                let patience = waits.first.max(waits.pause);
+                let patience = waits.first_byte.max(waits.idle);
                 at += (patience + pace.failed(jitter)).as_millis() as u64;
             }
         }
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -12,8 +12,8 @@
 use pumicelatch::member::replica::{Held, Record};
 use pumicelatch::policy::Policy;
 use pumicelatch::route::estimate::Demand;
-use pumicelatch::route::health::Sign;
-use pumicelatch::route::pool::{Ask, Choice, Key, ModelNeed, Pool, Shortage};
+use pumicelatch::route::health::Signal;
+use pumicelatch::route::pool::{Choice, Key, ModelQuery, Pool, Query, Unavailable};
 use pumicelatch::route::replica::Load;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -84,13 +84,13 @@
         effect
     }
 
-    fn ask(&self) -> Ask<'_> {
-        Ask {
+    fn ask(&self) -> Query<'_> {
+        Query {
             service: "tutor",
-            model: Some(ModelNeed {
+            model: Some(ModelQuery {
                 model: "model",
-                oldest: 0,
-                only: None,
+                min_version: 0,
+                pinned_version: None,
             }),
             engine: Some(&self.engine),
             demand: Demand {
@@ -106,13 +106,13 @@
         }
     }
 
-    fn choose(&self) -> Result<Choice, Shortage> {
+    fn choose(&self) -> Result<Choice, Unavailable> {
         self.pool
             .choose(self.ask(), NOW, &mut SmallRng::seed_from_u64(1))
     }
 
     fn key(&self) -> Key {
-        self.pool.of("tutor")[0]
+        self.pool.by_service("tutor")[0]
     }
 }
 
@@ -193,7 +193,7 @@
             if told {
                 assert_eq!(
                     entry.choose(),
-                    Err(Shortage::NoneFit),
+                    Err(Unavailable::NoneEligible),
                     "{order:?} after {news:?}"
                 );
             }
@@ -247,15 +247,15 @@
         .map(|_| entry.pool.begin(first, demand, Duration::ZERO, NOW))
         .collect();
     for _ in 0..8 {
-        entry.pool.note(first, Sign::Broken, NOW);
+        entry.pool.record_health(first, Signal::Broken, NOW);
     }
-    entry.pool.deny(first);
-    entry.pool.unheard(first, true, NOW);
-    assert_eq!(entry.choose(), Err(Shortage::NoneFit));
-    assert_eq!(entry.pool.take_reborn(), []);
+    entry.pool.invalidate(first);
+    entry.pool.mark_unresponsive(first, true, NOW);
+    assert_eq!(entry.choose(), Err(Unavailable::NoneEligible));
+    assert_eq!(entry.pool.take_restarted(), []);
 
     entry.learn(12, record(SECOND, holding(1)));
-    assert_eq!(entry.pool.take_reborn(), [address]);
+    assert_eq!(entry.pool.take_restarted(), [address]);
     let second = entry.key();
     assert_ne!(
         second, first,
@@ -268,9 +268,11 @@
     // What the first life's requests and its process still bring changes nothing.
     let late = NOW + Duration::from_millis(900);
     for number in numbers {
-        entry.pool.started(first, number, demand, true, late);
+        entry
+            .pool
+            .record_first_event(first, number, demand, true, late);
         entry.pool.end(first, number);
-        entry.pool.note(first, Sign::Unreachable, late);
+        entry.pool.record_health(first, Signal::Unreachable, late);
     }
     entry.pool.report(address, &load(FIRST, holding(1)), late);
     let choice = entry.choose().unwrap();
@@ -279,7 +281,7 @@
         (second, 0, alone)
     );
     assert!(
-        !entry.pool.gives_places(second, late),
+        !entry.pool.grants_leases(second, late),
         "its process has not told yet"
     );
 }
@@ -296,7 +298,7 @@
         for (step, record) in order.into_iter().enumerate() {
             entry.learn(10 + step as u64, record.clone());
         }
-        let ids = entry.pool.of("tutor").iter();
+        let ids = entry.pool.by_service("tutor").iter();
         let ids = ids.map(|&key| entry.pool.get(key).unwrap().record.id.clone());
         ids.collect::<Vec<Arc<str>>>()
     };
@@ -320,7 +322,7 @@
     let address = "10.0.0.1:80".parse().unwrap();
     entry.pool.report(address, &load(SECOND, holding(2)), NOW);
     let holds = |id: &str| {
-        let keys = entry.pool.of("tutor").iter();
+        let keys = entry.pool.by_service("tutor").iter();
         let mut found = keys.map(|&key| entry.pool.get(key).unwrap());
         let found = found.find(|replica| &*replica.record.id == id).unwrap();
         found.version("model", NOW)
@@ -335,7 +337,7 @@
     entry.learn(10, record(FIRST, holding(1)));
     let address = "10.0.0.1:80".parse().unwrap();
     let known = entry.pool.ids_at(address);
-    let over = |entry: &Entry| entry.pool.outlived(address, FIRST, &known, NOW);
+    let over = |entry: &Entry| entry.pool.superseded(address, FIRST, &known, NOW);
     entry.pool.report(address, &load(FIRST, holding(1)), NOW);
     assert!(!over(&entry), "it is there");
 
--- a/tests/notice.rs
+++ b/tests/notice.rs
@@ -10,8 +10,8 @@
 use pumicelatch::member::replica::Record;
 use pumicelatch::policy::Policy;
 use pumicelatch::route::estimate::Demand;
-use pumicelatch::route::notice::{Notice, Wish};
-use pumicelatch::route::pool::{Ask, Key, Pool, Shortage};
+use pumicelatch::route::notice::{Notice, Suspension};
+use pumicelatch::route::pool::{Key, Pool, Query, Unavailable};
 use pumicelatch::route::replica::Load;
 use quickcheck::quickcheck;
 use rand::SeedableRng;
@@ -21,13 +21,13 @@
 
 const LEAVES: Notice = Notice {
     leaving: true,
-    rest: None,
+    backoff: None,
 };
 
 fn rest(millis: u64) -> Notice {
     Notice {
         leaving: false,
-        rest: Some(Duration::from_millis(millis)),
+        backoff: Some(Duration::from_millis(millis)),
     }
 }
 
@@ -71,9 +71,9 @@
     pool
 }
 
-fn choose(pool: &Pool, now: Time) -> Result<Key, Shortage> {
+fn choose(pool: &Pool, now: Time) -> Result<Key, Unavailable> {
     let regions = Regions::default();
-    let ask = Ask {
+    let ask = Query {
         service: "plain",
         model: None,
         engine: None,
@@ -96,13 +96,13 @@
 fn tell(pool: &mut Pool, notice: Notice, now: Time) -> Key {
     let key = choose(pool, now).unwrap();
     let life = pool.get(key).unwrap().record.life();
-    assert!(pool.take_notice(key, &life, notice, now));
+    assert!(pool.apply_notice(key, &life, notice, now));
     key
 }
 
 #[test]
 fn a_time_that_is_none_is_no_wish_for_rest() {
-    let of = |seconds| Notice::new(false, Some(seconds)).rest;
+    let of = |seconds| Notice::new(false, Some(seconds)).backoff;
     for seconds in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
         assert_eq!(of(seconds), None, "{seconds}");
     }
@@ -112,11 +112,11 @@
 
 #[test]
 fn a_shorter_rest_does_not_end_a_longer_one() {
-    let mut wish = Wish::default();
-    assert!(wish.take(rest(3_000), NOW));
-    assert!(!wish.take(rest(500), after(100)));
-    assert!(wish.refuses(after(2_999)));
-    assert!(!wish.refuses(after(3_000)));
+    let mut wish = Suspension::default();
+    assert!(wish.apply(rest(3_000), NOW));
+    assert!(!wish.apply(rest(500), after(100)));
+    assert!(wish.rejects(after(2_999)));
+    assert!(!wish.rejects(after(3_000)));
 }
 
 #[test]
@@ -127,7 +127,7 @@
     tell(&mut pool, rest(1_000), after(1));
     let shortage = choose(&pool, after(501)).unwrap_err();
     let first = Duration::from_millis(500);
-    assert_eq!(shortage, Shortage::Resting { rest: first });
+    assert_eq!(shortage, Unavailable::BackingOff { remaining: first });
     assert!(choose(&pool, after(1_001)).is_ok());
 }
 
@@ -136,10 +136,10 @@
     let mut pool = pool(&[record(1, 5)]);
     tell(&mut pool, LEAVES, NOW);
     let later = after(3_000_000);
-    assert_eq!(choose(&pool, later), Err(Shortage::NoneFit));
+    assert_eq!(choose(&pool, later), Err(Unavailable::NoneEligible));
     list(&mut pool, &[]);
     list(&mut pool, &[record(1, 5)]);
-    assert_eq!(choose(&pool, later), Err(Shortage::NoneFit));
+    assert_eq!(choose(&pool, later), Err(Unavailable::NoneEligible));
 }
 
 #[test]
@@ -168,7 +168,7 @@
     pool.report("10.0.0.2:80".parse().unwrap(), &leaves, NOW);
     let first = Duration::from_millis(700);
     let shortage = choose(&pool, after(100)).unwrap_err();
-    assert_eq!(shortage, Shortage::Resting { rest: first });
+    assert_eq!(shortage, Unavailable::BackingOff { remaining: first });
     let one = pool.get(choose(&pool, after(900)).unwrap()).unwrap();
     assert_eq!(&*one.record.id, "i-1");
 }
@@ -176,23 +176,23 @@
 quickcheck! {
     fn what_is_written_is_read(leaving: bool, millis: u16) -> bool {
         let notice = Notice::new(leaving, Some(f64::from(millis) / 1_000.0));
-        Notice::of(&notice.to_string()) == notice
+        Notice::parse(&notice.to_string()) == notice
     }
 
     fn what_is_no_notice_tells_nothing_or_less(text: String) -> bool {
-        let notice = Notice::of(&text);
-        notice.rest.is_none_or(|rest| rest <= Duration::from_secs(600))
+        let notice = Notice::parse(&text);
+        notice.backoff.is_none_or(|rest| rest <= Duration::from_secs(600))
     }
 
     /// A rest is over when the longest of those asked for is.
     fn rests_are_kept_to_the_end_of_the_last(told: Vec<(u16, u16)>) -> bool {
         let mut told = told;
         told.sort_unstable();
-        let (mut wish, mut until) = (Wish::default(), Time::default());
+        let (mut wish, mut until) = (Suspension::default(), Time::default());
         for (at, millis) in told {
-            wish.take(rest(u64::from(millis)), after(at.into()));
+            wish.apply(rest(u64::from(millis)), after(at.into()));
             until = until.max(after(u64::from(at) + u64::from(millis)));
         }
-        until == Time::default() || (wish.rest(until).is_zero() && wish.refuses(until - Duration::from_millis(1)))
+        until == Time::default() || (wish.backoff(until).is_zero() && wish.rejects(until - Duration::from_millis(1)))
     }
 }
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -5,13 +5,13 @@
 
 use pumicelatch::clock::Time;
 use pumicelatch::config::routing::Engine;
-use pumicelatch::limit::returning::{Fingerprint, Refused};
+use pumicelatch::lease::{Ledger, Request, Response};
+use pumicelatch::limit::retry::{Fingerprint, Rejection};
 use pumicelatch::member::replica::Held;
-use pumicelatch::place::{Answer, Ask, Ledger};
-use pumicelatch::route::estimate::{self, Demand, Work};
+use pumicelatch::route::estimate::{self, Backlog, Demand};
 use pumicelatch::route::pool::Key;
 use pumicelatch::route::replica::Load;
-use pumicelatch::route::search::{Said, Search, Step};
+use pumicelatch::route::search::{Reply, Search, Step};
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -53,25 +53,25 @@
     }
 }
 
-fn ask(limit_ms: u64) -> Ask {
-    Ask {
+fn ask(limit_ms: u64) -> Request {
+    Request {
         prompt: 900,
         output: 70,
         limit_ms,
         queue_spread: 200,
-        ..Ask::default()
+        ..Request::default()
     }
 }
 
-fn given(ledger: &mut Ledger, ask: Ask, load: Load, now: Time) -> bool {
+fn given(ledger: &mut Ledger, ask: Request, load: Load, now: Time) -> bool {
     ledger.answer(&ask, load, Some(&engine()), now).given
 }
 
 /// The limit of a place at once: one prompt to be read before, and all other slots taken.
 fn tight_ms() -> u64 {
-    let work = Work {
+    let work = Backlog {
         requests: 7,
-        unread: 900.0,
+        prompt_tokens: 900.0,
         pace: 1.0,
     };
     let demand = Demand {
@@ -84,7 +84,7 @@
 #[test]
 fn entries_that_ask_at_the_same_moment_are_not_all_given_the_same_free_place() {
     let mut ledger = Ledger::default();
-    ledger.shown(7, NOW);
+    ledger.observe(7, NOW);
     // Thirty entries have read that one place of eight is free.
     let places = (0..30).filter(|_| given(&mut ledger, ask(tight_ms()), load(7, 0), NOW));
     assert_eq!(places.count(), 1);
@@ -93,22 +93,22 @@
 #[test]
 fn each_place_on_its_way_counts_as_a_prompt_to_read() {
     let mut ledger = Ledger::default();
-    ledger.shown(0, NOW);
+    ledger.observe(0, NOW);
     let places = (0..30).filter(|_| given(&mut ledger, ask(tight_ms()), load(0, 0), NOW));
     // One that is read, and one behind it: a third would be late by a whole prompt.
     assert_eq!(places.count(), 2);
     let answer = ledger.answer(&ask(tight_ms()), load(0, 0), Some(&engine()), NOW);
-    assert_eq!(answer.load.present(), 2);
+    assert_eq!(answer.load.in_progress(), 2);
 }
 
 #[test]
 fn a_place_on_its_way_takes_a_slot_however_short_its_prompt() {
-    let short = |limit_ms| Ask {
+    let short = |limit_ms| Request {
         prompt: 1,
         ..ask(limit_ms)
     };
     let mut ledger = Ledger::default();
-    ledger.shown(6, NOW);
+    ledger.observe(6, NOW);
     // Both free slots, with time to spare, and none of those that are not there.
     let places = (0..30).filter(|_| given(&mut ledger, short(150), load(6, 0), NOW));
     assert_eq!(places.count(), 2);
@@ -125,20 +125,20 @@
         answer.expected_ms.unwrap()
     };
     let mut ledger = Ledger::default();
-    ledger.shown(3, NOW);
+    ledger.observe(3, NOW);
     let alone = expected(&mut ledger, NOW);
-    let long = Ask {
+    let long = Request {
         prompt: 4_000,
         ..ask(2_000)
     };
     assert!(given(&mut ledger, long, load(3, 0), NOW));
     // It is read in the next pass together with whoever comes before that begins.
-    let read = estimate::read(&engine(), 4_000, 1.0).as_millis() as u64;
+    let read = estimate::prefill(&engine(), 4_000, 1.0).as_millis() as u64;
     let together = expected(&mut ledger, NOW);
     assert!(together.abs_diff(alone + read) <= 3, "{together}");
     // Half a pass later it is being read: the rest of that pass, and one more.
-    ledger.shown(4, at(60));
-    let pass = estimate::pass(&engine(), 3, 1.0).as_millis() as u64;
+    ledger.observe(4, at(60));
+    let pass = estimate::iteration(&engine(), 3, 1.0).as_millis() as u64;
     let meanwhile = expected(&mut ledger, at(60));
     assert!(
         meanwhile > read && meanwhile < together + pass,
@@ -155,26 +155,26 @@
 fn a_caller_who_comes_back_is_known_through_what_another_entry_refused() {
     let entry = |number: u8| std::net::SocketAddr::from(([10, 0, 0, number], 80));
     let request = Fingerprint::of([b"/summary".as_slice()]);
-    let refused = Refused {
+    let refused = Rejection {
         request,
         age_ms: 300,
         left_ms: 4_000,
     };
     let mut ledger = Ledger::default();
-    let told = Ask {
+    let told = Request {
         from: Some(entry(1)),
         refused: vec![refused],
         ..ask(0)
     };
     ledger.answer(&told, load(3, 0), Some(&engine()), NOW);
-    let back = |limit_ms, late_ms| Ask {
+    let back = |limit_ms, late_ms| Request {
         from: Some(entry(2)),
         request: Some(request),
         whole_ms: limit_ms,
         late_ms,
         ..ask(limit_ms)
     };
-    let stranger = Ask {
+    let stranger = Request {
         request: Some(Fingerprint::of([b"/other".as_slice()])),
         ..back(400, 100)
     };
@@ -202,7 +202,7 @@
 #[test]
 fn a_longer_limit_opens_the_queue() {
     let mut ledger = Ledger::default();
-    ledger.shown(8, NOW);
+    ledger.observe(8, NOW);
     assert!(!given(&mut ledger, ask(tight_ms()), load(8, 0), NOW));
     assert!(!given(&mut ledger, ask(500), load(8, 0), NOW));
     assert!(given(&mut ledger, ask(700), load(8, 0), NOW));
@@ -212,15 +212,15 @@
 fn a_lease_ends_when_its_request_is_shown_and_when_it_does_not_come() {
     let at = |ms| NOW + Duration::from_millis(ms);
     let mut ledger = Ledger::default();
-    ledger.shown(3, NOW);
+    ledger.observe(3, NOW);
     for _ in 0..2 {
         assert!(given(&mut ledger, ask(2_000), load(3, 0), NOW));
     }
-    ledger.shown(4, at(10));
+    ledger.observe(4, at(10));
     assert_eq!(ledger.leased(), 1, "one has come");
-    ledger.shown(4, at(30));
+    ledger.observe(4, at(30));
     assert_eq!(ledger.leased(), 1, "the other is on its way");
-    ledger.shown(4, at(100));
+    ledger.observe(4, at(100));
     assert_eq!(ledger.leased(), 0, "its entry is gone");
 }
 
@@ -251,7 +251,7 @@
         for (step, number) in steps {
             now = now + Duration::from_millis(u64::from(step % 40));
             if number % 3 == 0 {
-                ledger.shown(u32::from(number % 20), now);
+                ledger.observe(u32::from(number % 20), now);
                 grants.retain(|at: &Time| now.since(*at) < Duration::from_millis(60));
             } else if given(&mut ledger, ask(u64::from(number) * 10), load(2, 0), now) {
                 grants.push(now);
@@ -275,33 +275,33 @@
     let keys = keys(3);
     let mut search = Search::new(3, Duration::from_millis(500));
     for (key, expected) in keys.iter().zip([420, 310, 450]) {
-        assert_eq!(search.step(), Step::Another);
-        search.heard(*key, Said::Later(Duration::from_millis(expected)));
+        assert_eq!(search.step(), Step::Probe);
+        search.record(*key, Reply::Queued(Duration::from_millis(expected)));
     }
-    assert_eq!(search.step(), Step::Again(keys[1]));
-    search.heard(keys[1], Said::Later(Duration::from_millis(600)));
-    assert_eq!(search.step(), Step::Judge);
-    assert_eq!(search.asked().len(), 3);
+    assert_eq!(search.step(), Step::Retry(keys[1]));
+    search.record(keys[1], Reply::Queued(Duration::from_millis(600)));
+    assert_eq!(search.step(), Step::Decide);
+    assert_eq!(search.probed().len(), 3);
     // It would be late by now: what it said at first, before others came, is not sent by.
-    assert_eq!(search.least(), Some((Duration::from_millis(600), keys[1])));
+    assert_eq!(search.best(), Some((Duration::from_millis(600), keys[1])));
 }
 
 #[test]
 fn nobody_is_asked_again_who_would_be_late_or_takes_nothing() {
     let keys = keys(2);
     let mut search = Search::new(2, Duration::from_millis(500));
-    search.heard(keys[0], Said::Later(Duration::from_millis(700)));
-    search.heard(keys[1], Said::Nothing);
-    assert_eq!(search.step(), Step::Judge);
-    assert_eq!(search.least(), Some((Duration::from_millis(700), keys[0])));
+    search.record(keys[0], Reply::Queued(Duration::from_millis(700)));
+    search.record(keys[1], Reply::Unavailable);
+    assert_eq!(search.step(), Step::Decide);
+    assert_eq!(search.best(), Some((Duration::from_millis(700), keys[0])));
 }
 
 #[test]
 fn one_silent_process_ends_the_search() {
     let keys = keys(2);
     let mut search = Search::new(3, Duration::from_millis(500));
-    search.silent(keys[0]);
-    assert_eq!(search.step(), Step::Judge);
+    search.timed_out(keys[0]);
+    assert_eq!(search.step(), Step::Decide);
 }
 
 /// A replica in the load below: its ledger and when its requests end.
@@ -313,7 +313,7 @@
 }
 
 impl Box {
-    fn answer(&mut self, limit_ms: u64, now: Time) -> Answer {
+    fn answer(&mut self, limit_ms: u64, now: Time) -> Response {
         let load = load(self.shown, 0);
         self.ledger
             .answer(&ask(limit_ms), load, Some(&engine()), now)
@@ -321,7 +321,7 @@
 
     fn look(&mut self, now: Time) {
         self.shown = self.ends.len() as u32;
-        self.ledger.shown(self.shown, now);
+        self.ledger.observe(self.shown, now);
     }
 }
 
@@ -348,19 +348,19 @@
         let mut search = Search::new(asks, Duration::from_secs(2));
         let chosen = loop {
             let at = match search.step() {
-                Step::Another => rng.random_range(0..boxes.len()),
-                Step::Again(key) => break keys.iter().position(|known| *known == key).unwrap(),
-                Step::Judge => break rng.random_range(0..boxes.len()),
+                Step::Probe => rng.random_range(0..boxes.len()),
+                Step::Retry(key) => break keys.iter().position(|known| *known == key).unwrap(),
+                Step::Decide => break rng.random_range(0..boxes.len()),
             };
-            if search.asked().contains(&keys[at]) {
+            if search.probed().contains(&keys[at]) {
                 continue;
             }
             let answer = boxes[at].answer(tight_ms(), now);
             if answer.given {
                 break at;
             }
-            let expected = Duration::from_millis(u64::from(answer.load.present()));
-            search.heard(keys[at], Said::Later(expected));
+            let expected = Duration::from_millis(u64::from(answer.load.in_progress()));
+            search.record(keys[at], Reply::Queued(expected));
         };
         let place = &mut boxes[chosen];
         waiting += usize::from(place.ends.len() >= 8);
--- a/tests/stop_edge.rs
+++ b/tests/stop_edge.rs
@@ -9,7 +9,7 @@
 use pumicelatch::http::{self, Server};
 use pumicelatch::member::Role;
 use pumicelatch::node;
-use pumicelatch::route::Policy;
+use pumicelatch::route::Strategy;
 use pumicelatch::standin::fleet::KEYRING;
 use pumicelatch::stop;
 
@@ -80,7 +80,7 @@
                 list_url: nowhere,
             },
             keyring: KEYRING.parse().unwrap(),
-            policy: Policy::Expected,
+            policy: Strategy::Expected,
             remote_targets: 1,
             seed: 7,
         };
--- a/tests/template.rs
+++ b/tests/template.rs
@@ -234,7 +234,7 @@
 }
 
 fn holders(assignment: &Assignment, demand: &Demand) -> BTreeSet<String> {
-    let names = assignment.carriers(demand.version);
+    let names = assignment.holders(demand.version);
     names.map(|name| name.to_string()).collect()
 }
 
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -12,15 +12,15 @@
 use pumicelatch::config::routing::{Document, Route};
 use pumicelatch::http::{self, ClientSetting, Server};
 use pumicelatch::log::Repeats;
-use pumicelatch::patience::{self, Error, Progress, Setting};
+use pumicelatch::timeout::{self, Config, Error, Progress};
 use pumicelatch::wire::pack;
 use quickcheck::quickcheck;
 
 /// Shorter than the transfers of these tests.
-const SHORT: Setting = Setting {
-    first: Duration::from_millis(400),
-    pause: Duration::from_millis(400),
-    whole: Duration::from_secs(60),
+const SHORT: Config = Config {
+    first_byte: Duration::from_millis(400),
+    idle: Duration::from_millis(400),
+    total: Duration::from_secs(60),
 };
 
 fn run<F: Future>(body: F) -> F::Output {
@@ -33,19 +33,19 @@
     let ended = run(async {
         let progress = Progress::default();
         let transfer = async {
-            progress.came();
+            progress.touch();
             for _ in 0..50 {
                 sleep(Duration::from_millis(50)).await;
-                progress.came();
+                progress.touch();
             }
             "whole"
         };
         let moved = || moves.set(moves.get() + 1);
-        let waits = Setting {
-            pause: Duration::from_millis(2_000),
+        let waits = Config {
+            idle: Duration::from_millis(2_000),
             ..SHORT
         };
-        patience::wait_while(transfer, &progress, waits, moved, || true).await
+        timeout::wait_while(transfer, &progress, waits, moved, || true).await
     });
     assert_eq!(ended, Ok("whole"));
     assert!(moves.get() > 1, "whoever waits is told that it moves");
@@ -56,21 +56,21 @@
     let forever = std::future::pending::<()>;
     let (silent, stopped, needless, endless) = run(async {
         let none = Progress::default();
-        let silent = patience::wait_while(forever(), &none, SHORT, || {}, || true).await;
+        let silent = timeout::wait_while(forever(), &none, SHORT, || {}, || true).await;
         let progress = Progress::default();
-        progress.came();
-        let stopped = patience::wait_while(forever(), &progress, SHORT, || {}, || true).await;
-        let needless = patience::wait_while(forever(), &none, SHORT, || {}, || false).await;
-        let brief = Setting {
-            whole: Duration::from_millis(300),
+        progress.touch();
+        let stopped = timeout::wait_while(forever(), &progress, SHORT, || {}, || true).await;
+        let needless = timeout::wait_while(forever(), &none, SHORT, || {}, || false).await;
+        let brief = Config {
+            total: Duration::from_millis(300),
             ..SHORT
         };
-        let endless = patience::wait_while(forever(), &none, brief, || {}, || true).await;
+        let endless = timeout::wait_while(forever(), &none, brief, || {}, || true).await;
         (silent, stopped, needless, endless)
     });
     assert!(matches!(silent, Err(Error::NoAnswer { .. })));
-    assert!(matches!(stopped, Err(Error::Stopped { .. })));
-    assert_eq!(needless, Err(Error::NotNeeded));
+    assert!(matches!(stopped, Err(Error::Stalled { .. })));
+    assert_eq!(needless, Err(Error::Cancelled));
     assert!(matches!(endless, Err(Error::TooLong { .. })));
 }
 
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -9,12 +9,12 @@
 use pumicelatch::config::belief::{Belief, Dated, Effect, Fact};
 use pumicelatch::config::evacuation::{Evacuation, Evacuations};
 use pumicelatch::config::residency::{Regions, Residency};
+use pumicelatch::lease::{self, Ledger, Throttle};
 use pumicelatch::member::replica::{Held, Record};
-use pumicelatch::place::{self, Ledger, Ration};
 use pumicelatch::policy::Policy;
-use pumicelatch::route::cold::Allowance;
+use pumicelatch::route::cold::TokenBucket;
 use pumicelatch::route::estimate::Demand;
-use pumicelatch::route::pool::{Ask, Pool, Shortage};
+use pumicelatch::route::pool::{Pool, Query, Unavailable};
 use pumicelatch::route::replica::Load;
 use quickcheck::quickcheck;
 use rand::SeedableRng;
@@ -83,8 +83,8 @@
         let effect = self.belief.learn(Dated { revision, fact }, now, false);
         self.pool.update(self.belief.replicas(), |_| None);
         let halls: BTreeSet<Arc<str>> = self.belief.evacuations().asked().cloned().collect();
-        self.pool.evacuate(halls);
-        self.pool.tell_cold(now);
+        self.pool.set_evacuated(halls);
+        self.pool.refresh_cold(now);
         effect
     }
 
@@ -93,8 +93,8 @@
         self.learn(revision, Fact::Evacuation { hall, asked }, NOW)
     }
 
-    fn ask<'a>(&'a self, residency: &'a Residency) -> Ask<'a> {
-        Ask {
+    fn ask<'a>(&'a self, residency: &'a Residency) -> Query<'a> {
+        Query {
             service: "desk",
             model: None,
             engine: None,
@@ -112,7 +112,7 @@
     }
 
     /// The halls to which a hundred requests go, or why they go nowhere.
-    fn halls(&self, residency: &Residency, now: Time) -> Result<BTreeSet<String>, Shortage> {
+    fn halls(&self, residency: &Residency, now: Time) -> Result<BTreeSet<String>, Unavailable> {
         (0..100)
             .map(|seed| {
                 let mut rng = SmallRng::seed_from_u64(seed);
@@ -129,7 +129,7 @@
     let south = entry.halls(&only(&["south"]), NOW);
     assert_eq!(south, Ok(["south-a".to_owned()].into()));
     let nowhere = entry.halls(&only(&["west"]), NOW);
-    assert_eq!(nowhere, Err(Shortage::NoneThere));
+    assert_eq!(nowhere, Err(Unavailable::NoneAllowed));
     let anywhere = entry.halls(&Residency::Anywhere, NOW).unwrap();
     assert!(!anywhere.contains("south-a"), "the own region is nearer");
 }
@@ -139,7 +139,7 @@
     let mut entry = Entry::new();
     entry.regions = Regions::default();
     let bound = entry.halls(&only(&["south"]), NOW);
-    assert_eq!(bound, Err(Shortage::NoneThere));
+    assert_eq!(bound, Err(Unavailable::NoneAllowed));
     assert!(entry.halls(&Residency::Anywhere, NOW).is_ok());
 }
 
@@ -147,12 +147,22 @@
 fn a_place_that_was_chosen_is_dropped_when_its_hall_is_not_allowed() {
     let mut entry = Entry::new();
     let south = only(&["south"]);
-    let key = entry.pool.of("desk")[0];
-    assert!(entry.pool.expects(key, entry.ask(&south), NOW).is_none());
+    let key = entry.pool.by_service("desk")[0];
+    assert!(entry.pool.estimate(key, entry.ask(&south), NOW).is_none());
     let anywhere = Residency::Anywhere;
-    assert!(entry.pool.expects(key, entry.ask(&anywhere), NOW).is_some());
+    assert!(
+        entry
+            .pool
+            .estimate(key, entry.ask(&anywhere), NOW)
+            .is_some()
+    );
     entry.evacuate(20, "north-a", true);
-    assert!(entry.pool.expects(key, entry.ask(&anywhere), NOW).is_none());
+    assert!(
+        entry
+            .pool
+            .estimate(key, entry.ask(&anywhere), NOW)
+            .is_none()
+    );
 }
 
 #[test]
@@ -174,7 +184,7 @@
     entry.evacuate(21, "north-b", true);
     entry.evacuate(22, "south-a", true);
     let none = entry.halls(&Residency::Anywhere, NOW);
-    assert_eq!(none, Err(Shortage::NoneThere));
+    assert_eq!(none, Err(Unavailable::NoneAllowed));
     assert_eq!(entry.evacuate(23, "north-a", false), Effect::Evacuations);
     let halls = entry.halls(&Residency::Anywhere, NOW);
     assert_eq!(halls, Ok(["north-a".to_owned()].into()));
@@ -249,14 +259,14 @@
     // Forty entries ask every 5 ms each; one in ten knows already that it is cold.
     for ms in (0..3_000).step_by(5) {
         for entry in 0..40 {
-            let cold = (entry % 10 == 0).then_some(Ration {
+            let cold = (entry % 10 == 0).then_some(Throttle {
                 rest_ms: 3_000 - ms,
                 per_s: COLD_PER_S,
             });
-            let ask = place::Ask {
+            let ask = lease::Request {
                 limit_ms: 400,
                 cold,
-                ..place::Ask::default()
+                ..lease::Request::default()
             };
             let answer = ledger.answer(&ask, load.clone(), None, at(ms));
             assert!(answer.given || answer.dealt_out);
@@ -275,7 +285,7 @@
         "{} in all",
         given.len()
     );
-    let warm = ledger.answer(&place::Ask::default(), load, None, at(3_001));
+    let warm = ledger.answer(&lease::Request::default(), load, None, at(3_001));
     assert!(warm.given && !warm.dealt_out);
 }
 
@@ -283,7 +293,7 @@
 fn entries_without_a_process_beside_the_replica_share_what_a_cold_one_bears() {
     fn property(entries: u8, per_s: u8) -> bool {
         let (entries, per_s) = (usize::from(entries % 40) + 1, f64::from(per_s % 30) + 1.0);
-        let mut own = vec![Allowance::default(); entries];
+        let mut own = vec![TokenBucket::default(); entries];
         let part = per_s / entries as f64;
         let mut sent = Vec::new();
         for ms in (0..4_000).step_by(10) {
@@ -310,14 +320,14 @@
         );
     }
     let north = only(&["north"]);
-    assert_eq!(entry.halls(&north, NOW), Err(Shortage::Cold));
-    let key = entry.pool.of("desk")[0];
-    assert!(!entry.pool.take_cold(key, 2.0, at(100)));
-    assert!(entry.pool.take_cold(key, 2.0, at(600)));
-    assert!(!entry.pool.take_cold(key, 2.0, at(610)));
+    assert_eq!(entry.halls(&north, NOW), Err(Unavailable::Cold));
+    let key = entry.pool.by_service("desk")[0];
+    assert!(!entry.pool.take_cold_token(key, 2.0, at(100)));
+    assert!(entry.pool.take_cold_token(key, 2.0, at(600)));
+    assert!(!entry.pool.take_cold_token(key, 2.0, at(610)));
     // Its heartbeats tell the same again, and later that it is warm.
     entry.learn(40, Fact::Replica(record(0, "north-a", 3_000)), at(1_200));
-    assert!(!entry.pool.take_cold(key, 2.0, at(1_050)));
+    assert!(!entry.pool.take_cold_token(key, 2.0, at(1_050)));
     assert!(entry.halls(&north, at(3_100)).is_ok());
     entry.learn(41, Fact::Replica(record(1, "north-a", 0)), at(1_300));
     assert!(entry.halls(&north, at(1_300)).is_ok());
@@ -336,12 +346,12 @@
     }
     entry.evacuate(40, "north-b", true);
     let north = only(&["north"]);
-    assert_eq!(entry.halls(&north, at(400)), Err(Shortage::Cold));
+    assert_eq!(entry.halls(&north, at(400)), Err(Unavailable::Cold));
     assert!(entry.halls(&north, at(600)).is_ok());
-    for key in entry.pool.of("desk").to_vec() {
-        assert!(entry.pool.take_cold(key, 2.0, at(600)));
+    for key in entry.pool.by_service("desk").to_vec() {
+        assert!(entry.pool.take_cold_token(key, 2.0, at(600)));
     }
-    assert_eq!(entry.halls(&north, at(700)), Err(Shortage::Cold));
+    assert_eq!(entry.halls(&north, at(700)), Err(Unavailable::Cold));
     assert!(entry.halls(&north, at(1_200)).is_ok());
 }
 
@@ -355,7 +365,7 @@
     let address = first.address;
     entry.learn(30, Fact::Replica(first), NOW);
     let cold = |entry: &Entry| {
-        let keys = entry.pool.of("desk").iter();
+        let keys = entry.pool.by_service("desk").iter();
         let mut replicas = keys.filter_map(|key| entry.pool.get(*key));
         let replica = replicas.find(|replica| replica.record.address == address);
         !replica.unwrap().cold(at(10)).is_zero()
@@ -367,6 +377,6 @@
         ..Load::default()
     };
     entry.pool.report(address, &second, at(5));
-    entry.pool.tell_cold(at(6));
+    entry.pool.refresh_cold(at(6));
     assert!(!cold(&entry));
 }
