--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -197,7 +197,7 @@
                 let local = Local {
                     wanted: burst.wanted(),
                     complete: store.complete(*digest),
-                    in_flight: in_flight.of(*digest),
+                    in_flight: in_flight.on_version(*digest),
                     ordered: gate.ordered.contains(digest),
                 };
                 (*digest, local)
@@ -218,7 +218,7 @@
             .iter()
             .filter(|(digest, burst)| {
                 let held = self.gate.borrow().engine.versions.contains_key(digest);
-                let used = self.in_flight.borrow().of(**digest) > 0;
+                let used = self.in_flight.borrow().on_version(**digest) > 0;
                 burst.releasable(now) && !held && !used
             })
             .map(|(digest, _)| *digest)
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -131,7 +131,7 @@
         let (life, address) = (replica.record.life(), replica.record.address);
         let demand = job.demand();
         let model = job.ask.work.as_ref().map(|work| &*work.model);
-        let start_bound = model.and_then(|model| pool.start_bound(choice.key, model, now));
+        let start_bound = model.and_then(|model| pool.start_deadline(choice.key, model, now));
         let number = pool.begin(choice.key, demand, choice.expected, now);
         Some(Self {
             gateway: gateway.clone(),
@@ -342,7 +342,7 @@
         }
         let model = job.ask.work.as_ref().map(|work| &*work.model)?;
         let pool = self.gateway.pool.borrow();
-        let known = pool.start_bound(self.key, model, self.now());
+        let known = pool.start_deadline(self.key, model, self.now());
         self.start_bound.into_iter().chain(known).min()
     }
 
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -403,7 +403,7 @@
         let per_s = self.cold_per_s();
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
-        let rest = pool.get(key)?.cold(now);
+        let rest = pool.get(key)?.cold_remaining(now);
         (per_s > 0.0 && !rest.is_zero()).then_some(Throttle {
             rest_ms: rest.as_millis() as u64,
             per_s,
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -89,7 +89,7 @@
     }
 
     /// Requests in progress on one version.
-    pub fn of(&self, version: Digest) -> usize {
+    pub fn on_version(&self, version: Digest) -> usize {
         self.by_version.get(&version).copied().unwrap_or(0)
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Requests in progress of one customer.
-    pub fn of(&self, customer: &str) -> u32 {
+    pub fn in_flight(&self, customer: &str) -> u32 {
         self.in_flight.get(customer).copied().unwrap_or(0)
     }
 }
--- a/src/limit/admission.rs
+++ b/src/limit/admission.rs
@@ -9,7 +9,7 @@
 const WAIT_MAX: u32 = 15;
 
 /// How long a waiting request waits before it is judged again.
-pub const LOOK: Duration = Duration::from_millis(12);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(12);
 
 /// Shortest time that a refused caller is asked to stay away.
 const RETRY_MIN: Duration = Duration::from_millis(60);
@@ -76,8 +76,8 @@
     {
         return Verdict::Send;
     }
-    if case.elapsed + LOOK <= bounds.wait {
-        return Verdict::Wait(LOOK);
+    if case.elapsed + POLL_INTERVAL <= bounds.wait {
+        return Verdict::Wait(POLL_INTERVAL);
     }
     let surplus = case.expected.map_or(RETRY_MAX / 3, |expected| {
         expected.saturating_sub(bounds.limit / 2)
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -179,7 +179,7 @@
 
     /// When a request that is sent now has to have started at a replica, if it is about to change
     /// its version.
-    pub fn start_bound(&self, key: Key, model: &str, now: Time) -> Option<Time> {
+    pub fn start_deadline(&self, key: Key, model: &str, now: Time) -> Option<Time> {
         let replica = self.replicas.get(key)?;
         replica.change(model, now).map(|due| due.bound)
     }
@@ -661,7 +661,7 @@
     }
 
     /// Replicas that a report has come of.
-    pub fn reported(&self, now: Time) -> usize {
+    pub fn reporting(&self, now: Time) -> usize {
         let replicas = self.replicas.values();
         let reported = replicas.filter_map(|replica| replica.reported(now));
         reported.count()
--- a/src/route/replica.rs
+++ b/src/route/replica.rs
@@ -346,7 +346,7 @@
 
     /// Takes how long it says that it is cold.
     pub(super) fn tell_cold(&mut self, now: Time) {
-        let warm = self.cold(now).is_zero();
+        let warm = self.cold_remaining(now).is_zero();
         self.cold.tell(self.record.cold_ms, now);
         if warm {
             self.allowance = TokenBucket::new(now);
@@ -354,13 +354,13 @@
     }
 
     /// For how long it is still cold.
-    pub fn cold(&self, now: Time) -> Duration {
+    pub fn cold_remaining(&self, now: Time) -> Duration {
         self.cold.rest(now)
     }
 
     /// Whether its being cold bounds what it gets, where it bears `per_s` requests a second then.
     fn bound(&self, per_s: f64, now: Time) -> bool {
-        per_s > 0.0 && !self.cold(now).is_zero()
+        per_s > 0.0 && !self.cold_remaining(now).is_zero()
     }
 
     /// Whether a request may be on its way to it soon, as far as it is cold: the process beside it
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -368,7 +368,7 @@
         let keys = entry.pool.by_service("desk").iter();
         let mut replicas = keys.filter_map(|key| entry.pool.get(*key));
         let replica = replicas.find(|replica| replica.record.address == address);
-        !replica.unwrap().cold(at(10)).is_zero()
+        !replica.unwrap().cold_remaining(at(10)).is_zero()
     };
     assert!(cold(&entry));
     let second = Load {
