--- a/src/burst/follow.rs
+++ b/src/burst/follow.rs
@@ -13,7 +13,7 @@
 
 use super::Burst;
 use super::host::{Host, swarm_url};
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::spread::swarm::{Notice, PeerKey};
 use crate::wire::{self, Have};
 
@@ -69,14 +69,14 @@
 pub(super) async fn follow(
     host: Rc<Host>,
     burst: Weak<Burst>,
-    peer: Listed,
+    peer: Descriptor,
     key: Rc<Cell<Option<PeerKey>>>,
 ) {
     let mut pause = FOLLOW_PAUSE;
     loop {
         let heard = {
             let followed = pin!(follow_once(&host, &burst, &peer, &key));
-            match select(followed, pin!(host.client.given_up())).await {
+            match select(followed, pin!(host.connections.reconnected())).await {
                 Either::Left((heard, _)) => heard,
                 Either::Right(_) => true,
             }
@@ -102,14 +102,14 @@
 async fn follow_once(
     host: &Rc<Host>,
     burst: &Weak<Burst>,
-    peer: &Listed,
+    peer: &Descriptor,
     key: &Cell<Option<PeerKey>>,
 ) -> bool {
     let Some(version) = burst.upgrade().map(|burst| burst.version) else {
         return false;
     };
     let url = format!("{}/have", swarm_url(peer.address, version));
-    let request = host.client.get(&url).send();
+    let request = host.connections.get(&url).send();
     let Ok(Ok(mut response)) = actix_rt::time::timeout(FOLLOW_TIMEOUT, request).await else {
         return false;
     };
@@ -143,7 +143,7 @@
     fn hear(
         self: &Rc<Self>,
         host: &Rc<Host>,
-        peer: &Listed,
+        peer: &Descriptor,
         key: &Cell<Option<PeerKey>>,
         have: &Have,
     ) {
--- a/src/gateway/greet.rs
+++ b/src/gateway/greet.rs
@@ -32,7 +32,7 @@
         sleep(LOOK).await;
     }
     for _ in 0..ROUNDS {
-        gossip::tell(&gateway.knowledge, gateway.silent_sidecars(), true);
+        gossip::send_heartbeats(&gateway.knowledge, gateway.silent_sidecars(), true);
         sleep(EVERY).await;
     }
 }
@@ -46,7 +46,10 @@
         let hall = &self.knowledge.identity.hall;
         let hosts = self.pool.borrow().unreported_hosts(hall, now);
         let port = self.setting.sidecar_port;
-        let (own, fellows) = (self.knowledge.identity.address, self.knowledge.fellows());
+        let (own, fellows) = (
+            self.knowledge.identity.address,
+            self.knowledge.local_peers(),
+        );
         let greets = |host: &IpAddr| {
             let subject = host.to_string();
             rank(own, fellows.iter().copied(), &subject) < GREETED_BY
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -45,11 +45,11 @@
 pub mod draws;
 pub mod fanout;
 pub mod gossip;
-pub mod halls;
 pub mod hub;
 pub mod news;
 pub mod pace;
 pub mod poison;
+pub mod polls;
 pub mod readers;
 pub mod rounds;
 pub mod store;
@@ -104,7 +104,7 @@
     /// Entries.
     pub peers: RefCell<Peers>,
     /// The newest configuration in brief, where the whole is not kept.
-    pub brief: RefCell<Option<Brief>>,
+    pub summary: RefCell<Option<Brief>>,
     /// Addresses of processes to begin with.
     pub seeds: RefCell<Vec<SocketAddr>>,
     /// The regions of data halls.
@@ -132,7 +132,7 @@
     /// Requests under which replicas ended.
     pub poison: RefCell<Register>,
     /// Wakes those who tell the other entries of them.
-    pub poison_news: Notify,
+    pub poison_changed: Notify,
     poison_comparing: Cell<bool>,
 }
 
@@ -154,7 +154,7 @@
             belief: RefCell::new(Belief::new(!policy.removal_grace)),
             policy,
             peers: RefCell::new(Peers::new(own)),
-            brief: RefCell::default(),
+            summary: RefCell::default(),
             seeds: RefCell::new(seeds),
             regions: RefCell::default(),
             changed: tokio::sync::watch::Sender::new(0),
@@ -171,7 +171,7 @@
             readers: RefCell::new(Readers::new(Clock::default().now())),
             answered: Cell::new(None),
             poison: RefCell::default(),
-            poison_news: Notify::new(),
+            poison_changed: Notify::new(),
             poison_comparing: Cell::new(false),
             identity,
         })
@@ -183,7 +183,7 @@
     }
 
     /// The other entries of the own hall.
-    pub fn fellows(&self) -> Vec<SocketAddr> {
+    pub fn local_peers(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         peers.of_hall(&self.identity.hall, self.now())
     }
@@ -198,7 +198,7 @@
         if readers.awaits_seeds(own, &peers, &seeds, now) {
             return false;
         }
-        readers.reads(topic, own, &self.fellows(), now)
+        readers.reads(topic, own, &self.local_peers(), now)
     }
 
     /// Whether this entry lacks the configuration or the list of replicas. It needs both to serve
@@ -228,12 +228,12 @@
     /// in this hall, how long ago the store answered it.
     fn hear(&self, entry: SocketAddr, hall: &Arc<str>, store_age_ms: Option<u64>) {
         let now = self.now();
-        self.update_peers(|peers| peers.heard(entry, hall, now));
+        self.update_peers(|peers| peers.observe(entry, hall, now));
         if *hall != self.identity.hall {
             return;
         }
         if let Some(age) = store_age_ms.map(Duration::from_millis) {
-            self.readers.borrow_mut().told(entry, now - age);
+            self.readers.borrow_mut().record_answer(entry, now - age);
         }
     }
 
@@ -248,12 +248,12 @@
     }
 
     /// An entry does not answer.
-    pub fn lost(&self, entry: SocketAddr) {
-        self.readers.borrow_mut().lost(entry);
+    pub fn mark_unreachable(&self, entry: SocketAddr) {
+        self.readers.borrow_mut().remove(entry);
     }
 
     /// Whether another process with these marks knows something newer.
-    pub fn lacks(&self, marks: Marks) -> bool {
+    pub fn is_behind(&self, marks: Marks) -> bool {
         marks.any_newer_than(self.belief.borrow().marks())
     }
 
@@ -261,7 +261,7 @@
     fn place_of(&self, hall: &str) -> Place {
         if *hall == *self.identity.hall {
             Place::Near
-        } else if rank(self.identity.address, self.fellows().into_iter(), hall) == 0 {
+        } else if rank(self.identity.address, self.local_peers().into_iter(), hall) == 0 {
             Place::FarForAll
         } else {
             Place::Far
@@ -271,7 +271,7 @@
     /// The place of an entry in the own hall; `is_hub` says whether it sends frames to all others.
     /// Halls in which it reaches every entry directly make no distinction.
     fn place_in_own_hall(&self, is_hub: bool) -> Place {
-        if is_hub && self.fellows().len() > fanout::DEGREE {
+        if is_hub && self.local_peers().len() > fanout::DEGREE {
             Place::NearHub
         } else {
             Place::Near
@@ -322,7 +322,7 @@
 
     /// The store was out of reach of this process. While it answers others of the hall, that is no
     /// trouble of the store, and what it tells through them is as sure as ever.
-    pub fn trouble(&self) {
+    pub fn record_store_failure(&self) {
         let now = self.now();
         if self.readers.borrow().answered_within(ANSWERS_OTHERS, now) {
             return;
@@ -359,7 +359,7 @@
     }
 
     /// Takes what the store answered; `whole` if that is everything of its topic.
-    pub fn take_batch(&self, topic: Topic, whole: bool, batch: Batch) {
+    pub fn apply_batch(&self, topic: Topic, whole: bool, batch: Batch) {
         self.store_is_answering();
         if self.learn_batch(topic, whole, batch) {
             self.news.notify_one();
@@ -440,7 +440,7 @@
 
     /// The settings of the change of versions, planned as `setting`, for an origin like the present one.
     pub fn rollout(&self, setting: rollout::Setting) -> rollout::Setting {
-        let copy = self.brief().and_then(|brief| brief.copy());
+        let copy = self.summary().and_then(|brief| brief.copy());
         setting.with_copy(copy, self.policy)
     }
 
@@ -455,10 +455,10 @@
     }
 
     /// The configuration in brief, from the whole if that is known.
-    pub fn brief(&self) -> Option<Brief> {
+    pub fn summary(&self) -> Option<Brief> {
         let belief = self.belief.borrow();
         let Some(routing) = belief.routing() else {
-            return self.brief.borrow().clone();
+            return self.summary.borrow().clone();
         };
         let services = routing.document.services.iter();
         Some(Brief {
--- a/src/knowledge/news.rs
+++ b/src/knowledge/news.rs
@@ -11,7 +11,7 @@
 use super::rounds::PeerExchange;
 use crate::clock::Time;
 use crate::config::belief::{Belief, Changes, Dated, DatedRecord, Effect, Fact, Marks, Wanted};
-use crate::member::peer::Told;
+use crate::member::peer::Advertisement;
 use crate::wire::pack;
 use crate::wire::sync::{DatedDocument, List, Named, News, PackedList, Sync};
 
@@ -21,11 +21,11 @@
 
 impl Knowledge {
     /// Takes what another process answered.
-    pub fn take_news(&self, from: SocketAddr, news: News) {
-        self.update_peers(|peers| peers.learn(&news.peers, self.now()));
+    pub fn apply_update(&self, from: SocketAddr, news: News) {
+        self.update_peers(|peers| peers.merge(&news.peers, self.now()));
         if let Some(packed) = &news.packed_peers {
-            match pack::unpack::<Vec<Told>>(packed) {
-                Ok(told) => self.update_peers(|peers| peers.learn(&told, self.now())),
+            match pack::unpack::<Vec<Advertisement>>(packed) {
+                Ok(told) => self.update_peers(|peers| peers.merge(&told, self.now())),
                 Err(error) => {
                     log::warn!(from:% = from; "cannot unpack the list of entries: {error}");
                 }
@@ -59,12 +59,12 @@
         }
         if let Some(brief) = news.brief {
             let newer = self
-                .brief
+                .summary
                 .borrow()
                 .as_ref()
                 .is_none_or(|known| known.revision < brief.revision);
             if newer {
-                self.brief.replace(Some(brief));
+                self.summary.replace(Some(brief));
                 self.tell(Effect::Routing);
             }
         }
@@ -132,18 +132,18 @@
 
     /// The heartbeat that this process sends. With `names_entries` it tells the entries that it
     /// knows, and wants to be told.
-    pub fn sync(&self, names_entries: bool) -> Sync {
+    pub fn heartbeat(&self, names_entries: bool) -> Sync {
         let exchange = if names_entries {
             PeerExchange::PushPull
         } else {
             PeerExchange::Skip
         };
-        self.sync_exchanging(exchange)
+        self.heartbeat_with(exchange)
     }
 
     /// The heartbeat that this process sends. `exchange` selects whether it sends and requests known
     /// entries.
-    pub fn sync_exchanging(&self, exchange: PeerExchange) -> Sync {
+    pub fn heartbeat_with(&self, exchange: PeerExchange) -> Sync {
         let now = self.now();
         Sync {
             from: self.identity.address,
@@ -153,7 +153,7 @@
             store_age_ms: self.store_age_ms(now),
             peers: match exchange {
                 _ if !self.identity.entry => Vec::new(),
-                PeerExchange::PushPull => self.peers.borrow().tell(now),
+                PeerExchange::PushPull => self.peers.borrow().advertise(now),
                 PeerExchange::PushPullHall => self.hall_peers(now),
                 PeerExchange::Skip | PeerExchange::Pull => Vec::new(),
             },
@@ -169,7 +169,7 @@
     }
 
     /// The news since `marks` without the configuration, if there is any.
-    pub fn news_since(&self, marks: Marks) -> Option<News> {
+    pub fn update_since(&self, marks: Marks) -> Option<News> {
         let has_news = {
             let belief = self.belief.borrow();
             let own = belief.marks().without_routing();
@@ -179,28 +179,28 @@
             let sync = Sync {
                 entry: false,
                 marks,
-                ..self.sync(false)
+                ..self.heartbeat(false)
             };
-            self.news_for(&sync, false)
+            self.update_for(&sync, false)
         })
     }
 
     /// The answer to an entry of another hall that polls this one: what its sender lacks. It lists
     /// only entries of this hall, because the sender polls the other halls as well.
-    pub fn news_for_hall(&self, sync: &Sync) -> News {
+    pub fn update_for_hall(&self, sync: &Sync) -> News {
         self.news_with_entries(sync, false, |now| self.hall_peers(now))
     }
 
     /// What this process tells others about the other entries of its own hall.
-    fn hall_peers(&self, now: Time) -> Vec<Told> {
-        let fellows = self.fellows();
+    fn hall_peers(&self, now: Time) -> Vec<Advertisement> {
+        let local_peers = self.local_peers();
         let peers = self.peers.borrow();
-        peers.tell_filtered(now, |entry| fellows.contains(&entry))
+        peers.advertise_filtered(now, |entry| local_peers.contains(&entry))
     }
 
     /// The answer to a heartbeat: what its sender lacks. `brief` for one that does not keep the
     /// whole configuration.
-    pub fn news_for(&self, sync: &Sync, brief: bool) -> News {
+    pub fn update_for(&self, sync: &Sync, brief: bool) -> News {
         self.news_with_entries(sync, brief, |now| self.entries_to_send(sync, now))
     }
 
@@ -209,10 +209,10 @@
         &self,
         sync: &Sync,
         brief: bool,
-        entries: impl FnOnce(Time) -> Vec<Told>,
+        entries: impl FnOnce(Time) -> Vec<Advertisement>,
     ) -> News {
         let now = self.now();
-        self.update_peers(|peers| peers.learn(&sync.peers, now));
+        self.update_peers(|peers| peers.merge(&sync.peers, now));
         if sync.entry {
             self.hear(sync.from, &sync.hall, sync.store_age_ms);
         }
@@ -269,20 +269,20 @@
                 .then(|| self.packed_list())
                 .flatten(),
             changes,
-            brief: (newer_routing && brief).then(|| self.brief()).flatten(),
+            brief: (newer_routing && brief).then(|| self.summary()).flatten(),
             poison: self.poison.borrow().digest(now),
         }
     }
 
     /// The entries that the reply to `sync` lists: all known ones if the sender is an entry, a
     /// bounded subset if it is a sidecar, unless sidecars report to all entries.
-    fn entries_to_send(&self, sync: &Sync, now: Time) -> Vec<Told> {
+    fn entries_to_send(&self, sync: &Sync, now: Time) -> Vec<Advertisement> {
         let peers = self.peers.borrow();
         if sync.entry || !self.policy.digests {
-            return peers.tell(now);
+            return peers.advertise(now);
         }
         let selected = Readers::entries_for_sidecar(sync.from, &sync.hall, &peers, now);
-        peers.tell_filtered(now, |entry| selected.contains(&entry))
+        peers.advertise_filtered(now, |entry| selected.contains(&entry))
     }
 
     /// The configuration as others draw it.
@@ -333,7 +333,7 @@
 }
 
 /// Encodes `told` for [`News::packed_peers`]. Returns `None` if it is empty or cannot be packed.
-fn pack_peers(told: &[Told]) -> Option<ByteBuf> {
+fn pack_peers(told: &[Advertisement]) -> Option<ByteBuf> {
     if told.is_empty() {
         return None;
     }
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -70,7 +70,7 @@
 /// Asks the replica until dropped.
 pub async fn observe(sidecar: Rc<Sidecar>) {
     for look in 1_u32.. {
-        sidecar.knowledge.traffic.count(Purpose::Look, 0);
+        sidecar.knowledge.traffic.count(Purpose::Probe, 0);
         let state = timeout(LOOK_TIMEOUT, sidecar.engine.state()).await;
         match state {
             Ok(Ok(state)) => {
@@ -187,8 +187,8 @@
     }
 
     /// Answers an entry that asks for a place.
-    pub(super) fn place(&self, ask: &lease::Request) -> lease::Response {
-        let engine = self.knowledge.brief().and_then(|brief| brief.engine);
+    pub(super) fn place(&self, ask: &place::Ask) -> place::Answer {
+        let engine = self.knowledge.summary().and_then(|brief| brief.engine);
         let now = self.knowledge.now();
         let load = self.load();
         let mut ledger = self.ledger.borrow_mut();
@@ -255,7 +255,7 @@
     /// The entries to tell, the first of them first.
     fn entries(&self, told: &BTreeMap<SocketAddr, Told>) -> Vec<SocketAddr> {
         let silent = |entry| told.get(&entry).is_some_and(|last| last.failed);
-        let near = self.knowledge.fellows();
+        let near = self.knowledge.local_peers();
         let digests = self.knowledge.policy.digests;
         let known = if digests && !near.is_empty() {
             near
@@ -271,7 +271,7 @@
             return known;
         }
         // The others of the hall, and those of other halls, hear of it from the first ones.
-        hub::told(&Readers::ranked(&known), silent)
+        hub::report_targets(&Readers::ranked(&known), silent)
     }
 }
 
@@ -311,7 +311,7 @@
             tell_if_due(&sidecar, &told, entry, place == 0);
         }
         let now = sidecar.knowledge.now();
-        sidecar.knowledge.peers.borrow_mut().sweep(now);
+        sidecar.knowledge.peers.borrow_mut().remove_expired(now);
         sleep(TELL_LOOK).await;
     }
 }
@@ -358,7 +358,7 @@
         load: sidecar.load(),
         sync: Sync {
             wants_list: !sidecar.knowledge.belief.borrow().lists_replicas(),
-            ..sidecar.knowledge.sync(asks)
+            ..sidecar.knowledge.heartbeat(asks)
         },
     };
     let (began, note) = (sidecar.knowledge.now(), Note::default());
@@ -401,9 +401,9 @@
 async fn read_store(sidecar: &Sidecar, topic: Topic) {
     let progress = Progress::default();
     let call = sidecar.source.read(topic, progress.clone());
-    let waits = timeout::Config::with_first_byte(ALONE_READ);
-    match timeout::wait(call, &progress, waits).await {
-        Ok(Ok(batch)) => sidecar.knowledge.take_batch(topic, true, batch),
+    let waits = patience::Setting::beginning_within(ALONE_READ);
+    match patience::wait(call, &progress, waits).await {
+        Ok(Ok(batch)) => sidecar.knowledge.apply_batch(topic, true, batch),
         Ok(Err(error)) => log::info!(topic:? = topic; "{error}"),
         Err(error) => log::info!(topic:? = topic; "store: {error}"),
     }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -65,9 +65,9 @@
     }
 
     fn hears(&mut self, address: SocketAddr, hall: &Arc<str>, answered: Option<Time>, now: Time) {
-        self.peers.heard(address, hall, now);
+        self.peers.observe(address, hall, now);
         if let Some(at) = answered.filter(|_| *hall == self.hall) {
-            self.readers.told(address, at);
+            self.readers.record_answer(address, at);
         }
     }
 }
@@ -141,18 +141,18 @@
                 entry.reads_until[index] = None;
                 entry.answered = Some(now);
                 entry.learns(index, now);
-                self.tell_fellows(own, now);
+                self.notify_local_peers(own, now);
             }
             let entry = self.entries.get_mut(&own).unwrap();
             if entry.reads_until[index].is_some() || entry.next_check[index] > now {
                 continue;
             }
-            let fellows = entry.peers.of_hall(&entry.hall, now);
+            let local_peers = entry.peers.of_hall(&entry.hall, now);
             let waits = {
                 let (peers, seeds) = (&entry.peers, &self.seeds);
                 entry.readers.awaits_seeds(own, peers, seeds, now)
             };
-            if waits || !entry.readers.reads(topic, own, &fellows, now) {
+            if waits || !entry.readers.reads(topic, own, &local_peers, now) {
                 entry.next_check[index] = now + CHECK_INTERVAL;
                 continue;
             }
@@ -162,10 +162,10 @@
         }
     }
 
-    fn tell_fellows(&mut self, own: SocketAddr, now: Time) {
+    fn notify_local_peers(&mut self, own: SocketAddr, now: Time) {
         let teller = &self.entries[&own];
-        for fellow in teller.peers.of_hall(&teller.hall, now) {
-            self.exchange(own, fellow, false, now);
+        for peer in teller.peers.of_hall(&teller.hall, now) {
+            self.exchange(own, peer, false, now);
         }
     }
 
@@ -193,20 +193,20 @@
     /// draws the topics that it lacks from the other.
     fn exchange(&mut self, from: SocketAddr, to: SocketAddr, names_entries: bool, now: Time) {
         if self.entries[&to].starts > now {
-            self.entries.get_mut(&from).unwrap().readers.lost(to);
+            self.entries.get_mut(&from).unwrap().readers.remove(to);
             return;
         }
         for (teller, listener) in [(from, to), (to, from)] {
             let entry = &self.entries[&teller];
             let told = if names_entries {
-                entry.peers.tell(now)
+                entry.peers.advertise(now)
             } else {
                 Vec::new()
             };
             let (hall, answered) = (entry.hall.clone(), entry.answered);
             let known = [0, 1].map(|topic| entry.knows(topic, now));
             let entry = self.entries.get_mut(&listener).unwrap();
-            entry.peers.learn(&told, now);
+            entry.peers.merge(&told, now);
             entry.hears(teller, &hall, answered, now);
             for (topic, known) in known.into_iter().enumerate() {
                 if known && hall == entry.hall {
--- a/tests/stop_edge.rs
+++ b/tests/stop_edge.rs
@@ -88,13 +88,13 @@
         let mut open = TcpStream::connect(address).unwrap();
         running.entry.drain();
         let setting = stop::Setting {
-            hear: Duration::ZERO,
-            longest: FOREVER,
+            announce_period: Duration::ZERO,
+            time_limit: FOREVER,
             last_bytes: FOREVER,
             ..stop::Setting::default()
         };
-        let porter = running.entry.porter.clone();
-        let stop = actix_rt::spawn(async move { porter.stop(setting, &running.server).await });
+        let tracker = running.entry.tracker.clone();
+        let stop = actix_rt::spawn(async move { tracker.stop(setting, &running.server).await });
         until_closed(address).await;
         open.write_all(
             b"POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nbegun",
