--- a/src/agent.rs
+++ b/src/agent.rs
@@ -247,7 +247,7 @@
                 holders: Holders::Nobody,
             };
             let members: Vec<Descriptor> = assignment
-                .carriers(carry.digest)
+                .holders(carry.digest)
                 .filter_map(|name| lookup(name))
                 .collect();
             let burst = self
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -14,7 +14,7 @@
 use crate::metric;
 use crate::node::{self, Node};
 use crate::request::RetryBudget;
-use crate::route::{Policy, Table};
+use crate::route::{Strategy, Table};
 use crate::stop::{self, Tracker};
 
 mod attempt;
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -7,7 +7,7 @@
 use crate::http;
 use crate::member::Role;
 use crate::option::{self, Spec, Values};
-use crate::route::Policy;
+use crate::route::Strategy;
 use crate::stop::{self, ANNOUNCE_PERIOD};
 
 /// The program's name.
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -12,7 +12,7 @@
 
 use super::Entry;
 use crate::member::{Descriptor, Role, State};
-use crate::route::{Load, Need, ReplicaKey, hash_of};
+use crate::route::{Load, ReplicaKey, Resource, hash_of};
 use crate::wire::{self, Report};
 
 /// First pause before a target is followed again, doubled up to [`PAUSE_MAX`].
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -21,7 +21,6 @@
 use crate::exchange::{self, Note, Options, Reuse, Unframed};
 use crate::http::Answer;
 use crate::member::replica::Incarnation;
-use crate::patience;
 use crate::request::attempt::Ended;
 use crate::request::poison::Name;
 use crate::route::estimate::Demand;
@@ -128,11 +127,11 @@
         let mut pool = gateway.pool.borrow_mut();
         let replica = pool
             .get(choice.key)
-            .filter(|replica| !replica.wish().refuses(now))?;
+            .filter(|replica| !replica.suspension().rejects(now))?;
         let (life, address) = (replica.record.incarnation(), replica.record.address);
         let demand = job.demand();
         let model = job.ask.inference.as_ref().map(|work| &*work.model);
-        let start_bound = model.and_then(|model| pool.start_bound(choice.key, model, now));
+        let start_bound = model.and_then(|model| pool.start_deadline(choice.key, model, now));
         let number = pool.begin(choice.key, demand, choice.expected, now);
         Some(Self {
             gateway: gateway.clone(),
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -161,7 +161,7 @@
         let knowledge = &self.gateway.knowledge;
         let (within, note) = ((ANSWERS_WITHIN, ANSWERS_AGAIN), Note::default());
         let answer =
-            gossip::call_within::<_, Answer>(knowledge, process, place::PATH, ask, within, &note);
+            gossip::call_within::<_, Response>(knowledge, process, lease::PATH, ask, within, &note);
         let answer = answer.await;
         let now = knowledge.now();
         match answer {
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -211,7 +211,7 @@
         REPORT_PATH => Purpose::Report,
         HALL_PATH => Purpose::HallPoll,
         FRAME_PATH | FRAME_FORWARD_PATH => Purpose::Forward,
-        place::PATH => Purpose::Place,
+        lease::PATH => Purpose::Place,
         poison::PATH | poison::TRY_PATH => Purpose::Poison,
         _ => Purpose::Heartbeat,
     }
--- a/src/route/notice.rs
+++ b/src/route/notice.rs
@@ -106,17 +106,17 @@
 
 /// What lives of replicas want, listed or not.
 #[derive(Debug, Default)]
-pub struct Wishes(BTreeMap<Incarnation, (Wish, Time)>);
+pub struct Suspensions(BTreeMap<Incarnation, (Suspension, Time)>);
 
 impl Suspensions {
     /// The life `life` wants so now.
-    pub fn remember(&mut self, life: Incarnation, wish: Wish, now: Time) {
+    pub fn remember(&mut self, life: Incarnation, wish: Suspension, now: Time) {
         self.0.retain(|_, (_, at)| now.since(*at) < REMEMBERED);
         self.0.insert(life, (wish, now));
     }
 
     /// What the life `life` wants, as far as is remembered.
-    pub fn of(&self, life: &Incarnation) -> Wish {
+    pub fn of(&self, life: &Incarnation) -> Suspension {
         self.0.get(life).map(|(wish, _)| *wish).unwrap_or_default()
     }
 }
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -299,7 +299,13 @@
     }
 
     /// The replica `key` told `notice`, in its life `life`. Returns whether that is news.
-    pub fn take_notice(&mut self, key: Key, life: &Incarnation, notice: Notice, now: Time) -> bool {
+    pub fn apply_notice(
+        &mut self,
+        key: Key,
+        life: &Incarnation,
+        notice: Notice,
+        now: Time,
+    ) -> bool {
         if notice.is_empty() {
             return false;
         }
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -139,7 +139,7 @@
             let record = &self.replicas[key].record;
             if load.born == 0 || load.born == record.born {
                 let life = record.incarnation();
-                self.take_notice(key, &life, load.notice(), at);
+                self.apply_notice(key, &life, load.notice(), at);
                 self.replicas[key].report(load, at);
             } else if !known && record.born < load.born {
                 // The list does not tell of this life yet.
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -29,6 +29,7 @@
 use crate::gateway::control::decode;
 use crate::http::{self, Answer, ClientSetting, Server};
 use crate::knowledge::{Identity, Knowledge, traffic};
+use crate::lease::{self, Ledger};
 use crate::member::Descriptor;
 use crate::metric::{self, Metrics};
 use crate::policy::Policy;
@@ -351,12 +352,12 @@
             Err(answer) => answer,
         };
     }
-    if path == place::PATH {
+    if path == lease::PATH {
         let permit = sidecar.tracker.admit(stop::Kind::Peer);
         if permit.is_refused() {
             return http::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let answer = match decode::<place::Ask>(&mut request).await {
+        let answer = match decode::<lease::Request>(&mut request).await {
             Ok(ask) => http::pack(StatusCode::OK, &sidecar.place(&ask)),
             Err(answer) => answer,
         };
--- a/src/sidecar/carry.rs
+++ b/src/sidecar/carry.rs
@@ -215,7 +215,7 @@
         };
         let now = self.knowledge.now();
         let wish = self.wish.get();
-        if wish.refuses(now) {
+        if wish.rejects(now) {
             return permit.attach(turned_away(wish.notice(now)));
         }
         let run = Rc::new(Run::default());
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -187,7 +187,7 @@
     }
 
     /// Answers an entry that asks for a place.
-    pub(super) fn place(&self, ask: &place::Ask) -> place::Answer {
+    pub(super) fn place(&self, ask: &lease::Request) -> lease::Response {
         let engine = self.knowledge.summary().and_then(|brief| brief.engine);
         let now = self.knowledge.now();
         let load = self.load();
@@ -401,8 +401,8 @@
 async fn read_store(sidecar: &Sidecar, topic: Topic) {
     let progress = Progress::default();
     let call = sidecar.source.read(topic, progress.clone());
-    let waits = patience::Setting::beginning_within(ALONE_READ);
-    match patience::wait(call, &progress, waits).await {
+    let waits = timeout::Config::with_first_byte(ALONE_READ);
+    match timeout::wait(call, &progress, waits).await {
         Ok(Ok(batch)) => sidecar.knowledge.apply_batch(topic, true, batch),
         Ok(Err(error)) => log::info!(topic:? = topic; "{error}"),
         Err(error) => log::info!(topic:? = topic; "store: {error}"),
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -10,7 +10,7 @@
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::gateway::event::Cutter;
-use pumicelatch::limit::admission::{self, Bounds, Case, Verdict};
+use pumicelatch::limit::admission::{self, Bounds, Input, Verdict};
 use pumicelatch::member::replica::{LoadedModel, Record};
 use pumicelatch::policy::Policy;
 use pumicelatch::request::Outcome;
--- a/tests/notice.rs
+++ b/tests/notice.rs
@@ -96,7 +96,7 @@
 fn tell(pool: &mut Pool, notice: Notice, now: Time) -> Key {
     let key = choose(pool, now).unwrap();
     let life = pool.get(key).unwrap().record.incarnation();
-    assert!(pool.take_notice(key, &life, notice, now));
+    assert!(pool.apply_notice(key, &life, notice, now));
     key
 }
 
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -5,10 +5,10 @@
 
 use pumicelatch::clock::Time;
 use pumicelatch::config::routing::Engine;
-use pumicelatch::limit::returning::{Fingerprint, Refused};
+use pumicelatch::lease::{Ledger, Request, Response};
+use pumicelatch::limit::retry::{Fingerprint, Rejection};
 use pumicelatch::member::replica::LoadedModel;
-use pumicelatch::place::{Answer, Ask, Ledger};
-use pumicelatch::route::estimate::{self, Demand, Work};
+use pumicelatch::route::estimate::{self, Backlog, Demand};
 use pumicelatch::route::pool::Key;
 use pumicelatch::route::replica::Load;
 use pumicelatch::route::search::{Reply, Search, Step};
