--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -22,7 +22,7 @@
 use crate::http::Answer;
 use crate::member::replica::Incarnation;
 use crate::request::attempt::Ended;
-use crate::request::poison::Name;
+use crate::request::poison::RequestHash;
 use crate::route::estimate::Demand;
 use crate::route::health::Signal;
 use crate::route::notice::Notice;
@@ -95,7 +95,7 @@
     /// The life of its replica.
     pub life: Incarnation,
     /// What it is an attempt of.
-    request: Name,
+    request: RequestHash,
     choice: Choice,
     address: SocketAddr,
     /// The process beside the replica, if that is to keep what comes.
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -14,7 +14,7 @@
 use crate::knowledge::fanout::{self, FRAME_FORWARD_PATH, Message, SYNC_FORWARD_PATH};
 use crate::knowledge::{gossip, poison};
 use crate::wire::pack;
-use crate::wire::sync::{FRAME_PATH, Frame, HALL_PATH, REPORT_PATH, Report, SYNC_PATH, Sync};
+use crate::wire::sync::{FRAME_PATH, Frame, HALL_PATH, Heartbeat, REPORT_PATH, Report, SYNC_PATH};
 
 /// Longest message of another process.
 const MESSAGE_MAX: usize = 1 << 20;
@@ -54,11 +54,11 @@
 /// Another process of the system asks or tells.
 pub async fn answer(gateway: Rc<Gateway>, mut request: Request) -> Answer {
     match request.path() {
-        SYNC_PATH => match decode::<Sync>(&mut request).await {
+        SYNC_PATH => match decode::<Heartbeat>(&mut request).await {
             Ok(sync) => take_sync(&gateway, &sync, false),
             Err(answer) => answer,
         },
-        HALL_PATH => match decode::<Sync>(&mut request).await {
+        HALL_PATH => match decode::<Heartbeat>(&mut request).await {
             Ok(sync) => http::pack(StatusCode::OK, &gateway.hall_news(&sync)),
             Err(answer) => answer,
         },
@@ -122,10 +122,10 @@
 }
 
 /// Answers a heartbeat; `from_hub` says whether it came in a frame to the whole hall.
-fn take_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
+fn take_sync(gateway: &Gateway, sync: &Heartbeat, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
-    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.is_behind(sync.marks) {
-        let fetch = gossip::fetch_update(knowledge.clone(), sync.from, sync.marks, from_hub);
+    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.is_behind(sync.revisions) {
+        let fetch = gossip::fetch_update(knowledge.clone(), sync.from, sync.revisions, from_hub);
         actix_rt::spawn(fetch);
     }
     http::pack(StatusCode::OK, &knowledge.update_for(sync, !sync.entry))
@@ -140,7 +140,7 @@
         .report(report.address, &report.load, now);
     http::pack(
         StatusCode::OK,
-        &gateway.knowledge.update_for(&report.sync, true),
+        &gateway.knowledge.update_for(&report.heartbeat, true),
     )
 }
 
--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -21,8 +21,8 @@
 use super::Knowledge;
 use super::gossip::{self, Error};
 use crate::clock::Time;
-use crate::config::belief::Marks;
-use crate::wire::sync::{FRAME_PATH, News, SYNC_PATH, Sync};
+use crate::config::catalog::Revisions;
+use crate::wire::sync::{FRAME_PATH, Heartbeat, SYNC_PATH, Update};
 
 /// Maximum number of branches into which an entry splits the receivers of a message.
 pub const DEGREE: usize = 4;
@@ -55,7 +55,7 @@
     /// The remaining receivers.
     pub receivers: Vec<SocketAddr>,
     /// The heartbeat of the sender, whose marks identify the news.
-    pub sync: Sync,
+    pub sync: Heartbeat,
 }
 
 /// Splits `receivers` into at most [`DEGREE`] branches. The first entry of a branch forwards the
@@ -159,7 +159,7 @@
         knowledge: &Knowledge,
         to: SocketAddr,
         rest: &[SocketAddr],
-    ) -> Result<News, Error> {
+    ) -> Result<Update, Error> {
         match self {
             Self::Frame(frame) if rest.is_empty() => {
                 gossip::call_encoded(knowledge, to, FRAME_PATH, frame.clone()).await
@@ -187,10 +187,10 @@
 
 /// Fetches the news announced by another entry and forwards the notice.
 pub async fn forward_notice(knowledge: Rc<Knowledge>, notice: ForwardedSync) {
-    let marks = notice.sync.marks;
-    let fetch = gossip::fetch_update(knowledge.clone(), notice.sync.from, marks, false);
+    let revisions = notice.sync.revisions;
+    let fetch = gossip::fetch_update(knowledge.clone(), notice.sync.from, revisions, false);
     actix_rt::spawn(fetch);
-    if timeout(FETCH_TIMEOUT, wait_until_known(&knowledge, marks))
+    if timeout(FETCH_TIMEOUT, wait_until_known(&knowledge, revisions))
         .await
         .is_err()
     {
@@ -199,9 +199,9 @@
     send(&knowledge, &Message::Notice, notice.receivers);
 }
 
-async fn wait_until_known(knowledge: &Knowledge, marks: Marks) {
+async fn wait_until_known(knowledge: &Knowledge, revisions: Revisions) {
     let mut changed = knowledge.changed.subscribe();
-    while knowledge.is_behind(marks) {
+    while knowledge.is_behind(revisions) {
         let _ = changed.changed().await;
     }
 }
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -18,12 +18,11 @@
 use super::readers::Readers;
 use super::rounds::{Round, RoundInput, RoundPlanner};
 use super::traffic::Purpose;
-use crate::config::belief::Marks;
+use crate::config::catalog::Revisions;
 use crate::exchange::{Note, Options, Request};
 use crate::lease;
 use crate::source::Topic;
-use crate::timeout::{self, Progress};
-use crate::wire::sync::{FRAME_PATH, HALL_PATH, News, REPORT_PATH, SYNC_PATH, Sync};
+use crate::wire::sync::{FRAME_PATH, HALL_PATH, Heartbeat, REPORT_PATH, SYNC_PATH, Update};
 
 /// Shortest time between two rounds of telling that there is news.
 const NEWS_GAP: Duration = Duration::from_millis(150);
@@ -90,12 +89,12 @@
 }
 
 /// Takes what `peer` answered, and draws the configuration from it if that is newer there.
-pub fn apply_answer(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: News) {
-    let (hall, marks, entry) = (news.hall.clone(), news.marks, news.entry);
+pub fn apply_answer(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: Update) {
+    let (hall, revisions, entry) = (news.hall.clone(), news.revisions, news.entry);
     let digest = news.poison;
     knowledge.apply_update(peer, news);
     if entry {
-        draw(knowledge, peer, marks, || knowledge.place_of(&hall));
+        draw(knowledge, peer, revisions, || knowledge.place_of(&hall));
     }
     let both = entry && knowledge.identity.entry;
     if both && digest != knowledge.poison.borrow().digest(knowledge.now()) {
@@ -140,7 +139,7 @@
     peer: SocketAddr,
     path: &str,
     packed: Bytes,
-) -> Result<News, Error> {
+) -> Result<Update, Error> {
     let call = Call::new(peer, path, packed);
     call.exchange(knowledge, &Note::default(), || true).await
 }
@@ -219,8 +218,13 @@
 
 /// Draws the configuration, and the list of replicas if this entry has none yet, from `peer`, if
 /// `marks` show that the peer has them and [`Knowledge::begins_draw`] selects it at its `place`.
-fn draw(knowledge: &Rc<Knowledge>, peer: SocketAddr, marks: Marks, place: impl FnOnce() -> Place) {
-    if !knowledge.needs_draw(marks) {
+fn draw(
+    knowledge: &Rc<Knowledge>,
+    peer: SocketAddr,
+    revisions: Revisions,
+    place: impl FnOnce() -> Place,
+) {
+    if !knowledge.needs_draw(revisions) {
         return;
     }
     let place = place();
@@ -230,13 +234,13 @@
     let far = matches!(place, Place::FarForAll | Place::Far);
     let knowledge = knowledge.clone();
     actix_rt::spawn(async move {
-        let sync = Sync {
+        let sync = Heartbeat {
             wants_routing: true,
             wants_list: true,
             ..knowledge.heartbeat(false)
         };
         let began = knowledge.now();
-        let needed = || knowledge.needs_draw(marks);
+        let needed = || knowledge.needs_draw(revisions);
         let drawn = draw_while(&knowledge, peer, &sync, needed).await;
         knowledge.drew(peer);
         let ms = knowledge.now().since(began).as_millis() as u64;
@@ -262,9 +266,9 @@
 async fn draw_while(
     knowledge: &Knowledge,
     peer: SocketAddr,
-    sync: &Sync,
+    sync: &Heartbeat,
     needed: impl Fn() -> bool,
-) -> Result<News, Error> {
+) -> Result<Update, Error> {
     let call = Call {
         renews_after: None,
         ..Call::new(peer, SYNC_PATH, packed(sync)?)
@@ -344,12 +348,17 @@
 /// Fetches news from `peer` of the own hall, whose `marks` are newer than those of this process.
 /// With `is_hub`, the peer sends frames to the whole hall, and the configuration is drawn from it
 /// only after a delay.
-pub async fn fetch_update(knowledge: Rc<Knowledge>, peer: SocketAddr, marks: Marks, is_hub: bool) {
-    draw(&knowledge, peer, marks, || {
+pub async fn fetch_update(
+    knowledge: Rc<Knowledge>,
+    peer: SocketAddr,
+    revisions: Revisions,
+    is_hub: bool,
+) {
+    draw(&knowledge, peer, revisions, || {
         knowledge.place_in_own_hall(is_hub)
     });
     // A draw brings all the rest too, but later.
-    if !knowledge.is_behind(marks.without_routing()) {
+    if !knowledge.is_behind(revisions.without_routing()) {
         return;
     }
     // Several tell of the same news.
--- a/src/wire/sync.rs
+++ b/src/wire/sync.rs
@@ -6,14 +6,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::config::belief::{Changes, DatedRecord, Marks};
+use crate::config::catalog::{Changes, RevisionedRecord, Revisions};
 use crate::config::evacuation::Evacuation;
-use crate::config::routing::{Engine, over_link};
+use crate::config::routing::{Engine, transfer_time};
 use crate::member::peer::Advertisement;
 use crate::route::replica::Load;
 use crate::wire::pack;
 
-/// Path of a [`Sync`].
+/// Path of a [`Heartbeat`].
 pub const SYNC_PATH: &str = "/v1/sync";
 
 /// Path of a [`Report`].
@@ -21,7 +21,7 @@
 
 /// A heartbeat: who asks, and what it knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Sync {
+pub struct Heartbeat {
     /// Where the sender listens.
     pub from: SocketAddr,
     /// The data hall that it stands in.
@@ -32,7 +32,8 @@
     pub entry: bool,
     /// How fresh its beliefs are.
     #[serde(default)]
-    pub marks: Marks,
+    #[serde(rename = "marks")]
+    pub revisions: Revisions,
     /// Milliseconds since the platform's store answered it, if it ever did.
     #[serde(default)]
     pub store_age_ms: Option<u64>,
@@ -48,17 +49,17 @@
     /// Whether it draws the list of replicas with this message, if it never had the list.
     #[serde(default)]
     pub wants_list: bool,
-    /// Whether it has never had the list of replicas and draws it as [`News::list`], by setting
+    /// Whether it has never had the list of replicas and draws it as [`Update::list`], by setting
     /// `wants_list` in one message at a time.
     #[serde(default)]
     pub draws_list: bool,
-    /// Whether it understands [`News::changes`].
+    /// Whether it understands [`Update::changes`].
     #[serde(default)]
     pub takes_changes: bool,
-    /// Whether it understands [`News::packed_peers`].
+    /// Whether it understands [`Update::packed_peers`].
     #[serde(default)]
     pub takes_packed_peers: bool,
-    /// Whether it understands [`HallNews::packed`].
+    /// Whether it understands [`HallUpdate::packed`].
     #[serde(default)]
     pub takes_packed_digest: bool,
     /// Digest of the poison requests that it knows.
@@ -75,10 +76,11 @@
     #[serde(default)]
     pub load: Load,
     /// The heartbeat that goes with it.
-    pub sync: Sync,
+    #[serde(rename = "sync")]
+    pub heartbeat: Heartbeat,
 }
 
-/// Path at which an entry is asked how its hall's replicas do; the message is a [`Sync`].
+/// Path at which an entry is asked how its hall's replicas do; the message is a [`Heartbeat`].
 pub const HALL_PATH: &str = "/v1/hall";
 
 /// Path at which the entries of a hall are told how replicas do; the message is a packed [`Frame`].
@@ -86,7 +88,7 @@
 
 /// How one replica does, as an entry was told.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Reported {
+pub struct ReplicaStatus {
     /// Where the replica listens.
     pub address: SocketAddr,
     /// What it has to do, and what it holds.
@@ -99,26 +101,28 @@
 
 /// How the replicas of one hall do.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct HallStatus {
     /// The hall.
     #[serde(default)]
     pub hall: Arc<str>,
     /// Its replicas.
     #[serde(default)]
-    pub replicas: Vec<Reported>,
+    pub replicas: Vec<ReplicaStatus>,
 }
 
 /// What the first entry of a hall tells the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
     /// The heartbeat that goes with it.
-    pub sync: Sync,
+    #[serde(rename = "sync")]
+    pub heartbeat: Heartbeat,
     /// How replicas do, by hall.
     #[serde(default)]
-    pub digests: Vec<Digest>,
+    pub digests: Vec<HallStatus>,
     /// What was learned since the frame before the previous one, without the configuration.
     #[serde(default)]
-    pub news: Option<News>,
+    #[serde(rename = "news")]
+    pub update: Option<Update>,
     /// Random identifier of the sending process.
     #[serde(default)]
     pub incarnation: u64,
@@ -130,47 +134,48 @@
 
 /// An entry's answer about its hall.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HallNews {
+pub struct HallUpdate {
     /// How the hall's replicas do. Its list of replicas is empty if `packed` is set.
-    pub digest: Digest,
-    /// The packed list of [`Reported`] replicas, for askers that set [`Sync::takes_packed_digest`].
+    pub digest: HallStatus,
+    /// The packed list of [`ReplicaStatus`] replicas, for askers that set [`Heartbeat::takes_packed_digest`].
     #[serde(default)]
     pub packed: Option<serde_bytes::ByteBuf>,
     /// Whatever the asker lacks besides.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub update: Update,
 }
 
-impl HallNews {
+impl HallUpdate {
     /// Creates an answer from `digest` and `news`. Packs the replicas if `pack_replicas` is set, and
     /// falls back to the plain list if packing fails.
-    pub fn new(digest: Digest, news: News, pack_replicas: bool) -> Self {
+    pub fn new(digest: HallStatus, news: Update, pack_replicas: bool) -> Self {
         let packed = pack_replicas
             .then(|| pack::pack(&digest.replicas))
             .transpose();
         match packed.ok().flatten() {
             Some(packed) => Self {
-                digest: Digest {
+                digest: HallStatus {
                     replicas: Vec::new(),
                     ..digest
                 },
                 packed: Some(packed.into()),
-                news,
+                update: news,
             },
             None => Self {
                 digest,
                 packed: None,
-                news,
+                update: news,
             },
         }
     }
 
     /// Returns the digest with its replicas, unpacked if they were sent packed.
-    pub fn digest(&self) -> Result<Digest, pack::Error> {
+    pub fn digest(&self) -> Result<HallStatus, pack::Error> {
         let replicas = match &self.packed {
             Some(packed) => pack::unpack(packed)?,
             None => self.digest.replicas.clone(),
         };
-        Ok(Digest {
+        Ok(HallStatus {
             hall: self.digest.hall.clone(),
             replicas,
         })
@@ -179,7 +184,7 @@
 
 /// A version that was named for a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Named {
+pub struct PublishedVersion {
     /// The model.
     pub model: Arc<str>,
     /// The version.
@@ -193,7 +198,7 @@
 
 /// A routing configuration and its revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DatedDocument {
+pub struct RevisionedDocument {
     /// The revision.
     pub revision: u64,
     /// The configuration, a [`crate::config::routing::Document`], packed.
@@ -203,32 +208,36 @@
 
 /// A list of replicas.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct List {
+pub struct ReplicaList {
     /// The revision up to which it is known.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub revision: u64,
     /// Whether the store was out of reach shortly before.
     #[serde(default)]
-    pub shaky: bool,
+    #[serde(rename = "shaky")]
+    pub store_unstable: bool,
     /// The entries.
-    pub records: Vec<DatedRecord>,
+    pub records: Vec<RevisionedRecord>,
 }
 
 /// A list of replicas in packed form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PackedList {
+pub struct PackedReplicaList {
     /// The revision up to which it is known.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub revision: u64,
     /// Whether the store was out of reach shortly before.
     #[serde(default)]
-    pub shaky: bool,
-    /// The packed sequence of [`DatedRecord`]s.
+    #[serde(rename = "shaky")]
+    pub store_unstable: bool,
+    /// The packed sequence of [`RevisionedRecord`]s.
     #[serde(with = "serde_bytes")]
     pub packed: Vec<u8>,
 }
 
 /// What a process beside a replica needs of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Brief {
+pub struct Summary {
     /// The configuration's revision.
     pub revision: u64,
     /// The origin of weights.
@@ -242,24 +251,24 @@
     pub engine: Option<Engine>,
 }
 
-impl Brief {
+impl Summary {
     /// Time that a whole copy of the weights takes over the origin's link, if that can be told.
     pub fn copy(&self) -> Option<Duration> {
         let bytes = self.engine.as_ref()?.weight_bytes();
-        let copy = over_link(bytes, self.origin_mbps?);
+        let copy = transfer_time(bytes, self.origin_mbps?);
         (!copy.is_zero()).then_some(copy)
     }
 
     /// Time that one chunk takes over it.
     pub fn chunk(&self) -> Option<Duration> {
         let chunk_bytes = self.engine.as_ref()?.chunk_bytes;
-        Some(over_link(chunk_bytes.into(), self.origin_mbps?))
+        Some(transfer_time(chunk_bytes.into(), self.origin_mbps?))
     }
 }
 
 /// The answer to a heartbeat or a report: whatever its sender lacks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The data hall of the process that answers.
     #[serde(default)]
     pub hall: Arc<str>,
@@ -268,7 +277,8 @@
     pub entry: bool,
     /// How fresh its beliefs are.
     #[serde(default)]
-    pub marks: Marks,
+    #[serde(rename = "marks")]
+    pub revisions: Revisions,
     /// Milliseconds since the platform's store answered it, if it ever did.
     #[serde(default)]
     pub store_age_ms: Option<u64>,
@@ -280,25 +290,26 @@
     pub packed_peers: Option<serde_bytes::ByteBuf>,
     /// Newer routing, if that was asked for.
     #[serde(default)]
-    pub routing: Option<DatedDocument>,
+    pub routing: Option<RevisionedDocument>,
     /// Newer wanted versions.
     #[serde(default)]
-    pub versions: Vec<Named>,
+    pub versions: Vec<PublishedVersion>,
     /// Newer evacuations.
     #[serde(default)]
     pub evacuations: Vec<Evacuation>,
     /// A newer list, where its changes alone can't be told.
     #[serde(default)]
-    pub replicas: Option<List>,
+    pub replicas: Option<ReplicaList>,
     /// The packed list, for a process that begins and draws it with this message.
     #[serde(default)]
-    pub list: Option<PackedList>,
+    pub list: Option<PackedReplicaList>,
     /// What changed in the list.
     #[serde(default)]
     pub changes: Option<Changes>,
     /// The newer configuration in brief.
     #[serde(default)]
-    pub brief: Option<Brief>,
+    #[serde(rename = "brief")]
+    pub summary: Option<Summary>,
     /// Digest of the poison requests that it knows.
     #[serde(default)]
     pub poison: u64,
