--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -12,7 +12,7 @@
 use crate::clock::{Time, unix_millis};
 use crate::exchange::{self, Response, Reuse};
 use crate::request::Interruption;
-use crate::route::{Ask, End, Need, ReplicaKey};
+use crate::route::{Completion, Query, ReplicaKey, Resource};
 use crate::template::fleet::Priority;
 use crate::wire::header;
 
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -22,7 +22,7 @@
 use crate::http::{self, Answer};
 use crate::limit::Refusal;
 use crate::request::{self, Interruption, Key, Next, Outcome, Situation};
-use crate::route::{Need, ReplicaKey, hash_of};
+use crate::route::{ReplicaKey, Resource, hash_of};
 use crate::template::fleet::{Limits, Priority, WHOLE_SHARE};
 
 /// Header that names a request in its answer.
--- a/src/entry/key.rs
+++ b/src/entry/key.rs
@@ -62,7 +62,7 @@
     Err(no_replica(entry))
 }
 
-fn key_need(in_force: &Active, head: &Head, wanted: &KeyRequest) -> Result<Need, Failure> {
+fn key_need(in_force: &Active, head: &Head, wanted: &KeyRequest) -> Result<Resource, Failure> {
     let fleet = &in_force.fleet;
     if let Some(name) = &wanted.service {
         if fleet.services.iter().any(|service| service.name == *name) {
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -15,7 +15,7 @@
 use crate::exchange::{self, Response};
 use crate::http::{self, Answer};
 use crate::request::{Interruption, Next, Outcome};
-use crate::route::{Need, ReplicaKey};
+use crate::route::{ReplicaKey, Resource};
 
 /// An answer of tokens on its way to the caller.
 pub(super) struct Relay {
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -513,10 +513,10 @@
         let host = record.address.ip().to_string();
         let wave = *waves.get(&group)?.get(&host)?;
         let model = self.knowledge.model_of(&record.service)?;
-        Some(Due {
+        Some(Schedule {
             named: catalog.desired_versions(&model).to_vec(),
-            begins: rollout::wave_start(rollout, wave).saturating_sub(rollout.notice),
-            bound: rollout.bound.saturating_sub(START_MARGIN),
+            drain_after: rollout::wave_start(rollout, wave).saturating_sub(rollout.notice),
+            cutoff: rollout.bound.saturating_sub(START_MARGIN),
         })
     }
 
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -65,7 +65,12 @@
 /// Returns the [`FAR_MAX`] least loaded replicas. Those that take no requests sort last: they mostly
 /// have nothing in progress and would otherwise displace replicas that can serve.
 fn least_loaded(mut reports: Vec<ReplicaStatus>) -> Vec<ReplicaStatus> {
-    let key = |reported: &ReplicaStatus| (!reported.load.takes_requests(), reported.load.present());
+    let key = |reported: &ReplicaStatus| {
+        (
+            !reported.load.accepts_requests(),
+            reported.load.in_progress(),
+        )
+    };
     reports.sort_by_key(key);
     reports.truncate(FAR_MAX);
     reports
--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -151,7 +151,7 @@
             rng: RefCell::new(SmallRng::seed_from_u64(seed)),
             client: exchange::Client::sharing(paths),
             traffic: Traffic::default(),
-            catalog: RefCell::new(Catalog::new(!policy.doubt)),
+            catalog: RefCell::new(Catalog::new(!policy.removal_grace)),
             policy,
             peers: RefCell::new(Peers::new(own)),
             summary: RefCell::default(),
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -22,6 +22,7 @@
 use crate::exchange::{Note, Options, Request};
 use crate::lease;
 use crate::source::Topic;
+use crate::timeout::{self, Progress};
 use crate::wire::sync::{FRAME_PATH, HALL_PATH, Heartbeat, REPORT_PATH, SYNC_PATH, Update};
 
 /// Shortest time between two rounds of telling that there is news.
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -485,7 +485,7 @@
         let whole = self.uncorrected(ask.service, engine, limit.saturating_sub(late));
         let light = Backlog {
             requests: engine.slots.saturating_sub(1),
-            unread: engine.mean_prompt_tokens * LIGHT_PROMPTS,
+            prompt_tokens: engine.mean_prompt_tokens * LIGHT_PROMPTS,
             pace: 1.0,
         };
         let spread = self.policy.queue_spread;
@@ -561,7 +561,7 @@
     fn work(&self, replica: &Replica, engine: &Engine, now: Time) -> Backlog {
         Backlog {
             requests: replica.requests(now),
-            unread: replica.unread(engine.mean_prompt_tokens, now),
+            prompt_tokens: replica.unread(engine.mean_prompt_tokens, now),
             pace: replica.pace(now),
         }
     }
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -15,7 +15,7 @@
     pub fn update(
         &mut self,
         list: &BTreeMap<Arc<str>, ListedReplica>,
-        due: impl Fn(&Record) -> Option<Due>,
+        due: impl Fn(&Record) -> Option<Schedule>,
     ) {
         let tell_lives: BTreeSet<&str> = list
             .values()
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -23,6 +23,7 @@
 use crate::route::notice::{Notice, Suspension};
 use crate::route::replica::Load;
 use crate::source::Topic;
+use crate::timeout::{self, Progress};
 use crate::wire::sync::{Heartbeat, REPORT_PATH, Report};
 
 /// How often the replica is asked.
--- a/src/source.rs
+++ b/src/source.rs
@@ -5,7 +5,7 @@
 use futures_util::future::LocalBoxFuture;
 
 use crate::config::catalog::Revisioned;
-use crate::patience::Progress;
+use crate::timeout::Progress;
 
 /// What is read or watched as one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -85,8 +85,8 @@
             .apply(Revisioned { revision, fact }, now, false);
         self.pool.update(self.catalog.replicas(), |_| None);
         let halls: BTreeSet<Arc<str>> = self.catalog.evacuations().active().cloned().collect();
-        self.pool.evacuate(halls);
-        self.pool.tell_cold(now);
+        self.pool.set_evacuated(halls);
+        self.pool.refresh_cold(now);
         effect
     }
 
