--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -514,7 +514,7 @@
         let wave = *waves.get(&group)?.get(&host)?;
         let model = self.knowledge.model_of(&record.service)?;
         Some(Schedule {
-            named: catalog.desired_versions(&model).to_vec(),
+            versions: catalog.desired_versions(&model).to_vec(),
             drain_after: rollout::wave_start(rollout, wave).saturating_sub(rollout.notice),
             cutoff: rollout.bound.saturating_sub(START_MARGIN),
         })
--- a/src/route/replica.rs
+++ b/src/route/replica.rs
@@ -207,7 +207,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Schedule {
     /// The versions, oldest first.
-    pub named: Vec<DesiredVersion>,
+    pub versions: Vec<DesiredVersion>,
     /// Time from a version's naming until the replica takes nothing new any more.
     pub drain_after: Duration,
     /// Time from a version's naming until nothing may start on an older one any more.
@@ -286,7 +286,7 @@
     /// The change of version that it has before it: the oldest that it lacks sets the times.
     pub(super) fn change(&self, model: &str, now: Time) -> Option<Change> {
         let due = self.due.as_ref()?;
-        let since = catalog::first_missing(&due.named, self.version(model, now)?)?.since;
+        let since = catalog::first_missing(&due.versions, self.version(model, now)?)?.since;
         Some(Change {
             at: since + due.drain_after,
             bound: since + due.cutoff,
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -329,7 +329,7 @@
 #[test]
 fn nothing_is_sent_that_would_start_on_an_old_version_after_its_bound() {
     let due = Schedule {
-        named: vec![DesiredVersion {
+        versions: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -355,7 +355,7 @@
 #[test]
 fn a_request_that_outlasts_a_change_of_version_goes_to_a_replica_that_changes_later() {
     let due = |begins| Schedule {
-        named: vec![DesiredVersion {
+        versions: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -382,7 +382,7 @@
 #[test]
 fn replicas_whose_change_is_late_are_not_left_to_those_that_change_last() {
     let named = |begins_ms| Schedule {
-        named: vec![DesiredVersion {
+        versions: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -428,7 +428,7 @@
 /// A replica that has version 2 before it, named now, with its bound after 7.4 s.
 fn due_in_seven_seconds() -> Schedule {
     Schedule {
-        named: vec![DesiredVersion {
+        versions: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
