--- a/src/stop.rs
+++ b/src/stop.rs
@@ -1,11 +1,11 @@
-//! A planned stop: until when requests are taken, from when they are refused, and when the process
-//! may end.
+//! State machine of a planned stop: until when requests are accepted, from when they are refused, and
+//! when the process may exit.
 //!
-//! Who takes no more requests says so first and looks only then whether anything is under way, so
-//! that what comes between the two is refused. It looks again until the end, as connections that are
-//! open may bring requests until they are closed. Time is passed in.
+//! The process first starts to refuse requests and only then checks whether any are in flight, so
+//! that a request arriving between the two is refused. It repeats the check until it exits, because
+//! open connections may deliver requests until they are closed. The caller passes in the time.
 //!
-//! * [`porter`] carries it out at a process's edge.
+//! * [`tracker`] counts a server's requests and drives the stop.
 
 use std::time::Duration;
 
@@ -15,38 +15,39 @@
 
 pub use tracker::{Permit, Tracker};
 
-/// How long a stopping process goes on taking requests: three times the second in which those who
-/// route to it look whether it is ready.
+/// How long a stopping process still accepts requests: three times the readiness check interval of
+/// one second of the processes that route to it.
 pub const ANNOUNCE_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time for the last answers to leave the process: two round trips of a slow link.
-const LAST_BYTES: Duration = Duration::from_millis(200);
+/// Time for the last answers to leave the process: two round trips on a slow link.
+const FLUSH_PERIOD: Duration = Duration::from_millis(200);
 
-/// Time for connections at rest to be closed: two looks of a closing server.
-const CLOSE: Duration = Duration::from_millis(100);
+/// Time for idle connections to be closed: two check intervals of a closing server.
+const CLOSE_PERIOD: Duration = Duration::from_millis(100);
 
-/// Looks at which nothing came while connections are closed: each has had its turn between two.
-const QUIET_LOOKS: u32 = 2;
+/// Number of polls without a request while connections are closed. Every connection is
+/// serviced between two polls.
+const QUIET_POLLS: u32 = 2;
 
-/// Longest planned stop if nobody says: that of a request with the longest deadline.
-const LONGEST: Duration = Duration::from_secs(600);
+/// Default time limit after the announcement: the longest deadline that a request may have.
+const TIME_LIMIT: Duration = Duration::from_secs(600);
 
-/// Part of a bounded stop, before its end, in which nothing is under way any more: [`LAST_BYTES`],
-/// [`CLOSE`] and 0.4 s for a machine that is busy.
-const MARGIN: Duration = Duration::from_millis(700);
+/// Time at the end of a bounded stop in which no request is in flight: [`FLUSH_PERIOD`],
+/// [`CLOSE_PERIOD`], and 0.4 s for delays on a busy machine.
+const END_MARGIN: Duration = Duration::from_millis(700);
 
 /// Settings of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Setting {
-    /// How long requests are still taken, so that those who send them hear of the stop.
+    /// How long requests are still accepted, so that their senders learn of the stop.
     pub announce_period: Duration,
-    /// Time from the beginning after which what is under way is given up.
+    /// Time from the start of the stop after which requests in flight are aborted.
     pub time_limit: Duration,
     /// Time for the last answers to leave the process.
-    pub last_bytes: Duration,
-    /// Time for connections at rest to be closed.
-    pub close: Duration,
-    /// Whether connections are accepted for as long as anything is under way that may need them.
+    pub flush_period: Duration,
+    /// Time for idle connections to be closed.
+    pub close_period: Duration,
+    /// Whether connections are accepted while requests are in flight that may need them.
     pub reachable: bool,
 }
 
@@ -54,85 +55,86 @@
     fn default() -> Self {
         Self {
             announce_period: ANNOUNCE_PERIOD,
-            time_limit: ANNOUNCE_PERIOD + LONGEST,
-            last_bytes: LAST_BYTES,
-            close: CLOSE,
+            time_limit: ANNOUNCE_PERIOD + TIME_LIMIT,
+            flush_period: FLUSH_PERIOD,
+            close_period: CLOSE_PERIOD,
             reachable: false,
         }
     }
 }
 
 impl Setting {
-    /// A stop that is over within `grace`.
+    /// Settings of a stop that completes within `grace`, or within the shortest possible stop if that
+    /// takes longer.
     pub fn within(grace: Duration) -> Self {
         Self {
-            time_limit: grace.saturating_sub(MARGIN).max(ANNOUNCE_PERIOD),
+            time_limit: grace.saturating_sub(END_MARGIN).max(ANNOUNCE_PERIOD),
             ..Self::default()
         }
     }
 
-    /// The end of the stop, whatever is under way then.
+    /// Time from the start of the stop after which the process exits even if requests are in flight.
     fn end(&self) -> Duration {
-        self.time_limit + self.last_bytes + self.close
+        self.time_limit + self.flush_period + self.close_period
     }
 }
 
-/// How far a stop has come.
+/// Phase of a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum Phase {
-    /// There is none.
+    /// No stop has begun.
     #[default]
     Serving,
-    /// It is said that the process stops, and requests are still taken.
+    /// The stop is announced; requests are still accepted.
     Announced,
-    /// No more are taken; what was taken is finished.
+    /// New requests are refused; accepted ones are completed.
     Refusing,
-    /// What was taken is given up: who can still be told is told.
-    Ending,
-    /// Nothing is under way; the last answers leave.
-    LastBytes,
-    /// Connections that rest are closed.
+    /// Requests in flight are aborted, with an answer where one can still be sent.
+    Aborting,
+    /// No requests are in flight; the last answers leave the process.
+    Flushing,
+    /// Idle connections are closed.
     Closing,
-    /// The process ends.
-    Over,
+    /// The process may exit.
+    Done,
 }
 
-/// What a request is, as far as a stop is concerned.
+/// Kind of request, which determines how a stop treats it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// A caller's request.
+    /// A new request of a caller.
     New,
-    /// It goes on with what was taken before.
+    /// Continues a request that was accepted before.
     Continued,
-    /// Another process asks for something that others have as well.
+    /// A request of another process for something that it can also get elsewhere.
     Peer,
 }
 
-/// What becomes of a request that arrives.
+/// How an arriving request is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// It is taken.
-    Taken,
-    /// It is refused, and the process waits until the refusal has left.
+    /// It is accepted.
+    Accepted,
+    /// It is refused, and the process does not exit before the refusal has been sent.
     Refused,
-    /// It is refused, and nobody waits for that.
+    /// It is refused, and the stop does not wait for the refusal to be sent.
     Dismissed,
 }
 
-/// A planned stop, before and while it lasts.
+/// State of a planned stop, which exists from the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Stop {
     setting: Setting,
     phase: Phase,
     began: Time,
-    closing: Time,
-    looks: u32,
-    last: Time,
+    closing_since: Time,
+    polls: u32,
+    last_activity: Time,
     in_flight: u64,
 }
 
 impl Stop {
-    /// The process is to stop.
+    /// Begins the stop. If one has begun, only replaces its settings.
     pub fn begin(&mut self, setting: Setting, now: Time) {
         self.setting = setting;
         if self.phase == Phase::Serving {
@@ -141,73 +143,75 @@
         }
     }
 
-    /// A request arrives. Unless it is dismissed, [`Stop::end`] follows.
-    pub fn arrive(&mut self, kind: Kind, now: Time) -> Decision {
-        let taken = match kind {
+    /// Decides about an arriving request. Unless it is dismissed, the caller must call
+    /// [`Stop::finish`] afterwards.
+    pub fn admit(&mut self, kind: Kind, now: Time) -> Decision {
+        let accepted = match kind {
             Kind::New | Kind::Peer => self.phase < Phase::Refusing,
-            Kind::Continued => self.phase < Phase::Ending,
+            Kind::Continued => self.phase < Phase::Aborting,
         };
-        if !taken && kind == Kind::Peer {
+        if !accepted && kind == Kind::Peer {
             return Decision::Dismissed;
         }
         self.in_flight += 1;
-        self.last = now;
-        if taken {
-            Decision::Taken
+        self.last_activity = now;
+        if accepted {
+            Decision::Accepted
         } else {
             Decision::Refused
         }
     }
 
-    /// A request's answer was handed over, or given up.
-    pub fn end(&mut self, now: Time) {
+    /// Records that a request's answer was handed over to the server, or given up.
+    pub fn finish(&mut self, now: Time) {
         self.in_flight -= 1;
-        self.last = now;
+        self.last_activity = now;
     }
 
-    /// Requests whose answers are not handed over.
+    /// Number of requests whose answers have not been handed over yet.
     pub fn in_flight(&self) -> u64 {
         self.in_flight
     }
 
-    /// How far the stop has come.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether connections are to be accepted.
-    pub fn accepts(&self) -> bool {
-        let open = if self.setting.reachable {
-            Phase::LastBytes
+    /// Whether the server should accept connections.
+    pub fn accepts_connections(&self) -> bool {
+        let until = if self.setting.reachable {
+            Phase::Flushing
         } else {
             Phase::Refusing
         };
-        self.phase < open
+        self.phase < until
     }
 
-    /// Looks how far the stop has come; one phase at a time, so that each is said before the next is
-    /// judged.
-    pub fn look(&mut self, now: Time) -> Phase {
+    /// Advances the stop by at most one phase and returns the current one, so that every phase is
+    /// published before the conditions of the next one are evaluated.
+    pub fn poll(&mut self, now: Time) -> Phase {
         if self.phase == Phase::Closing {
-            self.looks = QUIET_LOOKS.min(self.looks + 1);
+            self.polls = QUIET_POLLS.min(self.polls + 1);
         }
-        let spent = now.since(self.began);
+        let elapsed = now.since(self.began);
         let idle = self.in_flight == 0;
-        let quiet = idle && now.since(self.last) >= self.setting.last_bytes;
-        let closed = self.looks >= QUIET_LOOKS && now.since(self.closing) >= self.setting.close;
+        let quiet = idle && now.since(self.last_activity) >= self.setting.flush_period;
+        let closed =
+            self.polls >= QUIET_POLLS && now.since(self.closing_since) >= self.setting.close_period;
         self.phase = match self.phase {
-            Phase::Announced if spent >= self.setting.announce_period => Phase::Refusing,
-            Phase::Refusing | Phase::Ending if idle => Phase::LastBytes,
-            Phase::Refusing if spent >= self.setting.time_limit => Phase::Ending,
-            Phase::LastBytes if quiet => {
-                self.closing = now;
-                self.looks = 0;
+            Phase::Announced if elapsed >= self.setting.announce_period => Phase::Refusing,
+            Phase::Refusing | Phase::Aborting if idle => Phase::Flushing,
+            Phase::Refusing if elapsed >= self.setting.time_limit => Phase::Aborting,
+            Phase::Flushing if quiet => {
+                self.closing_since = now;
+                self.polls = 0;
                 Phase::Closing
             }
-            Phase::Closing if !quiet => Phase::LastBytes,
-            Phase::Closing if closed => Phase::Over,
-            Phase::Ending | Phase::LastBytes | Phase::Closing if spent >= self.setting.end() => {
-                Phase::Over
+            Phase::Closing if !quiet => Phase::Flushing,
+            Phase::Closing if closed => Phase::Done,
+            Phase::Aborting | Phase::Flushing | Phase::Closing if elapsed >= self.setting.end() => {
+                Phase::Done
             }
             phase => phase,
         };
--- a/src/stop/tracker.rs
+++ b/src/stop/tracker.rs
@@ -1,5 +1,5 @@
-//! A planned stop at a process's edge: lets requests in, counts what becomes of them, and tells when
-//! the process may end.
+//! Tracks the requests of a server and drives a planned stop: admits requests, counts them by outcome,
+//! and returns when the process may exit.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -21,54 +21,56 @@
 use crate::http::{Answer, Server};
 use crate::request::Outcome;
 
-/// How often a stopping process looks how far it has come: a quarter of the time for last bytes.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often a stopping process advances its stop: a quarter of the flush period.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// When a refused caller should come back: others take it at once, and have heard of the stop.
+/// Delay after which a refused caller should retry. It is short because other processes accept the
+/// request at once, and know of the stop.
 pub const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// What became of the requests that arrived within a stop.
+/// Requests that arrived during a stop, by outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Tally {
-    /// Those that were answered whole.
+pub struct Counts {
+    /// Answered completely.
     pub served: u64,
-    /// Those that were refused as not run, as at any other time.
+    /// Refused as not run, for a reason other than the stop.
     pub refused: u64,
-    /// Those that were refused as not run because of the stop.
+    /// Refused as not run because of the stop.
     pub stopped: u64,
-    /// Those whose answer did not come whole, or whose outcome nobody knows.
+    /// With an incomplete answer or an unknown outcome.
     pub cut: u64,
 }
 
-/// How a request ended, as far as a stop is concerned.
+/// How a request ended, as counted during a stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
+enum Completion {
     Served,
     Refused,
     Stopped,
     Cut,
 }
 
-/// Lets requests in. It lives on one thread.
+/// Admits and counts requests. It is confined to one thread.
 #[derive(Debug)]
 pub struct Tracker {
     clock: Clock,
     stop: RefCell<Stop>,
     phase: watch::Sender<Phase>,
-    tally: Cell<Tally>,
-    late: Cell<u64>,
+    counts: Cell<Counts>,
+    /// Requests that arrived during the stop and have not ended yet.
+    uncounted: Cell<u64>,
     requests: Counter<u64>,
 }
 
 impl Tracker {
-    /// A porter of a process that does not stop yet.
+    /// Creates the tracker of a process that is not stopping.
     pub fn new(clock: Clock, meter: &Meter) -> Rc<Self> {
         Rc::new(Self {
             clock,
             stop: RefCell::default(),
             phase: watch::Sender::default(),
-            tally: Cell::default(),
-            late: Cell::new(0),
+            counts: Cell::default(),
+            uncounted: Cell::new(0),
             requests: meter
                 .u64_counter("pumicelatch.stop.requests")
                 .with_description(
@@ -78,175 +80,177 @@
         })
     }
 
-    /// The process is to stop, and goes on taking requests for now.
+    /// Announces the stop of the process, which still accepts requests.
     pub fn begin(&self, setting: Setting) {
         self.stop.borrow_mut().begin(setting, self.clock.now());
-        self.tell();
+        self.publish_phase();
     }
 
-    fn tell(&self) {
+    fn publish_phase(&self) {
         let phase = self.stop.borrow().phase();
-        self.phase.send_if_modified(|told| {
-            let changed = *told != phase;
-            *told = phase;
+        self.phase.send_if_modified(|published| {
+            let changed = *published != phase;
+            *published = phase;
             changed
         });
     }
 
-    /// Whether the process stops.
+    /// Whether a stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stop.borrow().phase() > Phase::Serving
     }
 
-    /// Requests whose answers are not handed over.
+    /// Number of requests whose answers have not been handed over yet.
     pub fn in_flight(&self) -> u64 {
         self.stop.borrow().in_flight()
     }
 
-    /// What became of the requests that arrived within the stop so far.
-    pub fn tally(&self) -> Tally {
-        self.tally.get()
+    /// Requests that arrived during the stop and have ended.
+    pub fn counts(&self) -> Counts {
+        self.counts.get()
     }
 
-    /// A request arrives.
+    /// Registers an arriving request.
     pub fn admit(self: &Rc<Self>, kind: Kind) -> Permit {
-        let verdict = self.stop.borrow_mut().arrive(kind, self.clock.now());
-        let late = self.is_stopping() && kind != Kind::Peer;
-        self.late.set(self.late.get() + u64::from(late));
+        let decision = self.stop.borrow_mut().admit(kind, self.clock.now());
+        let during_stop = self.is_stopping() && kind != Kind::Peer;
+        self.uncounted
+            .set(self.uncounted.get() + u64::from(during_stop));
         Permit {
             tracker: self.clone(),
-            verdict,
-            late,
-            end: End::Cut,
+            decision,
+            during_stop,
+            completion: Completion::Cut,
         }
     }
 
-    /// Does `work` unless what is under way is given up before it is done.
+    /// Runs `work`. Returns `None` if requests in flight are aborted before it completes.
     pub async fn until_abort<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let mut phase = self.phase.subscribe();
-        let given_up = phase.wait_for(|phase| *phase >= Phase::Ending);
-        match select(pin!(work), pin!(given_up)).await {
+        let aborted = phase.wait_for(|phase| *phase >= Phase::Aborting);
+        match select(pin!(work), pin!(aborted)).await {
             Either::Left((done, _)) => Some(done),
             Either::Right(_) => None,
         }
     }
 
-    /// Stops the process that takes requests at `server`. Returns when it may end; nothing else may
-    /// happen on the thread before it does.
+    /// Stops the process that accepts requests at `server`. Returns when the process may exit; nothing
+    /// else may run on the thread before it does.
     pub async fn stop(&self, setting: Setting, server: &Server) {
         self.begin(setting);
         server.leave();
         loop {
-            sleep(LOOK).await;
-            let phase = self.stop.borrow_mut().look(self.clock.now());
-            self.tell();
-            if !self.stop.borrow().accepts() {
+            sleep(POLL_INTERVAL).await;
+            let phase = self.stop.borrow_mut().poll(self.clock.now());
+            self.publish_phase();
+            if !self.stop.borrow().accepts_connections() {
                 server.stop_accepting();
             }
             match phase {
                 Phase::Closing => server.close(),
-                Phase::Over => return self.count_rest(),
+                Phase::Done => return self.count_remaining(),
                 _ => {}
             }
         }
     }
 
-    /// What is under way when the process ends is cut.
-    fn count_rest(&self) {
+    /// Counts the requests in flight as cut when the process exits, and logs the counts.
+    fn count_remaining(&self) {
         let under_way = self.in_flight();
         if under_way > 0 {
             log::warn!(under_way; "requests were still in progress at the end of the stop");
         }
-        for _ in 0..self.late.replace(0) {
-            self.count(End::Cut);
+        for _ in 0..self.uncounted.replace(0) {
+            self.count(Completion::Cut);
         }
-        let Tally {
+        let Counts {
             served,
             refused,
             stopped,
             cut,
-        } = self.tally();
+        } = self.counts();
         log::info!(under_way, served, refused, stopped, cut; "planned stop is over");
     }
 
-    fn count(&self, end: End) {
-        let mut tally = self.tally();
-        let (counter, name) = match end {
-            End::Served => (&mut tally.served, "served"),
-            End::Refused => (&mut tally.refused, "refused"),
-            End::Stopped => (&mut tally.stopped, "stopped"),
-            End::Cut => (&mut tally.cut, "cut"),
+    fn count(&self, completion: Completion) {
+        let mut counts = self.counts();
+        let (counter, name) = match completion {
+            Completion::Served => (&mut counts.served, "served"),
+            Completion::Refused => (&mut counts.refused, "refused"),
+            Completion::Stopped => (&mut counts.stopped, "stopped"),
+            Completion::Cut => (&mut counts.cut, "cut"),
         };
         *counter += 1;
-        self.tally.set(tally);
+        self.counts.set(counts);
         self.requests.add(1, &[KeyValue::new("outcome", name)]);
     }
 }
 
-/// A request, from its arrival to the end of its answer.
+/// Registration of a request, from its arrival to the end of its answer.
 #[derive(Debug)]
 pub struct Permit {
     tracker: Rc<Tracker>,
-    verdict: Decision,
-    late: bool,
-    end: End,
+    decision: Decision,
+    during_stop: bool,
+    completion: Completion,
 }
 
 impl Permit {
-    /// Whether it is to be refused.
+    /// Whether the request must be refused.
     pub fn is_refused(&self) -> bool {
-        self.verdict != Decision::Taken
-    }
-
-    /// How the request ends once `answer` is handed over. An answer of the process's own bears the
-    /// request's [`Outcome`].
-    fn ends_as(&self, answer: &Answer) -> End {
-        let given_up = self.tracker.stop.borrow().phase() >= Phase::Ending;
-        let told = answer.extensions().get::<Outcome>().copied();
-        match told {
-            _ if self.is_refused() => End::Stopped,
-            Some(Outcome::NotRun) if given_up => End::Stopped,
-            Some(Outcome::NotRun) => End::Refused,
-            Some(Outcome::Unknown) => End::Cut,
-            Some(Outcome::Ran) | None => End::Served,
+        self.decision != Decision::Accepted
+    }
+
+    /// How the request ends if `answer` is handed over completely. Answers that the process itself
+    /// creates carry the request's [`Outcome`] as an extension.
+    fn completion(&self, answer: &Answer) -> Completion {
+        let aborting = self.tracker.stop.borrow().phase() >= Phase::Aborting;
+        let outcome = answer.extensions().get::<Outcome>().copied();
+        match outcome {
+            _ if self.is_refused() => Completion::Stopped,
+            Some(Outcome::NotRun) if aborting => Completion::Stopped,
+            Some(Outcome::NotRun) => Completion::Refused,
+            Some(Outcome::Unknown) => Completion::Cut,
+            Some(Outcome::Ran) | None => Completion::Served,
         }
     }
 
-    /// Keeps the ticket until `answer` is handed over. In a stop, its connection takes no more.
+    /// Holds the permit until `answer` is handed over. During a stop, the connection is closed
+    /// afterwards.
     pub fn attach(self, mut answer: Answer) -> Answer {
         if self.tracker.is_stopping() {
             answer.head_mut().set_connection_type(ConnectionType::Close);
         }
-        let kept = Kept {
-            once_whole: self.ends_as(&answer),
+        let guard = BodyGuard {
+            if_whole: self.completion(&answer),
             permit: self,
         };
-        answer.map_body(|_, body| Held::new(body, kept).boxed())
+        answer.map_body(|_, body| Held::new(body, guard).boxed())
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
         let tracker = &self.tracker;
-        if self.verdict != Decision::Dismissed {
-            tracker.stop.borrow_mut().end(tracker.clock.now());
+        if self.decision != Decision::Dismissed {
+            tracker.stop.borrow_mut().finish(tracker.clock.now());
         }
-        let late = tracker.late.get();
-        if self.late && late > 0 {
-            tracker.late.set(late - 1);
-            tracker.count(self.end);
+        let uncounted = tracker.uncounted.get();
+        if self.during_stop && uncounted > 0 {
+            tracker.uncounted.set(uncounted - 1);
+            tracker.count(self.completion);
         }
     }
 }
 
-/// A ticket that an answer's body keeps.
-struct Kept {
+/// Holds a permit in the body of an answer.
+struct BodyGuard {
     permit: Permit,
-    once_whole: End,
+    if_whole: Completion,
 }
 
-impl Keeper for Kept {
+impl Keeper for BodyGuard {
     fn whole(&mut self) {
-        self.permit.end = self.once_whole;
+        self.permit.completion = self.if_whole;
     }
 }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,5 +1,5 @@
-//! A planned stop cuts nothing: every interleaving of requests, looks and time, for the rule as it is
-//! and for two that are broken.
+//! Model check of a planned stop: explores every interleaving of requests, polls and time, and verifies
+//! that no request is cut. Two deliberately faulty rules show that the check detects violations.
 
 use std::collections::HashSet;
 use std::fmt::Debug;
@@ -9,32 +9,32 @@
 use pumicelatch::clock::Time;
 use pumicelatch::stop::{Decision, Kind, Phase, Setting, Stop};
 
-/// A step of time.
+/// Time step of the model.
 const STEP: Duration = Duration::from_millis(1);
 
 const SETTING: Setting = Setting {
     announce_period: Duration::from_millis(1),
     time_limit: Duration::from_millis(5),
-    last_bytes: Duration::from_millis(2),
-    close: Duration::from_millis(1),
+    flush_period: Duration::from_millis(2),
+    close_period: Duration::from_millis(1),
     reachable: false,
 };
 
-/// Steps after which the process may end whatever is under way.
+/// Number of steps after which the process may exit even if requests are in flight.
 const END: u64 = 8;
 
-/// Steps after which nothing new is looked at.
+/// Number of steps after which time no longer advances in the model.
 const HORIZON: u64 = 16;
 
-/// Looks after [`END`] at the latest of which the process ends.
-const LOOKS_MAX: u32 = 8;
+/// Maximum number of polls from [`END`] on, one per step, until the process exits.
+const POLLS_MAX: u32 = 8;
 
-/// Who decides about a stop.
+/// The decisions of a stop that the model checks.
 trait Rule: Copy + Eq + Hash + Debug {
     fn begin(now: Time) -> Self;
-    fn arrive(&mut self, kind: Kind, now: Time) -> Decision;
-    fn end(&mut self, verdict: Decision, now: Time);
-    fn look(&mut self, now: Time) -> Phase;
+    fn admit(&mut self, kind: Kind, now: Time) -> Decision;
+    fn finish(&mut self, decision: Decision, now: Time);
+    fn poll(&mut self, now: Time) -> Phase;
 }
 
 impl Rule for Stop {
@@ -44,123 +44,125 @@
         stop
     }
 
-    fn arrive(&mut self, kind: Kind, now: Time) -> Decision {
-        Stop::arrive(self, kind, now)
+    fn admit(&mut self, kind: Kind, now: Time) -> Decision {
+        Stop::admit(self, kind, now)
     }
 
-    fn end(&mut self, _: Decision, now: Time) {
-        Stop::end(self, now);
+    fn finish(&mut self, _: Decision, now: Time) {
+        Stop::finish(self, now);
     }
 
-    fn look(&mut self, now: Time) -> Phase {
-        Stop::look(self, now)
+    fn poll(&mut self, now: Time) -> Phase {
+        Stop::poll(self, now)
     }
 }
 
-/// Broken: it takes whatever comes, sees once that it is idle, and never looks again.
+/// Faulty: accepts every request, and does not check again after it has once found no request in
+/// flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct LooksOnce {
+struct ChecksOnce {
     began: Time,
     idle: Option<Time>,
-    under_way: u64,
+    in_flight: u64,
 }
 
-impl Rule for LooksOnce {
+impl Rule for ChecksOnce {
     fn begin(now: Time) -> Self {
         Self {
             began: now,
             idle: None,
-            under_way: 0,
+            in_flight: 0,
         }
     }
 
-    fn arrive(&mut self, _: Kind, _: Time) -> Decision {
-        self.under_way += 1;
-        Decision::Taken
+    fn admit(&mut self, _: Kind, _: Time) -> Decision {
+        self.in_flight += 1;
+        Decision::Accepted
     }
 
-    fn end(&mut self, _: Decision, _: Time) {
-        self.under_way -= 1;
+    fn finish(&mut self, _: Decision, _: Time) {
+        self.in_flight -= 1;
     }
 
-    fn look(&mut self, now: Time) -> Phase {
-        let spent = now.since(self.began);
-        if spent >= SETTING.time_limit || (spent >= SETTING.announce_period && self.under_way == 0)
+    fn poll(&mut self, now: Time) -> Phase {
+        let elapsed = now.since(self.began);
+        if elapsed >= SETTING.time_limit
+            || (elapsed >= SETTING.announce_period && self.in_flight == 0)
         {
             self.idle.get_or_insert(now);
         }
         match self.idle {
-            Some(idle) if now.since(idle) >= SETTING.last_bytes => Phase::Over,
+            Some(idle) if now.since(idle) >= SETTING.flush_period => Phase::Done,
             _ => Phase::Announced,
         }
     }
 }
 
-/// Broken: it refuses in time, and does not wait until the refusals have left.
+/// Faulty: refuses requests in time, but does not wait until the refusals have been sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct ForgetsRefusals(Stop);
+struct IgnoresRefusals(Stop);
 
-impl Rule for ForgetsRefusals {
+impl Rule for IgnoresRefusals {
     fn begin(now: Time) -> Self {
         Self(Rule::begin(now))
     }
 
-    fn arrive(&mut self, kind: Kind, now: Time) -> Decision {
-        let mut tried = self.0;
-        let verdict = tried.arrive(kind, now);
-        if verdict == Decision::Taken {
-            self.0 = tried;
+    fn admit(&mut self, kind: Kind, now: Time) -> Decision {
+        let mut attempt = self.0;
+        let decision = attempt.admit(kind, now);
+        if decision == Decision::Accepted {
+            self.0 = attempt;
         }
-        verdict
+        decision
     }
 
-    fn end(&mut self, verdict: Decision, now: Time) {
-        if verdict == Decision::Taken {
-            self.0.end(now);
+    fn finish(&mut self, decision: Decision, now: Time) {
+        if decision == Decision::Accepted {
+            self.0.finish(now);
         }
     }
 
-    fn look(&mut self, now: Time) -> Phase {
-        self.0.look(now)
+    fn poll(&mut self, now: Time) -> Phase {
+        self.0.poll(now)
     }
 }
 
-/// A caller's connection and the one request that may come on it.
+/// A connection of a caller and the one request that may arrive on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Request {
-    /// The connection is open and rests.
-    Resting(Kind),
-    /// It was read and is not answered.
+    /// The connection is open and idle.
+    Idle(Kind),
+    /// The request was read and has not been answered.
     Read(Decision),
-    /// Its answer was handed over.
+    /// The answer was handed over.
     Answered(Time),
-    /// Its answer has left, or its connection was closed at rest.
-    Gone,
+    /// The answer has left the process, or the idle connection was closed.
+    Closed,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct World<R> {
+struct State<R> {
     rule: R,
     now: Time,
     phase: Phase,
     requests: [Request; 2],
 }
 
-impl<R: Rule> World<R> {
-    fn spent(&self) -> u64 {
+impl<R: Rule> State<R> {
+    fn elapsed(&self) -> u64 {
         self.now.0 / STEP.as_micros() as u64
     }
 
-    /// What a request meets that is not over when the process ends.
-    fn ends(&self) -> Result<(), String> {
-        if self.spent() >= END {
+    /// Checks that the exit of the process cuts no request.
+    fn check_exit(&self) -> Result<(), String> {
+        if self.elapsed() >= END {
             return Ok(());
         }
         for request in self.requests {
             let cut = match request {
-                Request::Resting(_) | Request::Gone => false,
+                Request::Idle(_) | Request::Closed => false,
                 Request::Read(_) => true,
-                Request::Answered(at) => self.now.since(at) < SETTING.last_bytes,
+                Request::Answered(at) => self.now.since(at) < SETTING.flush_period,
             };
             if cut {
                 return Err(format!("cut: {self:?}"));
@@ -169,82 +171,82 @@
         Ok(())
     }
 
-    /// All that may happen next. An error is a broken promise.
-    fn next(&self) -> Result<Vec<Self>, String> {
-        let mut all = Vec::new();
-        if self.spent() < HORIZON {
+    /// Returns all possible next states, or an error if one violates the rules of a stop.
+    fn successors(&self) -> Result<Vec<Self>, String> {
+        let mut next = Vec::new();
+        if self.elapsed() < HORIZON {
             let mut later = *self;
             later.now = self.now + STEP;
-            all.push(later);
+            next.push(later);
         }
-        let mut looked = *self;
-        looked.phase = looked.rule.look(self.now);
-        match looked.phase {
-            Phase::Over => looked.ends()?,
-            _ => all.push(looked),
+        let mut polled = *self;
+        polled.phase = polled.rule.poll(self.now);
+        match polled.phase {
+            Phase::Done => polled.check_exit()?,
+            _ => next.push(polled),
         }
         for index in 0..self.requests.len() {
-            all.extend(self.request(index)?);
+            next.extend(self.request_successors(index)?);
         }
-        Ok(all)
+        Ok(next)
     }
 
-    /// What may happen to one request.
-    fn request(&self, index: usize) -> Result<Vec<Self>, String> {
+    /// Returns the possible next states in which one request advances.
+    fn request_successors(&self, index: usize) -> Result<Vec<Self>, String> {
         let with = |request: Request| {
             let mut next = *self;
             next.requests[index] = request;
             next
         };
         Ok(match self.requests[index] {
-            Request::Resting(kind) => {
+            Request::Idle(kind) => {
                 let mut read = *self;
-                let verdict = read.rule.arrive(kind, self.now);
-                read.requests[index] = Request::Read(verdict);
-                if verdict == Decision::Taken && self.phase >= Phase::Ending {
-                    return Err(format!("taken too late: {self:?}"));
+                let decision = read.rule.admit(kind, self.now);
+                read.requests[index] = Request::Read(decision);
+                if decision == Decision::Accepted && self.phase >= Phase::Aborting {
+                    return Err(format!("accepted too late: {self:?}"));
                 }
-                let mut both = vec![read];
+                let mut next = vec![read];
                 if self.phase == Phase::Closing {
-                    both.push(with(Request::Gone));
+                    next.push(with(Request::Closed));
                 }
-                both
+                next
             }
-            Request::Read(verdict) => {
+            Request::Read(decision) => {
                 let mut answered = with(Request::Answered(self.now));
-                answered.rule.end(verdict, self.now);
+                answered.rule.finish(decision, self.now);
                 vec![answered]
             }
-            Request::Answered(_) => vec![with(Request::Gone)],
-            Request::Gone => Vec::new(),
+            Request::Answered(_) => vec![with(Request::Closed)],
+            Request::Closed => Vec::new(),
         })
     }
 
-    /// Whether the process ends soon once it must.
-    fn ends_in_time(&self) -> bool {
+    /// Whether the process exits within [`POLLS_MAX`] polls from [`END`] on.
+    fn exits_in_time(&self) -> bool {
         let mut rule = self.rule;
         let end = Time::default() + STEP * END as u32;
-        (0..LOOKS_MAX).any(|look| rule.look(self.now.max(end) + STEP * look) == Phase::Over)
+        (0..POLLS_MAX).any(|poll| rule.poll(self.now.max(end) + STEP * poll) == Phase::Done)
     }
 }
 
-/// Goes through all that may happen. Returns the number of states, or what broke first.
+/// Explores all reachable states. Returns their number, or the first violation.
 fn explore<R: Rule>(kinds: [Kind; 2]) -> Result<usize, String> {
-    let first = World {
+    let first = State {
         rule: R::begin(Time::default()),
         now: Time::default(),
         phase: Phase::Announced,
-        requests: kinds.map(Request::Resting),
+        requests: kinds.map(Request::Idle),
     };
     let mut seen = HashSet::from([first]);
-    let mut open = vec![first];
-    while let Some(world) = open.pop() {
-        if !world.ends_in_time() {
-            return Err(format!("it does not end: {world:?}"));
+    let mut pending = vec![first];
+    while let Some(state) = pending.pop() {
+        if !state.exits_in_time() {
+            return Err(format!("process does not exit: {state:?}"));
         }
-        for next in world.next()? {
+        for next in state.successors()? {
             if seen.insert(next) {
-                open.push(next);
+                pending.push(next);
             }
         }
     }
@@ -252,40 +254,40 @@
 }
 
 #[test]
-fn no_interleaving_cuts_a_request_or_holds_the_process_up() {
+fn no_interleaving_cuts_a_request_or_delays_the_exit() {
     for kinds in [[Kind::New, Kind::New], [Kind::New, Kind::Continued]] {
-        let states = explore::<Stop>(kinds).unwrap();
-        assert!(states > 1_000, "{states} states are too few");
+        let count = explore::<Stop>(kinds).unwrap();
+        assert!(count > 1_000, "only {count} states explored");
     }
 }
 
 #[test]
-fn a_rule_that_looks_once_is_caught() {
-    let broken = explore::<LooksOnce>([Kind::New, Kind::New]).unwrap_err();
-    assert!(broken.starts_with("cut"), "{broken}");
+fn a_rule_that_checks_once_fails() {
+    let violation = explore::<ChecksOnce>([Kind::New, Kind::New]).unwrap_err();
+    assert!(violation.starts_with("cut"), "{violation}");
 }
 
 #[test]
-fn a_rule_that_does_not_wait_for_refusals_is_caught() {
-    let broken = explore::<ForgetsRefusals>([Kind::New, Kind::New]).unwrap_err();
-    assert!(broken.starts_with("cut"), "{broken}");
+fn a_rule_that_does_not_wait_for_refusals_fails() {
+    let violation = explore::<IgnoresRefusals>([Kind::New, Kind::New]).unwrap_err();
+    assert!(violation.starts_with("cut"), "{violation}");
 }
 
 #[test]
-fn a_peer_is_dismissed_and_holds_nobody_up() {
+fn a_peer_request_is_dismissed_and_does_not_delay_the_stop() {
     let now = Time::default();
     let mut stop = <Stop as Rule>::begin(now);
-    assert_eq!(stop.arrive(Kind::Peer, now), Decision::Taken);
-    stop.end(now);
+    assert_eq!(stop.admit(Kind::Peer, now), Decision::Accepted);
+    stop.finish(now);
     let later = now + SETTING.announce_period;
-    assert_eq!(stop.look(later), Phase::Refusing);
-    assert_eq!(stop.arrive(Kind::Peer, later), Decision::Dismissed);
+    assert_eq!(stop.poll(later), Phase::Refusing);
+    assert_eq!(stop.admit(Kind::Peer, later), Decision::Dismissed);
     assert_eq!(stop.in_flight(), 0);
-    assert_eq!(stop.look(later), Phase::LastBytes);
+    assert_eq!(stop.poll(later), Phase::Flushing);
 }
 
 #[test]
-fn connections_are_accepted_for_what_is_under_way_where_that_needs_them() {
+fn connections_are_accepted_while_requests_are_in_flight_if_reachable_is_set() {
     let now = Time::default();
     for reachable in [false, true] {
         let mut stop = Stop::default();
@@ -294,32 +296,32 @@
             ..SETTING
         };
         stop.begin(setting, now);
-        assert!(stop.accepts());
-        assert_eq!(stop.arrive(Kind::New, now), Decision::Taken);
+        assert!(stop.accepts_connections());
+        assert_eq!(stop.admit(Kind::New, now), Decision::Accepted);
         let later = now + SETTING.announce_period;
-        assert_eq!(stop.look(later), Phase::Refusing);
-        assert_eq!(stop.accepts(), reachable);
-        assert_eq!(stop.arrive(Kind::Continued, later), Decision::Taken);
-        stop.end(later);
-        stop.end(later);
-        assert_eq!(stop.look(later), Phase::LastBytes);
-        assert!(!stop.accepts());
+        assert_eq!(stop.poll(later), Phase::Refusing);
+        assert_eq!(stop.accepts_connections(), reachable);
+        assert_eq!(stop.admit(Kind::Continued, later), Decision::Accepted);
+        stop.finish(later);
+        stop.finish(later);
+        assert_eq!(stop.poll(later), Phase::Flushing);
+        assert!(!stop.accepts_connections());
     }
 }
 
 #[test]
-fn a_stop_is_over_within_its_grace() {
+fn a_stop_completes_within_its_grace_period() {
     for grace_ms in [0, 3_500, 5_000, 8_000, 60_000] {
         let grace = Duration::from_millis(grace_ms);
         let mut stop = Stop::default();
         let began = Time::default();
         stop.begin(Setting::within(grace), began);
-        assert_eq!(stop.arrive(Kind::New, began), Decision::Taken);
+        assert_eq!(stop.admit(Kind::New, began), Decision::Accepted);
         let mut now = began;
-        while stop.look(now) != Phase::Over {
+        while stop.poll(now) != Phase::Done {
             now = now + Duration::from_millis(50);
         }
-        // Who routes here hears of it in any case.
+        // The stop is announced for the full period even if the grace period is shorter.
         let least = Setting::default().announce_period + Duration::from_millis(700);
         assert!(now.since(began) <= grace.max(least), "{grace_ms}: {now:?}");
     }
--- a/tests/stop_edge.rs
+++ b/tests/stop_edge.rs
@@ -1,4 +1,4 @@
-//! A planned stop at the edge: the product's own entry, and connections that were not accepted yet.
+//! Tests for planned stops of a running server: an entry, and connections that have not been accepted yet.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,10 +13,10 @@
 use pumicelatch::standin::fleet::KEYRING;
 use pumicelatch::stop;
 
-/// A wait that ends without its condition fails the test.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum wait for a condition; the test fails afterwards.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longer than the clock of a process that began just now.
+/// Exceeds the clock value of a process that has just started.
 const FOREVER: Duration = Duration::from_secs(1 << 20);
 
 fn listen() -> (SocketAddr, tokio::net::TcpListener) {
@@ -27,10 +27,10 @@
     )
 }
 
-/// Reads an answer to its end, which is that of its connection, on a thread of its own.
-async fn answer(mut connection: TcpStream) -> String {
+/// Reads an answer until the connection is closed, on a separate thread.
+async fn read_answer(mut connection: TcpStream) -> String {
     let read = actix_rt::task::spawn_blocking(move || {
-        connection.set_read_timeout(Some(PATIENCE)).unwrap();
+        connection.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut all = Vec::new();
         let _ = connection.read_to_end(&mut all);
         String::from_utf8(all).unwrap().to_lowercase()
@@ -39,45 +39,45 @@
 }
 
 async fn until_closed(address: SocketAddr) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     while TcpStream::connect(address).is_ok() {
-        assert!(Instant::now() < deadline, "it goes on listening");
+        assert!(Instant::now() < deadline, "still listening at the deadline");
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 #[test]
-fn a_connection_in_the_listen_queue_is_served_although_no_more_are_accepted() {
+fn a_connection_in_the_listen_queue_is_served_after_the_listener_stops() {
     actix_rt::System::new().block_on(async {
         let (address, listener) = listen();
         let server = Server::start(listener, http::plain(), |_, _| async {
             http::status(StatusCode::OK)
         });
-        // Nothing else runs on this thread meanwhile, so the connection is not accepted yet.
+        // The server shares this thread, which has not yielded, so the connection is not accepted yet.
         let mut queued = TcpStream::connect(address).unwrap();
         server.stop_accepting();
         until_closed(address).await;
         queued
             .write_all(b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
             .unwrap();
-        let answer = answer(queued).await;
+        let answer = read_answer(queued).await;
         assert!(answer.starts_with("http/1.1 200"), "{answer:?}");
     });
 }
 
 #[test]
-fn an_entry_that_stops_refuses_what_open_connections_bring() {
+fn a_stopping_entry_refuses_requests_on_open_connections() {
     actix_rt::System::new().block_on(async {
         let (address, listener) = listen();
-        let nowhere = "http://127.0.0.1:1".to_owned();
+        let unreachable = "http://127.0.0.1:1".to_owned();
         let setting = Setting {
             node: node::Setting {
                 name: "entry".into(),
                 hall: "hall".into(),
                 role: Role::Entry,
                 listen: address,
-                config_url: nowhere.clone(),
-                list_url: nowhere,
+                config_url: unreachable.clone(),
+                list_url: unreachable,
             },
             keyring: KEYRING.parse().unwrap(),
             policy: Policy::Expected,
@@ -90,7 +90,7 @@
         let setting = stop::Setting {
             announce_period: Duration::ZERO,
             time_limit: FOREVER,
-            last_bytes: FOREVER,
+            flush_period: FOREVER,
             ..stop::Setting::default()
         };
         let tracker = running.entry.tracker.clone();
@@ -100,7 +100,7 @@
             b"POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 100\r\n\r\nbegun",
         )
         .unwrap();
-        let answer = answer(open).await;
+        let answer = read_answer(open).await;
         assert!(answer.starts_with("http/1.1 503"), "{answer:?}");
         for part in [
             "connection: close",
