--- a/src/silence.rs
+++ b/src/silence.rs
@@ -1,13 +1,14 @@
-//! Which open connections of a process have gone silent, by what its exchanges find.
+//! Detects open connections that have gone silent, from the results of a process's exchanges.
 //!
-//! A path that loses its state (a firewall or a translator that restarts) silences what is open on it
-//! for good: no end and no reset comes, and each exchange would wait out its own time limit to find
-//! that out. The kernel gives such a connection up after 1.5 to 2.5 s; a watch may wait longer yet.
-//! But connections share their path's fate, and one that was opened later works. So a peer that
-//! answers on a new connection, and still not on the used one, shows that the path went silent and not
-//! the peer. Nothing is expected then of the connections to that peer that were open and have brought
-//! nothing since; after a second peer, of none of the process's own. With all connections of a
-//! deployment silent at once that is known within 0.3 s; time limits took 1.5 to 2.7 s, one by one.
+//! When a device on the network path loses its connection state (such as a firewall or NAT that
+//! restarts), all connections that are open through it stay silent for good: neither a FIN nor a RST
+//! arrives, and each exchange would find out only by its own timeout. The kernel drops such a
+//! connection after 1.5 to 2.5 s; a watch may wait even longer. However, all connections on the path
+//! are affected together, and connections opened later work. So if a peer answers on a new
+//! connection, and still not on the used one, the path has gone silent and not the peer. From then
+//! on, the older connections to that peer that have received nothing since are treated as dead; after
+//! the same finding for a second peer, those of the whole process. If all connections of a deployment
+//! go silent at once, this detects it within 0.3 s; timeouts took 1.5 to 2.7 s, one after the other.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,147 +16,150 @@
 
 use crate::clock::Time;
 
-/// Findings about two peers within so long have one cause: the slowest exchanges that find it,
-/// heartbeats, come once a second.
-const TOGETHER: Duration = Duration::from_millis(1_500);
+/// Maximum time between findings about two peers that are attributed to the same cause. Heartbeats, the
+/// least frequent exchanges that make such findings, are sent once a second.
+const CORRELATION_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// How long an exchange under way is still given from when its connection is doubted: events of a
-/// stream come more often than that, and bytes on their way arrive.
-const GRACE: Duration = Duration::from_millis(80);
+/// How long an exchange in progress may continue after its connection is found silent. Events of a
+/// stream are more frequent than this, and bytes already on their way arrive within it.
+const CLOSE_DELAY: Duration = Duration::from_millis(80);
 
-/// How long a stream is given while some old connections still bring something: a packet that was lost
-/// is sent again after 200 ms, and then the next event is due.
-const GRACE_DIVIDED: Duration = Duration::from_millis(350);
+/// Replaces [`CLOSE_DELAY`] for a stream while some old connections still receive data: a lost packet
+/// is retransmitted after 200 ms, and the next event follows.
+const CLOSE_DELAY_PARTIAL: Duration = Duration::from_millis(350);
 
-/// Suspicions of two peers within so long may have one cause: at 27 questions a second the second comes after some
-/// 40 ms.
-const SUSPECTED_TOGETHER: Duration = Duration::from_millis(250);
+/// Maximum time between suspicions of two peers that may have the same cause. At 27 requests a second,
+/// the second suspicion follows after about 40 ms.
+const SUSPICION_WINDOW: Duration = Duration::from_millis(250);
 
-/// Exchanges under way that may be asked for again on the word of one peer. With more, questions are as many more, and a second
-/// peer shows it soon.
-const FEW: usize = 100;
+/// Maximum number of exchanges in progress at which a suspicion of a single peer extends to all
+/// connections. With more, the number of repeated requests would grow accordingly, and a second peer
+/// shows the silence soon.
+const FEW_IN_FLIGHT: usize = 100;
 
-/// Shortest time between two suspicions of all connections. Each has streams ask over new connections, and a busy link
-/// raises false ones.
-const SUSPECTED_AGAIN: Duration = Duration::from_millis(1_000);
+/// Minimum time between two suspicions of all connections. Each makes streams send requests over new
+/// connections, and busy links cause false suspicions.
+const SUSPICION_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Findings about all connections that are remembered.
-const REMEMBERED: usize = 16;
+/// Maximum number of stored findings about all connections.
+const FINDINGS_MAX: usize = 16;
 
-/// What one exchange found.
+/// The finding of one exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Finding {
-    /// When what was left unanswered was sent.
-    since: Time,
-    /// When that was found.
-    at: Time,
-    /// Whether connections of that time still brought something.
+    /// When the unanswered request was sent.
+    sent_at: Time,
+    /// When the silence was found.
+    found_at: Time,
+    /// Whether other connections of that time have received data since.
     others: Others,
 }
 
-/// How many connections a finding is about.
+/// The connections to which a finding applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// Those to one peer.
+    /// The connections to one peer.
     Peer,
-    /// All of the process.
+    /// All connections of the process.
     All,
 }
 
-/// Whether connections that were open before a finding still bring something.
+/// Whether other connections that were open when the unanswered request was sent still receive data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Others {
-    /// None does.
+    /// None receives data.
     Silent,
-    /// Some do: only a part went silent, or a packet was lost.
+    /// Some receive data: only some connections have gone silent, or a packet was lost.
     Heard,
 }
 
-/// What a connection is doing.
+/// Use of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// It rests. It is given up for little: another is opened in its place.
+    /// It is idle. It is closed on little evidence, as another one can be opened instead.
     Idle,
-    /// Its exchange waits for the first byte, which may take long where there is a queue.
+    /// Its exchange waits for the first byte, which may take long if the peer queues requests.
     Waiting,
-    /// The answer of its exchange is coming in.
+    /// It is receiving the answer of its exchange.
     Receiving,
 }
 
-/// A connection, as far as its silence is concerned.
+/// The state of a connection that determines whether it is considered silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Connection {
-    /// Whose it is.
+    /// The address of the peer.
     pub peer: SocketAddr,
     /// When it was opened.
     pub opened: Time,
-    /// When it brought something last, or was opened.
+    /// When it last received data, or else when it was opened.
     pub last_received: Time,
-    /// What it is doing.
+    /// Its use.
     pub status: Status,
 }
 
-/// What a process has found of its connections.
+/// The findings of a process about its connections.
 #[derive(Debug, Clone, Default)]
 pub struct Detector {
     peers: BTreeMap<SocketAddr, Finding>,
-    /// Findings of one silence of all connections, the earliest sent first.
+    /// Findings about the same silence of all connections, ordered by `sent_at`.
     all: Vec<Finding>,
 }
 
 impl Detector {
-    /// `peer` answered on a new connection, and until `now` not on a used one, what was sent there at
-    /// `since`.
+    /// Records that `peer` answered a request on a new connection, and until `now` not on a used one,
+    /// on which it was sent at `sent_at`. Returns the connections to which this applies.
     pub fn report_silent(
         &mut self,
         peer: SocketAddr,
-        since: Time,
+        sent_at: Time,
         others: Others,
         now: Time,
     ) -> Scope {
         let finding = Finding {
-            since,
-            at: now,
+            sent_at,
+            found_at: now,
             others,
         };
-        let explained = |by: &Finding| since <= by.at;
+        let explained = |by: &Finding| sent_at <= by.found_at;
         if !self.peers.get(&peer).is_some_and(explained) {
             self.peers.insert(peer, finding);
         }
         if self.all.iter().any(explained) {
-            self.remember(vec![finding]);
+            self.add_findings(vec![finding]);
             return Scope::All;
         }
-        let concluded = self.all.iter().map(|found| found.at).max();
-        let fresh = |found: &Finding| concluded.is_none_or(|at| found.since > at);
-        let lately = |found: &Finding| now.since(found.at) < TOGETHER;
-        let together = self.peers.values().copied();
-        let together: Vec<Finding> = together
-            .filter(|found| lately(found) && fresh(found))
+        let last_conclusion = self.all.iter().map(|found| found.found_at).max();
+        let is_new = |found: &Finding| last_conclusion.is_none_or(|at| found.sent_at > at);
+        let recent = |found: &Finding| now.since(found.found_at) < CORRELATION_WINDOW;
+        let correlated = self.peers.values().copied();
+        let correlated: Vec<Finding> = correlated
+            .filter(|found| recent(found) && is_new(found))
             .collect();
-        if together.len() < 2 {
+        if correlated.len() < 2 {
             return Scope::Peer;
         }
         self.all.clear();
-        self.remember(together);
+        self.add_findings(correlated);
         Scope::All
     }
 
-    fn remember(&mut self, findings: Vec<Finding>) {
+    fn add_findings(&mut self, findings: Vec<Finding>) {
         self.all.extend(findings);
-        self.all.sort_by_key(|found| found.since);
-        self.all.truncate(REMEMBERED);
+        self.all.sort_by_key(|found| found.sent_at);
+        self.all.truncate(FINDINGS_MAX);
     }
 
-    /// When a connection is given up, unless something comes before; `None` if it is not doubted.
+    /// When to close a connection unless it receives data before; `None` if it is not considered
+    /// silent.
     pub fn close_deadline(&self, connection: Connection) -> Option<Time> {
         let of_peer = self.peers.get(&connection.peer);
-        let of_peer = of_peer.and_then(|found| found.close_deadline(connection, found.since));
-        // All went silent before what was left unanswered first was sent.
-        let first = self.all.first().map(|found| found.since);
+        let of_peer = of_peer.and_then(|found| found.close_deadline(connection, found.sent_at));
+        // All connections had gone silent when the earliest unanswered request was sent.
+        let first = self.all.first().map(|found| found.sent_at);
         let of_all = first.and_then(|first| {
-            let due = self.all.iter();
-            due.filter_map(|found| found.close_deadline(connection, first))
+            let deadlines = self.all.iter();
+            deadlines
+                .filter_map(|found| found.close_deadline(connection, first))
                 .min()
         });
         of_peer.into_iter().chain(of_all).min()
@@ -163,39 +167,43 @@
 }
 
 impl Finding {
-    /// When it gives up a connection, if that was opened before `first` and has brought nothing since.
+    /// When to close a connection by this finding; `None` unless it was opened before `first` and has
+    /// received nothing since the request was sent.
     fn close_deadline(self, connection: Connection, first: Time) -> Option<Time> {
-        if connection.opened >= first || connection.last_received >= self.since {
+        if connection.opened >= first || connection.last_received >= self.sent_at {
             return None;
         }
         match (connection.status, self.others) {
-            (Status::Idle, _) => Some(self.at),
-            (_, Others::Silent) => Some(self.at + GRACE),
-            (Status::Receiving, Others::Heard) => Some(self.at + GRACE_DIVIDED),
-            // It may wait in a queue, and other old connections work.
+            (Status::Idle, _) => Some(self.found_at),
+            (_, Others::Silent) => Some(self.found_at + CLOSE_DELAY),
+            (Status::Receiving, Others::Heard) => Some(self.found_at + CLOSE_DELAY_PARTIAL),
+            // The peer may have queued the request, and other old connections work.
             (Status::Waiting, Others::Heard) => None,
         }
     }
 }
 
-/// Whether connections may have gone silent, before that is confirmed.
+/// Suspects connections of having gone silent before this is confirmed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Suspicion {
-    lately: Option<(SocketAddr, Time)>,
-    told: Option<Time>,
+    last_suspect: Option<(SocketAddr, Time)>,
+    last_raised: Option<Time>,
 }
 
 impl Suspicion {
-    /// A new connection to `peer` brought something before a used one did, while so many exchanges were under way. Returns
-    /// whether all connections are suspected by that: because of a second peer, or because it costs little.
-    pub fn raise(&mut self, peer: SocketAddr, under_way: usize, now: Time) -> bool {
-        let before = self.lately.replace((peer, now));
-        let second =
-            before.is_some_and(|(other, at)| other != peer && now.since(at) < SUSPECTED_TOGETHER);
-        let again = self.told.is_none_or(|at| now.since(at) >= SUSPECTED_AGAIN);
-        let all = again && (second || under_way <= FEW);
+    /// Records that a new connection to `peer` received data before a used one did, with `in_flight`
+    /// exchanges in progress. Returns whether all connections are suspected as a result: because of a
+    /// second peer, or because it costs little.
+    pub fn raise(&mut self, peer: SocketAddr, in_flight: usize, now: Time) -> bool {
+        let previous = self.last_suspect.replace((peer, now));
+        let other_peer =
+            previous.is_some_and(|(other, at)| other != peer && now.since(at) < SUSPICION_WINDOW);
+        let interval_elapsed = self
+            .last_raised
+            .is_none_or(|at| now.since(at) >= SUSPICION_INTERVAL);
+        let all = interval_elapsed && (other_peer || in_flight <= FEW_IN_FLIGHT);
         if all {
-            self.told = Some(now);
+            self.last_raised = Some(now);
         }
         all
     }
