--- a/src/member.rs
+++ b/src/member.rs
@@ -1,7 +1,7 @@
-//! Boxes: what the platform's lagging list says, and what was seen directly.
+//! Membership of boxes, from the platform's list, which lags behind, and from direct observation.
 //!
-//! The list is a hint. A box that announced by itself that it leaves stays leaving for as long as
-//! its process lives, whatever the list says meanwhile.
+//! The list is only a hint. A box that has announced that it is leaving stays so for as long as its
+//! process runs, whatever the list says meanwhile.
 
 pub mod peer;
 pub mod rank;
@@ -13,59 +13,59 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What stands in a box.
+/// The role of a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
     /// A model engine.
     Model,
-    /// A plain service of this name.
+    /// A plain service with this name.
     Service(String),
     /// An entry of the system itself.
     Entry,
 }
 
-/// What the list says of a box.
+/// The state of a box according to the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It may take work.
+    /// It accepts work.
     Live,
-    /// It may finish its work and takes no more.
+    /// It completes its work and accepts no more.
     Leaving,
 }
 
-/// One box of the platform's list.
+/// A box in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Descriptor {
     /// Its name, unique in the fleet.
     pub name: Arc<str>,
-    /// The data hall it stands in.
+    /// Its data hall.
     pub hall: Arc<str>,
-    /// The rack it stands in, empty if unknown.
+    /// Its rack; empty if unknown.
     #[serde(default)]
     pub rack: Arc<str>,
-    /// Where its process of the system listens.
+    /// The address on which its process of the system listens.
     pub address: SocketAddr,
-    /// What stands in it.
+    /// Its role.
     pub role: Role,
-    /// Bytes of weights that it can carry.
+    /// Number of bytes of weights that it can hold.
     #[serde(default)]
     pub capacity_bytes: u64,
-    /// Whether it may take work.
+    /// Whether it accepts work.
     pub state: State,
 }
 
-/// The platform's list of boxes. It lags, and may be stale for long.
+/// The platform's list of boxes. It lags behind, and may be stale for a long time.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Listing {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
     /// Live and leaving boxes.
     pub boxes: Vec<Descriptor>,
 }
 
-/// The boxes that a process knows of.
+/// The boxes that a process knows.
 #[derive(Debug, Default)]
 pub struct View {
     version: u64,
@@ -73,7 +73,7 @@
 }
 
 impl View {
-    /// Takes a newer listing; a stale one is ignored. Returns whether anything changed.
+    /// Applies `listing` unless it is stale. Returns whether it was applied.
     pub fn update(&mut self, listing: Listing) -> bool {
         if listing.version <= self.version {
             return false;
@@ -87,22 +87,22 @@
         true
     }
 
-    /// The version of the listing that is known.
+    /// The version of the known listing.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// One box.
+    /// The box called `name`.
     pub fn get(&self, name: &str) -> Option<&Descriptor> {
         self.boxes.get(name)
     }
 
-    /// All boxes, by name.
+    /// All boxes, ordered by name.
     pub fn boxes(&self) -> impl Iterator<Item = &Descriptor> {
         self.boxes.values()
     }
 
-    /// Boxes of model engines that may take work.
+    /// The boxes of model engines that accept work.
     pub fn live_model_boxes(&self) -> impl Iterator<Item = &Descriptor> {
         self.boxes()
             .filter(|listed| listed.role == Role::Model && listed.state == State::Live)
--- a/src/member/peer.rs
+++ b/src/member/peer.rs
@@ -1,4 +1,4 @@
-//! Membership of the entries: who is there, told by heartbeats that carry what others were heard of.
+//! Membership of entries, maintained by heartbeats that list the known entries and their ages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,23 +10,23 @@
 
 use crate::clock::Time;
 
-/// An entry that was not heard of for so long takes no part.
+/// Time without a sign of life after which an entry no longer counts as alive.
 pub const ALIVE_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// An entry that was not heard of for so long is forgotten.
+/// Time without a sign of life after which an entry is removed from the table.
 pub const EXPIRY: Duration = Duration::from_secs(60);
 
-/// Entries that may be added without being known yet.
+/// Assumed maximum number of running entries that are not in the table yet.
 const UNDISCOVERED_MAX: usize = 3;
 
-/// An entry as told to others.
+/// An entry as advertised to other processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Advertisement {
-    /// Where it listens to other processes of the system.
+    /// The address on which it listens to other processes of the system.
     pub address: SocketAddr,
-    /// The data hall that it stands in.
+    /// Its data hall.
     pub hall: Arc<str>,
-    /// Milliseconds since it was heard of.
+    /// Milliseconds since its last sign of life.
     pub age_ms: u64,
 }
 
@@ -36,7 +36,7 @@
     last_seen: Time,
 }
 
-/// The entries that a process knows.
+/// The table of entries that a process knows.
 #[derive(Debug, Default)]
 pub struct Peers {
     own: Option<SocketAddr>,
@@ -45,8 +45,8 @@
 }
 
 impl Peers {
-    /// An empty table of the process at `own`, which is never listed; `None` for one that is no
-    /// entry.
+    /// Creates an empty table. It never contains `own`, the process's own address; `None` if the process
+    /// is not an entry.
     pub fn new(own: Option<SocketAddr>) -> Self {
         Self {
             own,
@@ -55,12 +55,13 @@
         }
     }
 
-    /// Entries that were added to the table until now.
+    /// Number of entries that were ever added to the table.
     pub fn added(&self) -> u64 {
         self.added
     }
 
-    /// An entry was heard at `at`, directly or through another.
+    /// Records a sign of life of an entry at `at`, received directly or through another process. An empty
+    /// `hall` does not replace a known one.
     pub fn observe(&mut self, address: SocketAddr, hall: &Arc<str>, at: Time) {
         if self.own == Some(address) {
             return;
@@ -79,9 +80,9 @@
         }
     }
 
-    /// Takes what another process tells of the entries.
-    pub fn merge(&mut self, told: &[Advertisement], now: Time) {
-        for entry in told {
+    /// Merges the entries that another process advertises, except those older than [`EXPIRY`].
+    pub fn merge(&mut self, advertisements: &[Advertisement], now: Time) {
+        for entry in advertisements {
             let age = Duration::from_millis(entry.age_ms);
             if age < EXPIRY {
                 let at = now - age;
@@ -90,12 +91,12 @@
         }
     }
 
-    /// What others are told.
+    /// The entries to advertise to other processes.
     pub fn advertise(&self, now: Time) -> Vec<Advertisement> {
         self.advertise_filtered(now, |_| true)
     }
 
-    /// What others are told of the entries whose addresses satisfy `includes`.
+    /// The entries to advertise to other processes whose addresses satisfy `includes`.
     pub fn advertise_filtered(
         &self,
         now: Time,
@@ -103,28 +104,28 @@
     ) -> Vec<Advertisement> {
         let peers = self.peers.iter();
         let included = peers.filter(|(address, _)| includes(**address));
-        let told = included.map(|(address, peer)| Advertisement {
+        let advertisements = included.map(|(address, peer)| Advertisement {
             address: *address,
             hall: peer.hall.clone(),
             age_ms: now.since(peer.last_seen).as_millis() as u64,
         });
-        told.collect()
+        advertisements.collect()
     }
 
-    /// Forgets entries that were silent for long.
+    /// Removes entries without a sign of life for [`EXPIRY`].
     pub fn remove_expired(&mut self, now: Time) {
         self.peers
             .retain(|_, peer| now.since(peer.last_seen) < EXPIRY);
     }
 
-    /// Entries heard of lately.
+    /// The entries that are alive, with their halls.
     pub fn alive(&self, now: Time) -> impl Iterator<Item = (SocketAddr, &Arc<str>)> {
         let heard = self.peers.iter();
         let heard = heard.filter(move |(_, peer)| now.since(peer.last_seen) < ALIVE_TIMEOUT);
         heard.map(|(address, peer)| (*address, &peer.hall))
     }
 
-    /// The entries of `hall` that were heard of lately.
+    /// The entries of `hall` that are alive.
     pub fn of_hall(&self, hall: &str, now: Time) -> Vec<SocketAddr> {
         let alive = self
             .alive(now)
@@ -132,12 +133,12 @@
         alive.map(|(address, _)| address).collect()
     }
 
-    /// Whether no entry is known at all.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
-    /// The entries of each hall but `own_hall` that were heard of lately.
+    /// The entries that are alive in each hall except `own_hall`.
     pub fn by_other_hall(&self, own_hall: &str, now: Time) -> BTreeMap<Arc<str>, Vec<SocketAddr>> {
         let mut halls: BTreeMap<Arc<str>, Vec<SocketAddr>> = BTreeMap::new();
         for (address, hall) in self.alive(now) {
@@ -148,14 +149,13 @@
         halls
     }
 
-    /// Upper bound of the entries that may be at work, this one included: all that are not
-    /// forgotten, and some that were added without being known yet. What is shared among entries
-    /// is divided by it.
+    /// Upper bound of the number of running entries, including this one: all in the table, and an
+    /// allowance for new entries that are not known yet. Limits shared by all entries are divided by it.
     pub fn upper_bound(&self) -> usize {
         self.peers.len() + 1 + UNDISCOVERED_MAX
     }
 
-    /// Up to `count` entries to ask, at random among those that were heard of lately.
+    /// Up to `count` random entries that are alive.
     pub fn sample(&self, count: usize, now: Time, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let mut alive: Vec<SocketAddr> = self.alive(now).map(|(address, _)| address).collect();
         let mut chosen = Vec::new();
--- a/src/member/replica.rs
+++ b/src/member/replica.rs
@@ -1,11 +1,11 @@
-//! Replicas as the platform's list describes them.
+//! Replicas as described in the platform's list.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What a replica holds of one model.
+/// A model that a replica has loaded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
     /// The model.
@@ -14,53 +14,53 @@
     pub version: u64,
 }
 
-/// The version of `model` among what a replica holds.
+/// The loaded version of `model`, if `models` contains it.
 pub fn version_of(models: &[LoadedModel], model: &str) -> Option<u64> {
-    let held = models.iter().find(|held| &*held.model == model);
-    held.map(|held| held.version)
+    let loaded = models.iter().find(|loaded| &*loaded.model == model);
+    loaded.map(|loaded| loaded.version)
 }
 
-/// One life of a replica.
+/// Identifies an incarnation of a replica: one run between a start and the next.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// The replica's id.
     pub id: Arc<str>,
-    /// When it started, in milliseconds since the Unix epoch; 0 if it does not tell.
+    /// Its start time in milliseconds since the Unix epoch; 0 if not reported.
     #[serde(default)]
     pub born: u64,
 }
 
-/// A replica's entry in the list.
+/// A replica in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its id. A replica may start again under the one that it had.
+    /// Its id. A replica may keep it when it restarts.
     pub id: Arc<str>,
-    /// When it started, in milliseconds since the Unix epoch; 0 if it does not tell. With the id it
-    /// names one life of the replica: a later one holds and knows nothing of an earlier one.
+    /// Its start time in milliseconds since the Unix epoch; 0 if not reported. Together with the id, it
+    /// identifies an incarnation of the replica, which retains nothing of earlier ones.
     #[serde(default)]
     pub born: u64,
     /// Its service.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// The data hall that it stands in.
+    /// Its data hall.
     pub hall: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     #[serde(default)]
     pub slots: u32,
-    /// Whether it takes no more work.
+    /// Whether it accepts no more work.
     #[serde(default)]
     pub leaving: bool,
-    /// The models that it holds.
+    /// The models that it has loaded.
     #[serde(default)]
     pub models: Vec<LoadedModel>,
-    /// Milliseconds that it is still cold for, by its own word.
+    /// Milliseconds for which it is still cold, as reported by itself.
     #[serde(default)]
     pub cold_ms: u64,
 }
 
 impl Record {
-    /// The record of a later life that began at `born`, of which nothing else is known yet.
+    /// The record of a later incarnation that started at `born`, about which nothing else is known yet.
     pub fn restarted(&self, born: u64) -> Self {
         Self {
             born,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The life that it is about.
+    /// The incarnation that it describes.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.id.clone(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The version of `model` that it holds.
+    /// The version of `model` that it has loaded.
     pub fn version(&self, model: &str) -> Option<u64> {
         version_of(&self.models, model)
     }
