--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -19,8 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use draws::{Draws, Place};
 use fanout::UnresponsiveEntries;
+use fetches::{Fetches, Locality};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use readers::Readers;
@@ -42,16 +42,16 @@
 use crate::wire::pack;
 use crate::wire::sync::Brief;
 
-pub mod draws;
 pub mod fanout;
+pub mod fetches;
 pub mod gossip;
 pub mod hub;
 pub mod news;
-pub mod pace;
 pub mod poison;
 pub mod polls;
 pub mod readers;
 pub mod rounds;
+pub mod schedule;
 pub mod store;
 pub mod traffic;
 
@@ -122,7 +122,7 @@
     /// Entries of the hall that recently failed to answer a message.
     unresponsive: RefCell<UnresponsiveEntries>,
     lost_heartbeats: Repeats,
-    draws: RefCell<Draws>,
+    fetches: RefCell<Fetches>,
     /// The configuration as others draw it: it is packed once for all of them.
     packed: RefCell<pack::Cache>,
     /// The packed list of replicas, kept for all processes that draw it when they begin.
@@ -165,7 +165,7 @@
             fetching: Cell::new(false),
             unresponsive: RefCell::default(),
             lost_heartbeats: Repeats::default(),
-            draws: RefCell::default(),
+            fetches: RefCell::default(),
             packed: RefCell::default(),
             packed_list: RefCell::default(),
             readers: RefCell::new(Readers::new(Clock::default().now())),
@@ -258,41 +258,41 @@
     }
 
     /// The place of a process in `hall` as a source of draws.
-    fn place_of(&self, hall: &str) -> Place {
+    fn locality_of(&self, hall: &str) -> Locality {
         if *hall == *self.identity.hall {
-            Place::Near
+            Locality::Local
         } else if rank(self.identity.address, self.local_peers().into_iter(), hall) == 0 {
-            Place::FarForAll
+            Locality::RemoteDelegate
         } else {
-            Place::Far
+            Locality::Remote
         }
     }
 
     /// The place of an entry in the own hall; `is_hub` says whether it sends frames to all others.
     /// Halls in which it reaches every entry directly make no distinction.
-    fn place_in_own_hall(&self, is_hub: bool) -> Place {
+    fn locality_in_own_hall(&self, is_hub: bool) -> Locality {
         if is_hub && self.local_peers().len() > fanout::DEGREE {
-            Place::NearHub
+            Locality::LocalHub
         } else {
-            Place::Near
+            Locality::Local
         }
     }
 
     /// Whether this process is an entry that lacks the configuration or the list of replicas of a
     /// process with `marks`.
-    fn needs_draw(&self, marks: Marks) -> bool {
+    fn needs_fetch(&self, marks: Marks) -> bool {
         self.identity.entry && (!self.knows_routing(marks.routing) || self.lacks_list(marks))
     }
 
     /// Whether to start a draw from `peer` at `place` now. If so, the caller has to call
     /// [`Knowledge::drew`] afterwards.
-    fn begins_draw(&self, peer: SocketAddr, place: Place) -> bool {
-        self.draws.borrow_mut().begin(peer, place, self.now())
+    fn begin_fetch(&self, peer: SocketAddr, locality: Locality) -> bool {
+        self.fetches.borrow_mut().begin(peer, locality, self.now())
     }
 
     /// A draw from `peer` ended.
-    fn drew(&self, peer: SocketAddr) {
-        self.draws.borrow_mut().ended(peer);
+    fn finish_fetch(&self, peer: SocketAddr) {
+        self.fetches.borrow_mut().finish(peer);
     }
 
     /// Whether the configuration is known up to `revision`.
@@ -352,7 +352,7 @@
             log::info!(revision, origin, shaky; "learned: {text}");
         }
         if effect == Effect::Routing {
-            self.draws.borrow_mut().learned();
+            self.fetches.borrow_mut().reset();
         }
         self.tell(effect);
         effect
@@ -429,7 +429,7 @@
         let first_list = !self.belief.borrow().lists_replicas();
         let effect = self.belief.borrow_mut().learn_list(records, at, now, shaky);
         if first_list && !self.lacks_initial_state() {
-            self.draws.borrow_mut().learned();
+            self.fetches.borrow_mut().reset();
         }
         if effect != Effect::None {
             log::info!(revision = at, origin, replicas = count, shaky; "learned: list of replicas");
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -12,8 +12,8 @@
 use serde::de::DeserializeOwned;
 
 use super::Knowledge;
-use super::draws::Place;
 use super::fanout::{self, FRAME_FORWARD_PATH, Message};
+use super::fetches::Locality;
 use super::poison;
 use super::readers::Readers;
 use super::rounds::{Round, RoundInput, RoundPlanner};
@@ -95,7 +95,7 @@
     let digest = news.poison;
     knowledge.apply_update(peer, news);
     if entry {
-        draw(knowledge, peer, marks, || knowledge.place_of(&hall));
+        start_fetch(knowledge, peer, marks, || knowledge.locality_of(&hall));
     }
     let both = entry && knowledge.identity.entry;
     if both && digest != knowledge.poison.borrow().digest(knowledge.now()) {
@@ -219,15 +219,20 @@
 
 /// Draws the configuration, and the list of replicas if this entry has none yet, from `peer`, if
 /// `marks` show that the peer has them and [`Knowledge::begins_draw`] selects it at its `place`.
-fn draw(knowledge: &Rc<Knowledge>, peer: SocketAddr, marks: Marks, place: impl FnOnce() -> Place) {
-    if !knowledge.needs_draw(marks) {
+fn start_fetch(
+    knowledge: &Rc<Knowledge>,
+    peer: SocketAddr,
+    marks: Marks,
+    locality: impl FnOnce() -> Locality,
+) {
+    if !knowledge.needs_fetch(marks) {
         return;
     }
-    let place = place();
-    if !knowledge.begins_draw(peer, place) {
+    let locality = locality();
+    if !knowledge.begin_fetch(peer, locality) {
         return;
     }
-    let far = matches!(place, Place::FarForAll | Place::Far);
+    let is_remote = matches!(locality, Locality::RemoteDelegate | Locality::Remote);
     let knowledge = knowledge.clone();
     actix_rt::spawn(async move {
         let sync = Sync {
@@ -236,17 +241,17 @@
             ..knowledge.heartbeat(false)
         };
         let began = knowledge.now();
-        let needed = || knowledge.needs_draw(marks);
-        let drawn = draw_while(&knowledge, peer, &sync, needed).await;
-        knowledge.drew(peer);
+        let needed = || knowledge.needs_fetch(marks);
+        let result = fetch_while(&knowledge, peer, &sync, needed).await;
+        knowledge.finish_fetch(peer);
         let ms = knowledge.now().since(began).as_millis() as u64;
-        match drawn {
+        match result {
             Ok(news) => {
                 let bytes = news.routing.as_ref().map_or(0, |dated| dated.packed.len());
                 let list_bytes = news.list.as_ref().map_or(0, |list| list.packed.len());
                 log::info!(peer:% = peer, bytes, list_bytes, ms; "configuration drawn");
                 knowledge.apply_update(peer, news);
-                if far {
+                if is_remote {
                     // The hall's readers of the store may be cut off from it.
                     fanout::send(&knowledge, &Message::Notice, knowledge.local_peers());
                 }
@@ -259,7 +264,7 @@
 
 /// Asks for what `sync` tells to be lacking while that is `needed`. It is not sent twice: the answer may
 /// be long, and its sender may take its time to write it.
-async fn draw_while(
+async fn fetch_while(
     knowledge: &Knowledge,
     peer: SocketAddr,
     sync: &Sync,
@@ -345,8 +350,8 @@
 /// With `is_hub`, the peer sends frames to the whole hall, and the configuration is drawn from it
 /// only after a delay.
 pub async fn fetch_update(knowledge: Rc<Knowledge>, peer: SocketAddr, marks: Marks, is_hub: bool) {
-    draw(&knowledge, peer, marks, || {
-        knowledge.place_in_own_hall(is_hub)
+    start_fetch(&knowledge, peer, marks, || {
+        knowledge.locality_in_own_hall(is_hub)
     });
     // A draw brings all the rest too, but later.
     if !knowledge.is_behind(marks.without_routing()) {
--- a/src/knowledge/store.rs
+++ b/src/knowledge/store.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 
 use super::Knowledge;
-use super::pace::Pace;
+use super::schedule::Schedule;
 use super::traffic::Purpose;
 use crate::patience::{self, Progress};
 use crate::source::{Batch, Error, Source, Topic};
@@ -31,7 +31,7 @@
 /// Follows one topic until dropped.
 pub async fn follow(knowledge: Rc<Knowledge>, source: Rc<dyn Source>, topic: Topic) {
     let mut after = None;
-    let mut pace = Pace::new(topic);
+    let mut schedule = Schedule::new(topic);
     let mut reads_whole = false;
     loop {
         if !knowledge.reads(topic) {
@@ -45,10 +45,10 @@
             after = after.or((known > 0).then_some(known));
         }
         let began = knowledge.now();
-        match ask(&knowledge, &*source, pace, topic, after).await {
+        match ask(&knowledge, &*source, schedule, topic, after).await {
             Ended::AskAgain => {}
             Ended::Call(Ok(batch)) => {
-                if !pace.reached() {
+                if !schedule.is_reachable() {
                     log::info!(topic:? = topic; "store is in reach again");
                     knowledge.store_regained.notify_waiters();
                 }
@@ -60,7 +60,7 @@
                 knowledge.apply_batch(topic, after.is_none(), batch);
                 reads_whole = false;
                 after = Some(at);
-                sleep(pace.answered()).await;
+                sleep(schedule.succeeded()).await;
             }
             Ended::Call(Err(Error::Forgotten)) => {
                 log::info!(topic:? = topic, after:? = after; "store has forgotten; reading anew");
@@ -69,13 +69,13 @@
             }
             Ended::Call(Err(error)) => {
                 knowledge.record_store_failure();
-                if pace.reached() {
+                if schedule.is_reachable() {
                     log::warn!(topic:? = topic; "store lost: {error}");
                 } else {
-                    log::info!(topic:? = topic, after:? = after, calls = pace.failures(); "store still lost: {error}");
+                    log::info!(topic:? = topic, after:? = after, calls = schedule.failures(); "store still lost: {error}");
                 }
                 let jitter = knowledge.rng.borrow_mut().random_range(0.7..1.3);
-                sleep(pace.failed(jitter)).await;
+                sleep(schedule.failed(jitter)).await;
             }
         }
     }
@@ -84,7 +84,7 @@
 async fn ask(
     knowledge: &Knowledge,
     source: &dyn Source,
-    pace: Pace,
+    schedule: Schedule,
     topic: Topic,
     after: Option<u64>,
 ) -> Ended {
@@ -92,14 +92,14 @@
     let progress = Progress::default();
     let call = match after {
         None => source.read(topic, progress.clone()),
-        Some(after) => source.watch(topic, after, pace.wait(), progress.clone()),
+        Some(after) => source.watch(topic, after, schedule.watch_timeout(), progress.clone()),
     };
     // A store that is still answering is in reach, however long that takes: the others of the hall
     // are told so, and do not draw the same over the same link. An entry that need not read after
     // all, because one before it does, lets go.
     let moved = || knowledge.store_is_answering();
     let needed = || knowledge.reads(topic);
-    let waits = pace.patience(after.is_none());
+    let waits = schedule.timeouts(after.is_none());
     let call = pin!(patience::wait_while(call, &progress, waits, moved, needed));
     let regained = pin!(knowledge.store_regained.notified());
     let ended = match select(call, regained).await {
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -8,12 +8,12 @@
 use pumicelatch::clock::Time;
 use pumicelatch::config::belief::{Dated, Fact, Marks};
 use pumicelatch::config::routing::{Document, Kind};
-use pumicelatch::knowledge::draws::{Draws, Place};
+use pumicelatch::knowledge::fetches::{Fetches, Locality};
 use pumicelatch::knowledge::hub::{self, Content, Hub};
-use pumicelatch::knowledge::pace::Pace;
 use pumicelatch::knowledge::polls::{PERIOD, Poll, Polls};
 use pumicelatch::knowledge::readers::Readers;
 use pumicelatch::knowledge::rounds::{PeerExchange, RoundInput, RoundPlanner};
+use pumicelatch::knowledge::schedule::Schedule;
 use pumicelatch::knowledge::traffic::{Purpose, Traffic};
 use pumicelatch::knowledge::{Identity, Knowledge};
 use pumicelatch::member::peer::{ALIVE_TIMEOUT, Peers};
@@ -254,34 +254,34 @@
 
 #[test]
 fn a_configuration_is_drawn_from_one_process_and_from_a_second_if_that_is_slow() {
-    let mut draws = Draws::default();
-    assert!(draws.begin(entry(1, 1), Place::Near, NOW));
-    assert!(!draws.begin(entry(1, 1), Place::Near, NOW));
+    let mut fetches = Fetches::default();
+    assert!(fetches.begin(entry(1, 1), Locality::Local, NOW));
+    assert!(!fetches.begin(entry(1, 1), Locality::Local, NOW));
     let soon = NOW + Duration::from_millis(300);
-    assert!(!draws.begin(entry(1, 2), Place::Near, soon));
+    assert!(!fetches.begin(entry(1, 2), Locality::Local, soon));
     let slow = NOW + Duration::from_millis(900);
-    assert!(!draws.begin(entry(1, 1), Place::Near, slow));
-    assert!(draws.begin(entry(1, 2), Place::Near, slow));
-    assert!(!draws.begin(entry(1, 3), Place::Near, slow + Duration::from_secs(9)));
-    draws.ended(entry(1, 1));
-    assert!(draws.begin(entry(1, 3), Place::Near, slow + Duration::from_secs(9)));
+    assert!(!fetches.begin(entry(1, 1), Locality::Local, slow));
+    assert!(fetches.begin(entry(1, 2), Locality::Local, slow));
+    assert!(!fetches.begin(entry(1, 3), Locality::Local, slow + Duration::from_secs(9)));
+    fetches.finish(entry(1, 1));
+    assert!(fetches.begin(entry(1, 3), Locality::Local, slow + Duration::from_secs(9)));
 }
 
 #[test]
 fn another_hall_is_drawn_from_after_the_own_had_its_time_and_by_one_entry_first() {
     let begins = |place, after_ms| {
-        let mut draws = Draws::default();
+        let mut fetches = Fetches::default();
         // Heard of at NOW, from a process that is not drawn from.
-        draws.begin(entry(2, 1), Place::Far, NOW);
-        draws.begin(entry(2, 1), place, NOW + Duration::from_millis(after_ms))
+        fetches.begin(entry(2, 1), Locality::Remote, NOW);
+        fetches.begin(entry(2, 1), place, NOW + Duration::from_millis(after_ms))
     };
-    assert!(!begins(Place::FarForAll, 200) && begins(Place::FarForAll, 400));
-    assert!(!begins(Place::Far, 1_400) && begins(Place::Far, 1_600));
-    let mut draws = Draws::default();
-    draws.begin(entry(2, 1), Place::Far, NOW);
-    draws.learned();
+    assert!(!begins(Locality::RemoteDelegate, 200) && begins(Locality::RemoteDelegate, 400));
+    assert!(!begins(Locality::Remote, 1_400) && begins(Locality::Remote, 1_600));
+    let mut fetches = Fetches::default();
+    fetches.begin(entry(2, 1), Locality::Remote, NOW);
+    fetches.reset();
     let next = NOW + Duration::from_secs(60);
-    assert!(!draws.begin(entry(2, 1), Place::Far, next));
+    assert!(!fetches.begin(entry(2, 1), Locality::Remote, next));
 }
 
 #[test]
@@ -348,22 +348,22 @@
         let (silent_from, silent_until) =
             (u64::from(begins), u64::from(begins) + u64::from(length));
         let mut jitters = jitters.into_iter().cycle();
-        let mut pace = Pace::new(topic);
+        let mut schedule = Schedule::new(topic);
         let mut at = 0;
         loop {
-            let answer_at = at + pace.wait().as_millis() as u64;
+            let answer_at = at + schedule.watch_timeout().as_millis() as u64;
             if at >= silent_until {
                 // What was written during the silence is told at once.
                 return at - silent_until < IN_TOUCH_MS;
             }
             if answer_at < silent_from {
-                at = answer_at + pace.answered().as_millis() as u64;
+                at = answer_at + schedule.succeeded().as_millis() as u64;
             } else {
                 let jitter = 0.7 + 0.6 * f64::from(jitters.next().unwrap_or(255)) / 255.0;
-                let waits = pace.patience(false);
+                let waits = schedule.timeouts(false);
                 // A call may fall silent before its answer or within it.
                 let patience = waits.first.max(waits.pause);
-                at += (patience + pace.failed(jitter)).as_millis() as u64;
+                at += (patience + schedule.failed(jitter)).as_millis() as u64;
             }
         }
     }
@@ -507,11 +507,11 @@
     };
     let whole = reader.update_for(&older, false);
     assert_eq!(whole.replicas.as_ref().unwrap().records.len(), 90);
-    let draws = Sync {
+    let fetches = Sync {
         wants_list: true,
         ..other.heartbeat(false)
     };
-    let drawn = reader.update_for(&draws, false);
+    let drawn = reader.update_for(&fetches, false);
     assert!(size(&drawn) * 3 < size(&whole), "{}", size(&drawn));
     other.apply_update(entry(1, 1), drawn);
     assert_eq!(other.belief.borrow().replicas().len(), 90);
