--- a/src/knowledge/polls.rs
+++ b/src/knowledge/polls.rs
@@ -1,8 +1,8 @@
-//! When an entry asks another data hall how its replicas do.
+//! Plans when an entry polls other data halls for the status of their replicas.
 //!
-//! Processes beside replicas report to the entries of their own hall only; bytes between halls are
-//! dear. The entry that tells its hall asks an entry of each other hall, and what it is answered
-//! goes to the others of its hall with its frames.
+//! Sidecars report only to entries of their own hall, because traffic between halls is expensive. The
+//! hub of a hall polls one entry of each other hall, and forwards the answers to the entries of its
+//! own hall in its frames.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,39 +14,39 @@
 use crate::clock::Time;
 use crate::member::peer::Peers;
 
-/// How often another hall is asked.
+/// Interval at which each other hall is polled.
 pub const PERIOD: Duration = Duration::from_millis(500);
 
-/// How often an answer is to name the entries that are known.
-const NAME_ENTRIES: Duration = Duration::from_millis(1_000);
+/// Interval at which polls request the known entries.
+const NAMING_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What is known of questions to a hall.
+/// The state of the polls of one hall.
 #[derive(Debug, Clone, Copy, Default)]
 struct PollState {
-    at: Option<Time>,
-    named: Option<Time>,
-    waiting: bool,
+    started_at: Option<Time>,
+    named_at: Option<Time>,
+    in_progress: bool,
 }
 
-/// Another hall is to be asked.
+/// A poll to send to another hall.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Poll {
-    /// The hall.
+    /// The hall to poll.
     pub hall: Arc<str>,
-    /// Its entry to ask.
+    /// The entry of the hall that receives the poll.
     pub entry: SocketAddr,
-    /// Whether the answer is to name the entries that are known.
+    /// Whether the poll requests the known entries.
     pub wants_peers: bool,
 }
 
-/// The other halls.
+/// The polls of all other halls.
 #[derive(Debug, Default)]
 pub struct Polls {
-    asked: BTreeMap<Arc<str>, PollState>,
+    polls: BTreeMap<Arc<str>, PollState>,
 }
 
 impl Polls {
-    /// Which halls the entry that tells `own_hall` asks now.
+    /// The polls that the hub of `own_hall` must send now.
     pub fn due(
         &mut self,
         own_hall: &str,
@@ -54,31 +54,33 @@
         now: Time,
         rng: &mut impl Rng,
     ) -> Vec<Poll> {
-        let mut asks = Vec::new();
+        let mut due = Vec::new();
         for (hall, entries) in peers.by_other_hall(own_hall, now) {
-            let asked = self.asked.entry(hall.clone()).or_default();
-            if asked.waiting || asked.at.is_some_and(|at| now.since(at) < PERIOD) {
+            let state = self.polls.entry(hall.clone()).or_default();
+            if state.in_progress || state.started_at.is_some_and(|at| now.since(at) < PERIOD) {
                 continue;
             }
-            let wants_peers = asked.named.is_none_or(|at| now.since(at) >= NAME_ENTRIES);
-            asked.waiting = true;
-            asked.at = Some(now);
+            let wants_peers = state
+                .named_at
+                .is_none_or(|at| now.since(at) >= NAMING_INTERVAL);
+            state.in_progress = true;
+            state.started_at = Some(now);
             if wants_peers {
-                asked.named = Some(now);
+                state.named_at = Some(now);
             }
-            asks.push(Poll {
+            due.push(Poll {
                 entry: entries[rng.random_range(0..entries.len())],
                 hall,
                 wants_peers,
             });
         }
-        asks
+        due
     }
 
-    /// A hall answered, or did not.
+    /// Records the end of a poll, whether or not it was answered.
     pub fn finished(&mut self, hall: &str) {
-        if let Some(asked) = self.asked.get_mut(hall) {
-            asked.waiting = false;
+        if let Some(state) = self.polls.get_mut(hall) {
+            state.in_progress = false;
         }
     }
 }
--- a/src/knowledge/readers.rs
+++ b/src/knowledge/readers.rs
@@ -1,9 +1,10 @@
-//! Which entries of a data hall read the platform's store for all of them.
+//! Determines which entries of a data hall read the platform's store on behalf of all of them.
 //!
-//! Each call has its price, and a configuration that all entries draw at once fills the links to
-//! the store. So the first ones of a hall read, tell the others that there is news, and tell with
-//! every message how long ago the store answered them. The others read for themselves as soon as
-//! none of those before them has had an answer lately, as far as they were told.
+//! Calls to the store are costly, and a configuration that all entries read at the same time
+//! saturates the links to the store. So only the first entries of a hall read the store. They
+//! notify the others of updates, and report in every message how long ago the store answered them.
+//! Another entry reads the store itself if, according to these reports, the store has not answered
+//! any other entry of the hall recently.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,39 +15,41 @@
 use crate::member::rank::{rank, weight};
 use crate::source::Topic;
 
-/// Entries of a hall that read what operators write: one that is cut off must not hold it up.
+/// Number of entries of a hall that read the operators' topic. There is more than one so that one that
+/// loses its connection to the store does not delay updates.
 const OPERATOR_READERS: u32 = 2;
 
-/// Entries of a hall that read the list of replicas, which changes all the time.
+/// Number of entries of a hall that read the list of replicas, which changes all the time.
 const REPLICAS_READERS: u32 = 1;
 
 /// Subject of the ranking.
 const SUBJECT: &str = "store";
 
-/// How long ago the store may have answered those before in rank.
-const MISSING: Duration = Duration::from_millis(1_600);
+/// Age of the latest answer of the store to other entries of the hall above which an entry reads the
+/// store itself.
+const ANSWER_MAX_AGE: Duration = Duration::from_millis(1_600);
 
-/// Replaces [`MISSING`] for the list of replicas until an entry has been told of an answer. It is
+/// Replaces [`ANSWER_MAX_AGE`] for the list of replicas until an entry has learned of an answer. It is
 /// shorter because an entry cannot serve requests without the list.
-const MISSING_AT_START: Duration = Duration::from_millis(500);
+const ANSWER_MAX_AGE_AT_START: Duration = Duration::from_millis(500);
 
-/// How much longer each further entry in rank waits.
-const STEP: Duration = Duration::from_millis(100);
+/// Additional wait per rank.
+const RANK_DELAY: Duration = Duration::from_millis(100);
 
-/// How long an entry that begins and knows no other entry waits for a seed to answer before it
-/// reads the store itself.
+/// How long a starting entry that knows no other entry waits for a seed to answer before it reads the
+/// store itself.
 const SEED_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Upper limit of the additional wait, which depends on the entry's hash, so that entries do not
 /// all read at the same time if no seed answers.
 const SEED_SPREAD: Duration = Duration::from_millis(1_000);
 
-/// Most steps that an entry waits longer for its rank. All at once they would share the hall's link
-/// to the store, and each document would come as many times; after 2.8 s the last one reads, before
-/// the three seconds are over that machines have to be in touch again.
-const STEPS_MAX: u32 = 12;
+/// Maximum number of rank delays. If all entries read at the same time, they would share the hall's link
+/// to the store, over which each document would be sent once per entry. The last entry reads after
+/// 2.8 s, within the three seconds in which machines must be in touch with the store again.
+const RANK_DELAYS_MAX: u32 = 12;
 
-/// Entries of a hall that are asked for news: its readers.
+/// Number of entries of a hall that the others ask for updates: its readers.
 pub const UPDATE_SOURCES: usize = 2;
 
 /// Highest-ranked entries of its hall that a sidecar receives. It reports to the first of them.
@@ -56,16 +59,16 @@
 /// weights, so different sidecars use different relays.
 const SIDECAR_HASHED_ENTRIES: usize = 8;
 
-/// What the entries of the own hall told of the store.
+/// When the store answered the entries of the own hall, as reported by them.
 #[derive(Debug, Default)]
 pub struct Readers {
-    answered: BTreeMap<SocketAddr, Time>,
+    answers: BTreeMap<SocketAddr, Time>,
     began: Time,
 }
 
 impl Readers {
-    /// Nothing was told yet to a process that begins at `began`: those before it in rank get as
-    /// long to be answered as at any other time.
+    /// The state of a process that starts at `began` and has received no reports. Higher-ranked entries
+    /// get as much time from then on to receive an answer as at any other time.
     pub fn new(began: Time) -> Self {
         Self {
             began,
@@ -73,23 +76,23 @@
         }
     }
 
-    /// The store answered `entry` last at `at`.
+    /// Records that the store last answered `entry` at `at`.
     pub fn record_answer(&mut self, entry: SocketAddr, at: Time) {
-        let known = self.answered.entry(entry).or_default();
-        *known = (*known).max(at);
+        let last = self.answers.entry(entry).or_default();
+        *last = (*last).max(at);
     }
 
-    /// Whether the store answered one of them within `time`.
+    /// Whether the store answered at least one of these entries within `time`.
     pub fn answered_within(&self, time: Duration, now: Time) -> bool {
-        self.answered.values().any(|at| now.since(*at) < time)
+        self.answers.values().any(|at| now.since(*at) < time)
     }
 
-    /// An entry does not answer.
+    /// Discards the reports of an entry that does not answer.
     pub fn remove(&mut self, entry: SocketAddr) {
-        self.answered.remove(&entry);
+        self.answers.remove(&entry);
     }
 
-    /// Whether the entry at `own` reads `topic` itself, beside the other entries of its hall.
+    /// Whether the entry at `own` reads `topic` itself; `local_peers` are the other entries of its hall.
     pub fn reads(
         &self,
         topic: Topic,
@@ -98,21 +101,21 @@
         now: Time,
     ) -> bool {
         let rank = Self::rank(own, local_peers);
-        if rank < readers(topic) {
+        if rank < reader_count(topic) {
             return true;
         }
-        let answered = local_peers
+        let answers = local_peers
             .iter()
-            .filter_map(|entry| self.answered.get(entry));
-        let (last, missing) = match answered.max() {
-            Some(at) => (*at, MISSING),
-            None => (self.began, missing_at_start(topic)),
+            .filter_map(|entry| self.answers.get(entry));
+        let (last, max_age) = match answers.max() {
+            Some(at) => (*at, ANSWER_MAX_AGE),
+            None => (self.began, max_age_at_start(topic)),
         };
-        now.since(last) >= missing + STEP * rank.min(STEPS_MAX)
+        now.since(last) >= max_age + RANK_DELAY * rank.min(RANK_DELAYS_MAX)
     }
 
     /// Whether an entry that knows no other entry still waits for one of `seeds` to answer. Without
-    /// this wait, all entries that begin together would rank themselves first in their hall, and
+    /// this wait, all entries that start together would rank themselves first in their hall, and
     /// each would read the whole list. Seeds do not wait.
     pub fn awaits_seeds(
         &self,
@@ -129,13 +132,13 @@
         now.since(self.began) < SEED_TIMEOUT + SEED_SPREAD.mul_f64(fraction)
     }
 
-    /// The place of the entry at `own` among those of its hall: 0 for the one that reads everything
-    /// from the store and tells the others.
+    /// The rank of the entry at `own` among those of its hall: 0 for the one that reads everything from the
+    /// store and updates the others.
     pub fn rank(own: SocketAddr, local_peers: &[SocketAddr]) -> u32 {
         rank(own, local_peers.iter().copied(), SUBJECT)
     }
 
-    /// The `entries` of a hall, those first that read the store.
+    /// The `entries` of a hall by rank; the first ones read the store.
     pub fn ranked(entries: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut ranked = entries.to_vec();
         ranked.sort_by_cached_key(|entry| std::cmp::Reverse(weight(*entry, SUBJECT)));
@@ -165,12 +168,12 @@
         selected
     }
 
-    /// Whether the entry at `own` is one of those whom the others ask.
+    /// Whether the entry at `own` is one of those that the others ask for updates.
     pub fn is_reader(own: SocketAddr, local_peers: &[SocketAddr]) -> bool {
         Self::rank(own, local_peers) < UPDATE_SOURCES as u32
     }
 
-    /// The entries of the hall to ask for news.
+    /// The entries of the hall to ask for updates.
     pub fn update_sources(local_peers: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut ranked = Self::ranked(local_peers);
         ranked.truncate(UPDATE_SOURCES);
@@ -178,15 +181,15 @@
     }
 }
 
-/// The limit that replaces [`MISSING`] for `topic` until an answer has been told.
-fn missing_at_start(topic: Topic) -> Duration {
+/// Replaces [`ANSWER_MAX_AGE`] for `topic` until an answer has been reported.
+fn max_age_at_start(topic: Topic) -> Duration {
     match topic {
-        Topic::Operator => MISSING,
-        Topic::Replicas => MISSING_AT_START,
+        Topic::Operator => ANSWER_MAX_AGE,
+        Topic::Replicas => ANSWER_MAX_AGE_AT_START,
     }
 }
 
-fn readers(topic: Topic) -> u32 {
+fn reader_count(topic: Topic) -> u32 {
     match topic {
         Topic::Operator => OPERATOR_READERS,
         Topic::Replicas => REPLICAS_READERS,
--- a/src/knowledge/rounds.rs
+++ b/src/knowledge/rounds.rs
@@ -9,22 +9,23 @@
 use crate::clock::Time;
 use crate::member::peer::Peers;
 
-/// How often an entry asks the readers of its hall, which tell it twice as often by themselves.
-const EVERY: Duration = Duration::from_millis(1_000);
+/// Interval at which an entry asks the readers of its hall, which also send updates on their own, twice
+/// as often.
+const INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How often an entry asks others in its first rounds, while it knows no other entry of its hall or
-/// lacks the state that it needs to serve requests.
-const EVERY_AT_START: Duration = Duration::from_millis(120);
+/// Replaces [`INTERVAL`] in the first rounds while an entry knows no other entry of its hall or lacks
+/// the state that it needs to serve requests.
+const INTERVAL_AT_START: Duration = Duration::from_millis(120);
 
-/// Number of first rounds that may be [`EVERY_AT_START`] apart.
+/// Number of first rounds that may be [`INTERVAL_AT_START`] apart.
 const START_ROUNDS: u32 = 20;
 
-/// Interval, in rounds, at which the seeds and an entry of any hall are asked as well and known
-/// entries are named.
+/// Interval, in rounds, at which the seeds and an entry of any hall are asked as well and known entries
+/// are exchanged.
 const SEED_ROUNDS: u32 = 3;
 
-/// Processes beside replicas that are asked at a time.
-const ASKED: usize = 2;
+/// Maximum number of sidecars that are asked in a round.
+const SIDECARS_MAX: usize = 2;
 
 /// The state of an entry from which a round is planned.
 #[derive(Debug, Clone, Copy)]
@@ -73,12 +74,12 @@
 }
 
 impl RoundPlanner {
-    /// Plans the next round. `others` names processes beside replicas, which know entries too: they
-    /// are asked when no entry answers.
+    /// Plans the next round. `sidecars` returns the addresses of sidecars, which also know entries and
+    /// are asked if no entry answers.
     pub fn plan(
         &mut self,
         input: RoundInput<'_>,
-        others: impl Fn() -> Vec<SocketAddr>,
+        sidecars: impl Fn() -> Vec<SocketAddr>,
         now: Time,
         rng: &mut impl Rng,
     ) -> Round {
@@ -93,23 +94,23 @@
         if wide || targets.is_empty() {
             targets.extend(input.peers.sample(1, now, rng));
         }
-        let alone = targets.is_empty();
-        if alone || wide {
+        let no_entries = targets.is_empty();
+        if no_entries || wide {
             let seeds = input.seeds.iter().copied();
             targets.extend(seeds.filter(|seed| *seed != input.own));
         }
-        if alone && number > SEED_ROUNDS {
-            let mut others = others();
-            for _ in 0..ASKED.min(others.len()) {
-                let index = rng.random_range(0..others.len());
-                targets.push(others.swap_remove(index));
+        if no_entries && number > SEED_ROUNDS {
+            let mut sidecars = sidecars();
+            for _ in 0..SIDECARS_MAX.min(sidecars.len()) {
+                let index = rng.random_range(0..sidecars.len());
+                targets.push(sidecars.swap_remove(index));
             }
         }
         targets.sort_unstable();
         targets.dedup();
         let is_start_round = number < START_ROUNDS;
         let is_fast = is_start_round && (local_peers.is_empty() || input.lacks_initial_state);
-        let peer_exchange = if alone || (is_start_round && is_seed_round) {
+        let peer_exchange = if no_entries || (is_start_round && is_seed_round) {
             PeerExchange::PushPull
         } else if wide {
             // Lets entries find each other through the seeds again after a network partition.
@@ -121,7 +122,7 @@
         Round {
             targets,
             peer_exchange,
-            pause: if is_fast { EVERY_AT_START } else { EVERY },
+            pause: if is_fast { INTERVAL_AT_START } else { INTERVAL },
         }
     }
 }
--- a/src/knowledge/traffic.rs
+++ b/src/knowledge/traffic.rs
@@ -1,7 +1,7 @@
-//! What a process sends to the others of the system, counted by purpose.
+//! Counts the messages between processes of the system by purpose.
 //!
-//! Control messages grow with the fleet in ways that only a count shows: a node's budget is a
-//! number of bytes a second, and the sum over all nodes is what the links between halls carry.
+//! How control traffic grows with the fleet shows only in these counts. A node's budget is a number of
+//! bytes per second, and the sum over all nodes is the load on the links between halls.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,27 +14,27 @@
 
 use super::Knowledge;
 
-/// How often the counts are written down.
-const LOGGED: Duration = Duration::from_secs(10);
+/// Interval at which the counts are logged.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// A heartbeat, or news that are fetched with one.
+    /// A heartbeat, or an update fetched with one.
     Heartbeat,
-    /// A process beside a replica reports how that does.
+    /// A sidecar reports the status of its replica.
     Report,
-    /// Another hall is asked how its replicas do.
+    /// A hall is polled for the status of its replicas.
     HallPoll,
-    /// How replicas do is passed on within a hall.
+    /// The status of replicas is forwarded within a hall.
     Forward,
-    /// The process beside a replica is asked for a place there.
+    /// A sidecar is asked for a place at its replica.
     Place,
-    /// The replica is asked by the process beside it.
+    /// A sidecar probes its replica.
     Probe,
-    /// The platform's store is asked.
+    /// A call to the platform's store.
     Store,
-    /// Entries tell each other under which requests replicas ended.
+    /// Entries inform each other of requests under which replicas crashed.
     Poison,
 }
 
@@ -51,7 +51,7 @@
 ];
 
 impl Purpose {
-    /// Its name in metrics and logs.
+    /// The name of the purpose in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Heartbeat => "heartbeat",
@@ -66,51 +66,51 @@
     }
 }
 
-/// Messages of one purpose.
+/// The messages of one purpose.
 #[derive(Debug, Default)]
 struct Count {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-/// What was sent and answered so far. Clones count together.
+/// The messages sent so far and their answers. Clones share the counts.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
     counts: Arc<[Count; PURPOSES.len()]>,
 }
 
 impl Traffic {
-    /// A message left, whose body and answer have so many bytes.
+    /// Counts a message, whose body and answer have `bytes` bytes in total.
     pub fn count(&self, purpose: Purpose, bytes: usize) {
         let count = &self.counts[purpose as usize];
         count.messages.fetch_add(1, Ordering::Relaxed);
         count.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Messages of `purpose` so far, and the bytes of their bodies and answers.
+    /// The number of messages of `purpose` so far, and the bytes of their bodies and answers.
     pub fn of(&self, purpose: Purpose) -> (u64, u64) {
         let count = &self.counts[purpose as usize];
         let read = |number: &AtomicU64| number.load(Ordering::Relaxed);
         (read(&count.messages), read(&count.bytes))
     }
 
-    /// Serves the counts as metrics.
+    /// Registers the counts as metrics.
     pub fn register(&self, meter: &Meter) {
         meter
             .u64_observable_counter("pumicelatch.control.messages")
             .with_description("Messages to other processes by purpose")
-            .with_callback(self.observed(|(messages, _)| messages))
+            .with_callback(self.callback(|(messages, _)| messages))
             .build();
         meter
             .u64_observable_counter("pumicelatch.control.bytes")
             .with_unit("By")
             .with_description("Bytes of those messages and their answers, without heads")
-            .with_callback(self.observed(|(_, bytes)| bytes))
+            .with_callback(self.callback(|(_, bytes)| bytes))
             .build();
     }
 
-    /// Tells one of the counts of each purpose to whoever reads the metrics.
-    fn observed(&self, count: fn((u64, u64)) -> u64) -> impl Fn(&dyn AsyncInstrument<u64>) + use<> {
+    /// Creates a metrics callback that reports one of the counts of each purpose.
+    fn callback(&self, count: fn((u64, u64)) -> u64) -> impl Fn(&dyn AsyncInstrument<u64>) + use<> {
         let traffic = self.clone();
         move |observer| {
             for purpose in PURPOSES {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The counts in one line, without purposes that nothing was sent for.
+    /// The counts in one line, without purposes that have no messages.
     fn describe(&self) -> String {
         let counts = PURPOSES.iter().filter_map(|&purpose| {
             let (messages, bytes) = self.of(purpose);
@@ -130,10 +130,10 @@
     }
 }
 
-/// Writes the counts down until dropped.
+/// Logs the counts periodically until dropped.
 pub async fn log(knowledge: Rc<Knowledge>) {
     loop {
-        sleep(LOGGED).await;
+        sleep(LOG_INTERVAL).await;
         log::info!("messages since the start: {}", knowledge.traffic.describe());
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -27,8 +27,8 @@
 /// Time that the store takes to answer a read of a whole topic.
 const READ_LATENCY: Duration = Duration::from_millis(50);
 
-/// Time that an entry takes to draw a topic from another entry.
-const DRAW_LATENCY: Duration = Duration::from_millis(20);
+/// Time that an entry takes to fetch a topic from another entry.
+const FETCH_LATENCY: Duration = Duration::from_millis(20);
 
 /// How often an entry checks whether it has to read the store.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -59,12 +59,18 @@
         self.knows[topic].is_some_and(|at| at <= now)
     }
 
-    fn learns(&mut self, topic: usize, at: Time) {
+    fn receives(&mut self, topic: usize, at: Time) {
         let known = self.knows[topic].get_or_insert(at);
         *known = (*known).min(at);
     }
 
-    fn hears(&mut self, address: SocketAddr, hall: &Arc<str>, answered: Option<Time>, now: Time) {
+    fn record_heartbeat(
+        &mut self,
+        address: SocketAddr,
+        hall: &Arc<str>,
+        answered: Option<Time>,
+        now: Time,
+    ) {
         self.peers.observe(address, hall, now);
         if let Some(at) = answered.filter(|_| *hall == self.hall) {
             self.readers.record_answer(address, at);
@@ -88,10 +94,14 @@
         let mut entries = BTreeMap::new();
         let mut seeds = Vec::new();
         for index in 0..count {
-            let (hall, place) = (index % HALLS, index / HALLS);
-            let address: SocketAddr = format!("10.{hall}.{}.{}:8000", place / 200, place % 200 + 1)
-                .parse()
-                .unwrap();
+            let (hall, index_in_hall) = (index % HALLS, index / HALLS);
+            let address: SocketAddr = format!(
+                "10.{hall}.{}.{}:8000",
+                index_in_hall / 200,
+                index_in_hall % 200 + 1
+            )
+            .parse()
+            .unwrap();
             if index < 3 {
                 seeds.push(address);
             }
@@ -140,7 +150,7 @@
             if entry.reads_until[index].is_some_and(|until| until <= now) {
                 entry.reads_until[index] = None;
                 entry.answered = Some(now);
-                entry.learns(index, now);
+                entry.receives(index, now);
                 self.notify_local_peers(own, now);
             }
             let entry = self.entries.get_mut(&own).unwrap();
@@ -148,11 +158,11 @@
                 continue;
             }
             let local_peers = entry.peers.of_hall(&entry.hall, now);
-            let waits = {
+            let awaits_seeds = {
                 let (peers, seeds) = (&entry.peers, &self.seeds);
                 entry.readers.awaits_seeds(own, peers, seeds, now)
             };
-            if waits || !entry.readers.reads(topic, own, &local_peers, now) {
+            if awaits_seeds || !entry.readers.reads(topic, own, &local_peers, now) {
                 entry.next_check[index] = now + CHECK_INTERVAL;
                 continue;
             }
@@ -163,8 +173,8 @@
     }
 
     fn notify_local_peers(&mut self, own: SocketAddr, now: Time) {
-        let teller = &self.entries[&own];
-        for peer in teller.peers.of_hall(&teller.hall, now) {
+        let sender = &self.entries[&own];
+        for peer in sender.peers.of_hall(&sender.hall, now) {
             self.exchange(own, peer, false, now);
         }
     }
@@ -190,27 +200,27 @@
     }
 
     /// Delivers a heartbeat and its answer without delay. If both entries are in the same hall, each
-    /// draws the topics that it lacks from the other.
+    /// fetches the topics that it lacks from the other.
     fn exchange(&mut self, from: SocketAddr, to: SocketAddr, names_entries: bool, now: Time) {
         if self.entries[&to].starts > now {
             self.entries.get_mut(&from).unwrap().readers.remove(to);
             return;
         }
-        for (teller, listener) in [(from, to), (to, from)] {
-            let entry = &self.entries[&teller];
-            let told = if names_entries {
+        for (sender, receiver) in [(from, to), (to, from)] {
+            let entry = &self.entries[&sender];
+            let advertisements = if names_entries {
                 entry.peers.advertise(now)
             } else {
                 Vec::new()
             };
             let (hall, answered) = (entry.hall.clone(), entry.answered);
             let known = [0, 1].map(|topic| entry.knows(topic, now));
-            let entry = self.entries.get_mut(&listener).unwrap();
-            entry.peers.merge(&told, now);
-            entry.hears(teller, &hall, answered, now);
+            let entry = self.entries.get_mut(&receiver).unwrap();
+            entry.peers.merge(&advertisements, now);
+            entry.record_heartbeat(sender, &hall, answered, now);
             for (topic, known) in known.into_iter().enumerate() {
                 if known && hall == entry.hall {
-                    entry.learns(topic, now + DRAW_LATENCY);
+                    entry.receives(topic, now + FETCH_LATENCY);
                 }
             }
         }
@@ -218,7 +228,7 @@
 
     /// Time from [`START`] until every entry knows all topics, which it needs to serve requests.
     /// `None` if an entry lacks a topic.
-    fn served_after(&self) -> Option<Duration> {
+    fn ready_after(&self) -> Option<Duration> {
         let knows = self.entries.values().flat_map(|entry| entry.knows);
         let last = knows.collect::<Option<Vec<Time>>>()?.into_iter().max()?;
         Some(last.since(START))
@@ -230,8 +240,8 @@
 fn start_together(count: usize) -> (u32, Duration) {
     let mut fleet = Fleet::new(count, 7);
     fleet.run_until(Duration::from_millis(1_000));
-    let served = fleet.served_after().expect("an entry lacks a topic");
-    (fleet.calls, served)
+    let ready = fleet.ready_after().expect("an entry lacks a topic");
+    (fleet.calls, ready)
 }
 
 /// Guards against every entry ranking itself first in its hall and reading both topics from the
@@ -247,12 +257,12 @@
 }
 
 #[test]
-fn entries_that_start_together_serve_as_early_in_a_large_fleet() {
+fn entries_that_start_together_are_ready_as_early_in_a_large_fleet() {
     for count in [30, 300, 600] {
-        let (_, served) = start_together(count);
+        let (_, ready) = start_together(count);
         assert!(
-            served <= Duration::from_millis(2 * START_SPREAD_MS),
-            "{count} entries: {served:?}"
+            ready <= Duration::from_millis(2 * START_SPREAD_MS),
+            "{count} entries: {ready:?}"
         );
     }
 }
