--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -5,8 +5,8 @@
 //! If all of these answer, no entry sends it more than [`DEGREE`] times, whatever the size of the hall.
 //!
 //! * Frames, which carry replica status, are forwarded unchanged on arrival.
-//! * Notices of published news are forwarded once the forwarding entry has fetched the news, so that
-//!   its receivers can fetch it from there.
+//! * Notices of updates are forwarded once the forwarding entry has fetched the update, so that its
+//!   receivers can fetch it from there.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,13 +30,13 @@
 /// Path for forwarding a frame; the message is a [`ForwardedFrame`].
 pub const FRAME_FORWARD_PATH: &str = "/v1/hall/frame/pass";
 
-/// Path for forwarding a notice of news; the message is a [`ForwardedSync`].
+/// Path for forwarding a notice of an update; the message is a [`ForwardedSync`].
 pub const SYNC_FORWARD_PATH: &str = "/v1/sync/pass";
 
 /// How long an entry is ordered last among receivers after it failed to answer a message.
 const UNRESPONSIVE_PERIOD: Duration = Duration::from_secs(4);
 
-/// How long an entry waits for announced news before it forwards the notice without having it.
+/// How long an entry waits for an announced update before it forwards the notice without having it.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A frame and the entries to forward it to.
@@ -49,12 +49,12 @@
     pub frame: Vec<u8>,
 }
 
-/// A notice of news and the entries to forward it to.
+/// A notice of an update and the entries to forward it to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedSync {
     /// The remaining receivers.
     pub receivers: Vec<SocketAddr>,
-    /// The heartbeat of the sender, whose marks identify the news.
+    /// The heartbeat of the sender, whose marks identify the update.
     pub sync: Sync,
 }
 
@@ -105,7 +105,7 @@
 pub enum Message {
     /// A packed [`crate::wire::sync::Frame`].
     Frame(Bytes),
-    /// A notice that this entry has news.
+    /// A notice that this entry has an update.
     Notice,
 }
 
@@ -185,7 +185,7 @@
     }
 }
 
-/// Fetches the news announced by another entry and forwards the notice.
+/// Fetches the update announced by another entry and forwards the notice.
 pub async fn forward_notice(knowledge: Rc<Knowledge>, notice: ForwardedSync) {
     let marks = notice.sync.marks;
     let fetch = gossip::fetch_update(knowledge.clone(), notice.sync.from, marks, false);
@@ -194,7 +194,7 @@
         .await
         .is_err()
     {
-        log::info!(from:% = notice.sync.from; "notice of news forwarded before the news was fetched");
+        log::info!(from:% = notice.sync.from; "notice forwarded before the update was fetched");
     }
     send(&knowledge, &Message::Notice, notice.receivers);
 }
--- a/src/knowledge/hub.rs
+++ b/src/knowledge/hub.rs
@@ -1,9 +1,10 @@
-//! Which entry of a data hall tells the others how replicas do, and when.
+//! Determines which entry of a data hall distributes the status of replicas to the others, and when.
 //!
-//! If each process beside a replica told each entry, messages would grow with replicas times
-//! entries: 24 of them and 30 entries in a hall send 4,800 reports a second, more than callers send
-//! requests. So they tell the first entries of the hall, and the first of those tells all others in
-//! one frame, which these forward to each other. Messages then grow with replicas plus entries.
+//! If each sidecar reported to each entry, the number of messages would grow with replicas times
+//! entries: with 24 replicas and 30 entries in a hall, 4,800 reports a second, more than callers send
+//! requests. Instead, sidecars report to the first entries of the hall, and the first of these, the
+//! hub, sends everything in one frame to the others, which forward it to each other. The number of
+//! messages then grows with replicas plus entries.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,50 +12,50 @@
 use crate::clock::Time;
 use crate::config::belief::Marks;
 
-/// Time between two frames that tell everything. Who gets a request is asked before it is sent
-/// there, so that a frame only has to say whom to ask.
+/// Interval between two frames with the full status. It may be this long because a replica is asked for
+/// a place before a request is sent to it, so frames only determine which replicas to ask.
 pub const PERIOD: Duration = Duration::from_millis(500);
 
-/// Shortest time between two frames, when a replica begins or ends to take requests: two in the time
-/// for which a change of version is announced (250 ms).
-const GAP: Duration = Duration::from_millis(100);
+/// Minimum interval between two frames when replicas start or stop accepting requests: two frames within
+/// the time for which a change of version is announced (250 ms).
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How old the last frame may be before the next entry in rank tells: two frames may be lost.
-const MISSING: Duration = Duration::from_millis(1_200);
+/// Time without a frame after which the entry of the next rank takes over. It allows for two lost frames.
+const FRAME_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How much longer each further entry in rank waits.
-const STEP: Duration = Duration::from_millis(300);
+/// Additional wait for each further rank.
+const RANK_DELAY: Duration = Duration::from_millis(300);
 
-/// Time between two frames that name the entries as well: a third of the time after which an
-/// entry that nobody heard of counts as gone.
-const NAME_ENTRIES: Duration = Duration::from_millis(1_300);
+/// Interval between two frames that also list the entries: a third of the time after which an entry
+/// without a sign of life no longer counts as alive.
+const NAMING_INTERVAL: Duration = Duration::from_millis(1_300);
 
-/// Entries that the process beside a replica tells: one may have gone without its noticing.
-const TOLD: usize = 2;
+/// Number of entries to which a sidecar reports: one may have left without the sidecar noticing.
+const TARGETS: usize = 2;
 
-/// Entries that do not answer and are tried beside those.
-const TRIED: usize = 2;
+/// Maximum number of additional unresponsive entries to which a sidecar still reports.
+const PROBES_MAX: usize = 2;
 
-/// What a frame tells.
+/// The content of a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Content {
-    /// All replicas that are known; with `entries`, the entries as well.
+    /// All known replicas, and the known entries if `entries` is set.
     Whole {
-        /// Whether the entries are named.
+        /// Whether the frame lists the known entries.
         entries: bool,
     },
-    /// Replicas that began or ended to take requests after this.
+    /// The replicas that started or stopped accepting requests after this time.
     Since(Time),
 }
 
-/// Identifies a frame and the state that its news builds on.
+/// Identifies a frame and the state on which its update builds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FrameHeader {
     /// Random identifier of the sending process.
     pub incarnation: u64,
     /// Sequence number of the frame within the incarnation.
     pub number: u64,
-    /// Marks as of the frame before the previous one, so that missing one frame loses no news.
+    /// Marks as of the frame before the previous one, so that missing one frame loses no updates.
     pub baseline: Marks,
 }
 
@@ -66,7 +67,7 @@
     number: u64,
 }
 
-/// When this entry told the others of its hall, and when it was told.
+/// The frames that this entry has sent to the others of its hall, and received from them.
 #[derive(Debug, Clone, Copy)]
 pub struct Hub {
     incarnation: u64,
@@ -75,15 +76,14 @@
     sent_marks: [Marks; 2],
     last_frame: Option<LastFrame>,
     began: Time,
-    told: Option<Time>,
-    told_whole: Option<Time>,
-    told_entries: Option<Time>,
-    heard: Option<Time>,
+    last_sent: Option<Time>,
+    last_sent_whole: Option<Time>,
+    last_sent_entries: Option<Time>,
+    last_received: Option<Time>,
 }
 
 impl Hub {
-    /// The part of an entry that begins at `began`; `incarnation` is a random identifier of its
-    /// process.
+    /// The state of an entry that starts at `began`; `incarnation` is a random identifier of its process.
     pub fn new(incarnation: u64, began: Time) -> Self {
         Self {
             incarnation,
@@ -91,16 +91,16 @@
             sent_marks: [Marks::default(); 2],
             last_frame: None,
             began,
-            told: None,
-            told_whole: None,
-            told_entries: None,
-            heard: None,
+            last_sent: None,
+            last_sent_whole: None,
+            last_sent_entries: None,
+            last_received: None,
         }
     }
 
-    /// Another entry told how replicas do.
-    pub fn heard(&mut self, now: Time) {
-        self.heard = Some(now);
+    /// Records that a frame of another entry was received.
+    pub fn record_frame(&mut self, now: Time) {
+        self.last_received = Some(now);
     }
 
     /// Records a frame that originates from `from` and returns whether to apply it. Frames older
@@ -112,7 +112,7 @@
         number: u64,
         now: Time,
     ) -> bool {
-        self.heard(now);
+        self.record_frame(now);
         let outdated = self.last_frame.is_some_and(|last| {
             last.from == from && last.incarnation == incarnation && last.number > number
         });
@@ -138,57 +138,57 @@
         }
     }
 
-    /// Whether the entry that is so many places from the first tells the others.
+    /// Whether the entry at `rank` acts as the hub.
     pub fn is_active(&self, rank: u32, now: Time) -> bool {
-        let Some(before) = rank.checked_sub(1) else {
+        let Some(extra_ranks) = rank.checked_sub(1) else {
             return true;
         };
-        let last = self.heard.unwrap_or(self.began);
-        now.since(last) >= MISSING + STEP * before
+        let last = self.last_received.unwrap_or(self.began);
+        now.since(last) >= FRAME_TIMEOUT + RANK_DELAY * extra_ranks
     }
 
-    /// What the entry at `rank` tells now, if anything; `changed` says when a replica began or ended
-    /// to take requests.
+    /// The content of the frame that the entry at `rank` must send now, if any; `changed` is the last time
+    /// at which a replica started or stopped accepting requests.
     pub fn due(&mut self, rank: u32, changed: Option<Time>, now: Time) -> Option<Content> {
         if !self.is_active(rank, now) {
             return None;
         }
         let since = |last: Option<Time>| last.map(|last| now.since(last));
-        if since(self.told_whole).is_none_or(|age| age >= PERIOD) {
-            let entries = since(self.told_entries).is_none_or(|age| age >= NAME_ENTRIES);
+        if since(self.last_sent_whole).is_none_or(|age| age >= PERIOD) {
+            let entries = since(self.last_sent_entries).is_none_or(|age| age >= NAMING_INTERVAL);
             if entries {
-                self.told_entries = Some(now);
+                self.last_sent_entries = Some(now);
             }
-            self.told = Some(now);
-            self.told_whole = Some(now);
+            self.last_sent = Some(now);
+            self.last_sent_whole = Some(now);
             return Some(Content::Whole { entries });
         }
-        let last = self.told?;
-        if now.since(last) < GAP || changed.is_none_or(|changed| changed <= last) {
+        let last = self.last_sent?;
+        if now.since(last) < MIN_INTERVAL || changed.is_none_or(|changed| changed <= last) {
             return None;
         }
-        self.told = Some(now);
+        self.last_sent = Some(now);
         Some(Content::Since(last))
     }
 }
 
-/// Whom of the entries of its hall, `ranked`, the process beside a replica tells, where `silent` says
-/// who did not answer last.
+/// The entries to which a sidecar reports, out of the `ranked` entries of its hall; `is_silent` returns
+/// whether an entry failed to answer the last report.
 pub fn report_targets(
     ranked: &[SocketAddr],
-    silent: impl Fn(SocketAddr) -> bool,
+    is_silent: impl Fn(SocketAddr) -> bool,
 ) -> Vec<SocketAddr> {
-    let (mut answering, mut tried) = (0, 0);
+    let (mut responsive, mut probed) = (0, 0);
     let mut chosen = Vec::new();
     for &entry in ranked {
-        if answering == TOLD {
+        if responsive == TARGETS {
             break;
         }
-        if !silent(entry) {
-            answering += 1;
+        if !is_silent(entry) {
+            responsive += 1;
             chosen.push(entry);
-        } else if tried < TRIED {
-            tried += 1;
+        } else if probed < PROBES_MAX {
+            probed += 1;
             chosen.push(entry);
         }
     }
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -86,7 +86,7 @@
     for index in 1..=4 {
         let own = entry(1, index);
         let mut hub = Hub::new(1, NOW);
-        hub.heard(NOW);
+        hub.record_frame(NOW);
         let now = NOW + hub::PERIOD;
         if !hub.is_active(Readers::rank(own, &local_peers(index, 4)), now) {
             assert_eq!(
@@ -111,10 +111,10 @@
         hub.is_active(0, NOW) && !hub.is_active(1, NOW),
         "the first one is not waited for"
     );
-    hub.heard(at(1_000));
+    hub.record_frame(at(1_000));
     assert!(!hub.is_active(1, at(2_100)) && hub.is_active(1, at(2_200)));
     assert!(!hub.is_active(2, at(2_200)) && hub.is_active(2, at(2_500)));
-    hub.heard(at(2_600));
+    hub.record_frame(at(2_600));
     assert!(!hub.is_active(2, at(2_700)), "another one tells again");
 }
 
