--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -165,7 +165,7 @@
         if ended == Ended::NotSent {
             self.unreached += 1;
         }
-        self.tainted |= next::ran(ended) != Outcome::NotRun;
+        self.tainted |= next::outcome_of(ended) != Outcome::NotRun;
         if answer.is_some() {
             self.failure = answer;
         }
@@ -180,7 +180,7 @@
             tainted: self.tainted,
             sent: self.trace.sent,
             sent_max: self.job.route.attempts_max,
-            unreached: self.unreached,
+            connect_failures: self.unreached,
             time_left: remaining > RETRY_TIME_MIN,
         }
     }
@@ -188,7 +188,7 @@
     /// What a caller is told when no further attempt is made.
     fn refusal_after(&self, ended: Ended, detail: String) -> Refusal {
         let late = self.job.remaining(self.gateway.knowledge.now()) <= RETRY_TIME_MIN;
-        if self.tainted || next::ran(ended) != Outcome::NotRun {
+        if self.tainted || next::outcome_of(ended) != Outcome::NotRun {
             let code = if late {
                 Code::LateUnknown
             } else {
@@ -309,7 +309,7 @@
     pub(super) fn limits(&self) -> (Duration, Duration) {
         let gateway = &self.gateway;
         let own = self.job.objective();
-        let tightest = self.job.routing.tightest_ms(&self.job.service);
+        let tightest = self.job.routing.min_objective_ms(&self.job.service);
         let base = match tightest.filter(|_| gateway.setting.policy.shared_limit) {
             Some(tightest) => own.min(Duration::from_millis(tightest)),
             None => own,
@@ -354,8 +354,8 @@
         let engine = service.and_then(|service| service.engine.as_ref());
         // Replicas that hold models are engines, whatever could be read of their service.
         let engines = || {
-            let belief = gateway.knowledge.belief.borrow();
-            engine.is_some() || belief.held_model(Some(&self.job.service)).is_some()
+            let catalog = gateway.knowledge.catalog.borrow();
+            engine.is_some() || catalog.loaded_model(Some(&self.job.service)).is_some()
         };
         let model = model.filter(|_| engines());
         let entries = gateway.knowledge.peers.borrow().upper_bound() as u32;
@@ -413,9 +413,9 @@
 
     fn oldest_version(&self, model: &str, now: Time) -> u64 {
         let rollout = self.gateway.setting.rollout;
-        let belief = self.gateway.knowledge.belief.borrow();
+        let catalog = self.gateway.knowledge.catalog.borrow();
         let bound = rollout.bound.saturating_sub(rollout.margin);
-        belief.oldest_allowed(model, bound, now)
+        catalog.oldest_allowed(model, bound, now)
     }
 
     /// Sends the request to the chosen replica.
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -14,7 +14,7 @@
 use crate::knowledge::readers::Readers;
 use crate::knowledge::rounds::PeerExchange;
 use crate::wire::pack;
-use crate::wire::sync::{Digest, Frame, HALL_PATH, HallNews, Reported, Sync};
+use crate::wire::sync::{Frame, HALL_PATH, HallStatus, HallUpdate, Heartbeat, ReplicaStatus};
 
 /// How often it is looked whether anyone is to be told or asked.
 const LOOK: Duration = Duration::from_millis(100);
@@ -40,12 +40,12 @@
     } else {
         PeerExchange::Skip
     });
-    let answer = gossip::call::<_, HallNews>(knowledge, ask.entry, HALL_PATH, &sync).await;
+    let answer = gossip::call::<_, HallUpdate>(knowledge, ask.entry, HALL_PATH, &sync).await;
     gateway.halls.borrow_mut().finished(&ask.hall);
     match answer {
         Ok(answer) => {
             let digest = answer.digest();
-            gossip::apply_answer(knowledge, ask.entry, answer.news);
+            gossip::apply_answer(knowledge, ask.entry, answer.update);
             match digest {
                 Ok(digest) => gateway.take_digest(&digest),
                 Err(error) => {
@@ -64,8 +64,8 @@
 
 /// Returns the [`FAR_MAX`] least loaded replicas. Those that take no requests sort last: they mostly
 /// have nothing in progress and would otherwise displace replicas that can serve.
-fn least_loaded(mut reports: Vec<Reported>) -> Vec<Reported> {
-    let key = |reported: &Reported| (!reported.load.takes_requests(), reported.load.present());
+fn least_loaded(mut reports: Vec<ReplicaStatus>) -> Vec<ReplicaStatus> {
+    let key = |reported: &ReplicaStatus| (!reported.load.takes_requests(), reported.load.present());
     reports.sort_by_key(key);
     reports.truncate(FAR_MAX);
     reports
@@ -103,13 +103,13 @@
     fn tell_hall(&self, extent: Content, now: Time) {
         let knowledge = &self.knowledge;
         let sync = knowledge.heartbeat(extent == Content::Whole { entries: true });
-        let header = self.hub.borrow_mut().next_header(sync.marks);
+        let header = self.hub.borrow_mut().next_header(sync.revisions);
         let frame = Frame {
             digests: self.digests(extent, now),
-            news: knowledge.update_since(header.baseline),
+            update: knowledge.update_since(header.baseline),
             incarnation: header.incarnation,
             number: header.number,
-            sync,
+            heartbeat: sync,
         };
         match pack::pack(&frame) {
             Ok(packed) => {
@@ -120,16 +120,16 @@
         }
     }
 
-    fn digests(&self, extent: Content, now: Time) -> Vec<Digest> {
+    fn digests(&self, extent: Content, now: Time) -> Vec<HallStatus> {
         let own = &self.knowledge.identity.hall;
         match extent {
-            Content::Since(since) => vec![Digest {
+            Content::Since(since) => vec![HallStatus {
                 hall: own.clone(),
                 replicas: self.pool.borrow().reports_since(own, since, now),
             }],
             Content::Whole { .. } => {
                 let halls = self.pool.borrow().halls();
-                let digests = halls.into_iter().map(|hall| Digest {
+                let digests = halls.into_iter().map(|hall| HallStatus {
                     replicas: self.reports(&hall, now),
                     hall,
                 });
@@ -139,7 +139,7 @@
     }
 
     /// How the replicas of a hall do: all of the own hall's, the best of another's.
-    fn reports(&self, hall: &str, now: Time) -> Vec<Reported> {
+    fn reports(&self, hall: &str, now: Time) -> Vec<ReplicaStatus> {
         let reports = self.pool.borrow().reports(hall, now);
         if *hall == *self.knowledge.identity.hall {
             return reports;
@@ -148,18 +148,22 @@
     }
 
     /// Answers how this hall's replicas do.
-    pub(super) fn hall_news(&self, sync: &Sync) -> HallNews {
+    pub(super) fn hall_news(&self, sync: &Heartbeat) -> HallUpdate {
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
         let replicas = least_loaded(self.pool.borrow().reports(&hall, now));
         let news = self.knowledge.update_for_hall(sync);
-        HallNews::new(Digest { hall, replicas }, news, sync.takes_packed_digest)
+        HallUpdate::new(
+            HallStatus { hall, replicas },
+            news,
+            sync.takes_packed_digest,
+        )
     }
 
     /// Applies a frame from another entry of the hall unless it is outdated. Returns its heartbeat
     /// in both cases.
-    pub(super) fn take_frame(&self, frame: Frame) -> Sync {
-        let (from, now) = (frame.sync.from, self.knowledge.now());
+    pub(super) fn take_frame(&self, frame: Frame) -> Heartbeat {
+        let (from, now) = (frame.heartbeat.from, self.knowledge.now());
         let mut hub = self.hub.borrow_mut();
         let accepted = hub.accept_frame(from, frame.incarnation, frame.number, now);
         drop(hub);
@@ -167,15 +171,15 @@
             for digest in &frame.digests {
                 self.take_digest(digest);
             }
-            if let Some(news) = frame.news {
+            if let Some(news) = frame.update {
                 self.knowledge.apply_update(from, news);
             }
         }
-        frame.sync
+        frame.heartbeat
     }
 
     /// Takes how the replicas of a hall do.
-    fn take_digest(&self, digest: &Digest) {
+    fn take_digest(&self, digest: &HallStatus) {
         self.refresh_pool();
         let now = self.knowledge.now();
         let mut pool = self.pool.borrow_mut();
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -36,7 +36,7 @@
     request: &mut Request,
     trace: &mut Trace,
 ) -> Result<Job, Refusal> {
-    let routing = gateway.knowledge.belief.borrow().routing().cloned();
+    let routing = gateway.knowledge.catalog.borrow().routing().cloned();
     let ask = gateway.dialect.parse(request.head());
     if let Ok(ask) = &ask {
         trace.id.clone_from(&ask.id);
@@ -66,7 +66,7 @@
     let priority = priority.unwrap_or(route.priority);
     let residency = customer.map_or_else(
         || route.residency.clone(),
-        |customer| route.residency.and(&customer.residency),
+        |customer| route.residency.intersection(&customer.residency),
     );
     let customer = customer.map(|customer| customer.name.clone());
     let draw = gateway.knowledge.rng.borrow_mut().random();
@@ -128,13 +128,13 @@
     ask: &Metadata,
     customer: Option<&str>,
     body: Option<&[u8]>,
-) -> poison::Name {
+) -> poison::RequestHash {
     let path = head
         .uri
         .path_and_query()
         .map_or(&*ask.path, |path| path.as_str());
     let caller = customer.or(ask.api_key.as_deref()).unwrap_or_default();
-    poison::Name::of(&ask.host, path, caller, body.unwrap_or_default())
+    poison::RequestHash::of(&ask.host, path, caller, body.unwrap_or_default())
 }
 
 /// A part of the configuration could not be read, and this request may need it: nobody may tell its
--- a/src/knowledge/hub.rs
+++ b/src/knowledge/hub.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::config::belief::Marks;
+use crate::config::catalog::Revisions;
 
 /// Interval between two frames with the full status. It may be this long because a replica is asked for
 /// a place before a request is sent to it, so frames only determine which replicas to ask.
@@ -55,8 +55,8 @@
     pub incarnation: u64,
     /// Sequence number of the frame within the incarnation.
     pub number: u64,
-    /// Marks as of the frame before the previous one, so that missing one frame loses no updates.
-    pub baseline: Marks,
+    /// Revisions as of the frame before the previous one, so that missing one frame loses no updates.
+    pub baseline: Revisions,
 }
 
 /// The latest frame received.
@@ -73,7 +73,7 @@
     incarnation: u64,
     number: u64,
     /// Marks of the last two frames sent, oldest first.
-    sent_marks: [Marks; 2],
+    sent_marks: [Revisions; 2],
     last_frame: Option<LastFrame>,
     began: Time,
     last_sent: Option<Time>,
@@ -88,7 +88,7 @@
         Self {
             incarnation,
             number: 0,
-            sent_marks: [Marks::default(); 2],
+            sent_marks: [Revisions::default(); 2],
             last_frame: None,
             began,
             last_sent: None,
@@ -127,10 +127,10 @@
     }
 
     /// Returns the header of the next frame to send; `marks` are the sender's current ones.
-    pub fn next_header(&mut self, marks: Marks) -> FrameHeader {
+    pub fn next_header(&mut self, revisions: Revisions) -> FrameHeader {
         self.number += 1;
         let baseline = self.sent_marks[0];
-        self.sent_marks = [self.sent_marks[1], marks];
+        self.sent_marks = [self.sent_marks[1], revisions];
         FrameHeader {
             incarnation: self.incarnation,
             number: self.number,
--- a/src/version/stopgap.rs
+++ b/src/version/fallback.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::TAKING_IN;
+use super::ACTIVATION_TIME;
 use crate::clock::Time;
-use crate::config::belief::{Wanted, first_lacking};
+use crate::config::catalog::{DesiredVersion, first_missing};
 
 /// How long a replica is to serve a version that it takes for a time: to give it up again takes about a
 /// second of its work (what runs is finished, 0.3 s to take the next one in).
@@ -22,63 +22,63 @@
 
 /// What is known of the newest version's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Outlook {
+pub struct Availability {
     /// Chunks that this box lacks.
     pub missing: u32,
     /// Of those, chunks that nobody in reach holds either.
-    pub unseen: u32,
+    pub unavailable: u32,
     /// All its chunks; 0 while they are not known.
     pub chunks: u32,
     /// Time since one of them was seen for the first time.
-    pub quiet: Duration,
+    pub since_progress: Duration,
 }
 
 /// What things take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Times {
+pub struct TransferTimes {
     /// A whole copy over the origin's link.
     pub origin: Duration,
     /// A whole copy over this box's link.
-    pub own: Duration,
+    pub local: Duration,
     /// From the naming of a version until nothing may be sent to a replica of an older one.
     pub bound: Duration,
 }
 
-impl Outlook {
+impl Availability {
     /// When the newest version is served here, if that can be told.
-    pub fn arrival(&self, times: Times) -> Option<Duration> {
-        if self.chunks > 0 && self.unseen == 0 {
-            return Some(times.own * self.missing / self.chunks + TAKING_IN);
+    pub fn time_to_serve(&self, times: TransferTimes) -> Option<Duration> {
+        if self.chunks > 0 && self.unavailable == 0 {
+            return Some(times.local * self.missing / self.chunks + ACTIVATION_TIME);
         }
-        if self.quiet >= QUIET_MAX {
+        if self.since_progress >= QUIET_MAX {
             return None;
         }
         let unseen = if self.chunks == 0 {
             times.origin
         } else {
-            times.origin * self.unseen / self.chunks
+            times.origin * self.unavailable / self.chunks
         };
-        Some(unseen.max(times.own * self.missing.max(1) / self.chunks.max(1)) + TAKING_IN)
+        Some(unseen.max(times.local * self.missing.max(1) / self.chunks.max(1)) + ACTIVATION_TIME)
     }
 }
 
 /// The version that an empty replica takes meanwhile, of those that others `hold`, if one pays.
-pub fn choose(
-    named: &[Wanted],
+pub fn select(
+    named: &[DesiredVersion],
     hold: &BTreeSet<u64>,
-    outlook: Outlook,
-    times: Times,
+    outlook: Availability,
+    times: TransferTimes,
     now: Time,
 ) -> Option<u64> {
-    let serves = times.own + TAKING_IN;
+    let serves = times.local + ACTIVATION_TIME;
     let pays = |until: Duration| until >= serves + SERVES_MIN;
-    if !outlook.arrival(times).is_none_or(pays) {
+    if !outlook.time_to_serve(times).is_none_or(pays) {
         return None;
     }
     let newest = named.last()?.version;
     let older = hold.range(..newest).rev().copied();
     let mut allowed = older.filter(|version| {
-        let ends = first_lacking(named, *version).map(|lacking| lacking.since + times.bound);
+        let ends = first_missing(named, *version).map(|lacking| lacking.since + times.bound);
         ends.is_some_and(|ends| pays(ends.since(now)))
     });
     allowed.next()
--- a/src/version/rollout.rs
+++ b/src/version/rollout.rs
@@ -43,13 +43,13 @@
     /// The settings where a version is due `bound` after it was named: replicas change in as many
     /// waves as there is time for, so that each takes few of them away, and in no fewer than by
     /// default.
-    pub fn due_within(bound: Duration, policy: Policy) -> Self {
+    pub fn for_bound(bound: Duration, policy: Policy) -> Self {
         Self::due_after(TRANSFER, bound, policy)
     }
 
     /// The settings where a copy takes `copy` over the origin's link, if that is known: no wave is
     /// planned for before its weights can be there.
-    pub fn with_copy(self, copy: Option<Duration>, policy: Policy) -> Self {
+    pub fn with_transfer_time(self, copy: Option<Duration>, policy: Policy) -> Self {
         match copy.map(|copy| copy + PASSED_ON) {
             Some(transfer) if transfer > TRANSFER => Self::due_after(transfer, self.bound, policy),
             _ => self,
@@ -97,7 +97,7 @@
 }
 
 /// The waves of all `fellows` at once.
-pub fn waves_of<'a>(
+pub fn assign_waves<'a>(
     version: Digest,
     fellows: impl Iterator<Item = &'a str>,
     waves: u32,
@@ -116,7 +116,7 @@
 }
 
 /// When a wave may begin, counted from when the version was named.
-pub fn begins(setting: Setting, wave: u32) -> Duration {
+pub fn wave_start(setting: Setting, wave: u32) -> Duration {
     let last = setting.bound.saturating_sub(setting.margin);
     let steps = setting.waves.max(2) - 1;
     let wave = wave.min(steps);
@@ -126,71 +126,73 @@
 /// When a wave may begin, counted from when the version was named, at a box that had the weights so
 /// long after that: once all waves are behind their time, what is left is shared among them anew, or
 /// all replicas would change at once.
-pub fn begins_with(setting: Setting, wave: u32, complete: Duration) -> Duration {
+pub fn wave_start_after(setting: Setting, wave: u32, complete: Duration) -> Duration {
     let last = setting.bound.saturating_sub(setting.margin);
     let spread = setting.spread.min(last.saturating_sub(complete));
-    begins(Setting { spread, ..setting }, wave)
+    wave_start(Setting { spread, ..setting }, wave)
 }
 
 /// What a process knows of its replica and the wanted version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct State {
     /// The wanted version.
-    pub wanted: u64,
+    pub desired: u64,
     /// When it was named.
-    pub named: Time,
+    pub published_at: Time,
     /// The version that the replica holds.
-    pub held: Option<u64>,
+    pub loaded: Option<u64>,
     /// Whether the replica carries an order out.
     pub busy: bool,
     /// Since when every chunk of the wanted version is here and verified, if that is so.
-    pub complete: Option<Time>,
+    pub complete_since: Option<Time>,
     /// The replica's wave.
     pub wave: u32,
     /// When the process began to tell that its replica will change.
-    pub noticed: Option<Time>,
+    pub notice_since: Option<Time>,
 }
 
 /// What is next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Nothing: the replica holds what is wanted, or is about to.
-    Rest,
+    Idle,
     /// Chunks are missing.
     Receive,
     /// The wave has not begun.
-    Await,
+    AwaitWave,
     /// Tell that the replica will change.
-    Notice,
+    BeginNotice,
     /// The notice runs.
-    Noticed,
+    AwaitNotice,
     /// Verify what is staged, and order the change.
     Order,
 }
 
 /// Decides what is next.
 pub fn step(state: State, setting: Setting, now: Time) -> Step {
-    if state.held.is_some_and(|held| held >= state.wanted) || state.busy {
-        return Step::Rest;
+    if state.loaded.is_some_and(|held| held >= state.desired) || state.busy {
+        return Step::Idle;
     }
-    let Some(complete) = state.complete else {
+    let Some(complete) = state.complete_since else {
         return Step::Receive;
     };
-    if state.held.is_none() {
+    if state.loaded.is_none() {
         // It serves nothing, so there is nobody to be told and nothing to wait for.
         return Step::Order;
     }
-    if now.since(state.named) + setting.margin >= setting.bound {
+    if now.since(state.published_at) + setting.margin >= setting.bound {
         // Nobody sends it anything any more, so there is nobody to be told.
         return Step::Order;
     }
-    let complete = complete.since(state.named);
-    if now.since(state.named) + setting.notice < begins_with(setting, state.wave, complete) {
-        return Step::Await;
+    let complete = complete.since(state.published_at);
+    if now.since(state.published_at) + setting.notice
+        < wave_start_after(setting, state.wave, complete)
+    {
+        return Step::AwaitWave;
     }
-    match state.noticed {
-        None => Step::Notice,
-        Some(since) if now.since(since) < setting.notice => Step::Noticed,
+    match state.notice_since {
+        None => Step::BeginNotice,
+        Some(since) if now.since(since) < setting.notice => Step::AwaitNotice,
         Some(_) => Step::Order,
     }
 }
