--- a/src/knowledge.rs
+++ b/src/knowledge.rs
@@ -1,17 +1,18 @@
-//! What a process knows of the platform and of the other processes, and how it keeps that fresh.
+//! What a process knows about the platform and the other processes, and how it keeps this up to date.
 //!
 //! * [`store`] reads and watches the platform's store.
-//! * [`news`] builds heartbeats and their answers, and applies the latter.
-//! * [`pace`] says how long calls to it wait, and how long they pause.
-//! * [`readers`] decides who reads it for a whole hall.
-//! * [`draws`] decides from whom a configuration is drawn that others know.
+//! * [`heartbeat`] builds heartbeats and their answers, and applies the answers.
+//! * [`schedule`] sets the timeouts of calls to the store and the pauses between them.
+//! * [`readers`] determines which entries read the store for a whole hall.
+//! * [`fetches`] selects the process from which a newer configuration is fetched.
 //! * [`fanout`] distributes a message to all entries of a hall.
-//! * [`hub`] decides who tells a whole hall how replicas do, [`halls`] when another is asked.
-//! * [`poison`] tells under which requests replicas ended.
+//! * [`hub`] determines which entry sends the status of replicas to a whole hall, [`polls`] when other
+//!   halls are polled for theirs.
+//! * [`poison`] distributes the requests under which replicas crashed.
 //! * [`rounds`] plans when heartbeats are sent and to which processes.
-//! * [`traffic`] counts what is sent to other processes.
-//! * [`gossip`] exchanges what is newer with other processes of the system, so that one that the
-//!   store turns away, or that just began, knows what the others know.
+//! * [`traffic`] counts the messages to other processes.
+//! * [`gossip`] exchanges updates with other processes of the system, so that a process that the store
+//!   rejects, or that has just started, learns what the others know.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -45,8 +46,8 @@
 pub mod fanout;
 pub mod fetches;
 pub mod gossip;
+pub mod heartbeat;
 pub mod hub;
-pub mod news;
 pub mod poison;
 pub mod polls;
 pub mod readers;
@@ -55,89 +56,89 @@
 pub mod store;
 pub mod traffic;
 
-/// The store counts as shaky for so long after it was out of reach.
-const SHAKY: Duration = Duration::from_millis(4_000);
+/// How long the store is considered unstable after it was unreachable.
+const UNSTABLE_PERIOD: Duration = Duration::from_millis(4_000);
 
-/// A store that answered another entry of the hall so short ago is not in trouble: readers ask at
-/// least each second, and tell so at least each half.
-const ANSWERS_OTHERS: Duration = Duration::from_millis(1_500);
+/// A store that answered another entry of the hall within this time is considered reachable. Readers call
+/// it at least every second, and report its answers at least every half second.
+const LOCAL_ANSWER_MAX_AGE: Duration = Duration::from_millis(1_500);
 
-/// Who a process is.
+/// The identity of a process.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Its name, for logs.
+    /// Its name in logs.
     pub name: Arc<str>,
-    /// The data hall that it stands in.
+    /// Its data hall.
     pub hall: Arc<str>,
-    /// Where it listens to other processes of the system.
+    /// The address on which it listens to other processes of the system.
     pub address: SocketAddr,
     /// Whether it is an entry.
     pub entry: bool,
 }
 
-/// What could not be read of the platform's documents since the process began.
+/// Parts of the platform's documents that could not be read since the process started.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Losses {
-    /// Fields, items and whole documents.
+    /// Their number: fields, items and whole documents.
     pub count: u64,
-    /// The latest of them.
+    /// Description of the latest one.
     pub latest: Option<String>,
 }
 
-/// What a process knows. It lives on one thread.
+/// What a process knows. It is confined to one thread.
 #[derive(Debug)]
 pub struct Knowledge {
-    /// Who the process is.
+    /// The identity of the process.
     pub identity: Identity,
-    /// The mechanisms of the policy.
+    /// The enabled mechanisms.
     pub policy: Policy,
-    /// Monotonic time.
+    /// The monotonic clock.
     pub clock: Clock,
-    /// Random choices.
+    /// The random number generator.
     pub rng: RefCell<SmallRng>,
-    /// Calls to other processes.
+    /// The client for calls to other processes.
     pub client: exchange::Client,
-    /// What they are, by purpose.
+    /// Counts of these calls by purpose.
     pub traffic: Traffic,
-    /// Beliefs about the platform.
+    /// What is known about the platform.
     pub catalog: RefCell<Catalog>,
-    /// Entries.
+    /// The known entries.
     pub peers: RefCell<Peers>,
-    /// The newest configuration in brief, where the whole is not kept.
+    /// A summary of the newest configuration, in processes that do not keep the configuration itself.
     pub summary: RefCell<Option<Summary>>,
-    /// Addresses of processes to begin with.
+    /// Addresses of the processes to contact first.
     pub seeds: RefCell<Vec<SocketAddr>>,
     /// The regions of data halls.
     pub regions: RefCell<Regions>,
-    /// Changes of what is believed.
+    /// Counts the changes of what is known.
     pub changed: tokio::sync::watch::Sender<u64>,
-    /// Wakes those who tell the hall's entries that there is news.
-    pub news: Notify,
-    /// Wakes calls that may hang since before the store answered again.
+    /// Wakes the task that notifies the hall's entries of updates.
+    pub update_notify: Notify,
+    /// Wakes calls to the store that may have been hanging since before it answered again.
     pub store_regained: Notify,
-    trouble: Cell<Option<Time>>,
-    /// What could not be read of the platform's documents.
+    last_store_failure: Cell<Option<Time>>,
+    /// Parts of the platform's documents that could not be read.
     pub losses: RefCell<Losses>,
     fetching: Cell<bool>,
     /// Entries of the hall that recently failed to answer a message.
     unresponsive: RefCell<UnresponsiveEntries>,
-    lost_heartbeats: Repeats,
+    heartbeat_failures: Repeats,
     fetches: RefCell<Fetches>,
-    /// The configuration as others draw it: it is packed once for all of them.
-    packed: RefCell<pack::Cache>,
-    /// The packed list of replicas, kept for all processes that draw it when they begin.
+    /// The packed configuration, cached for all processes that fetch it.
+    packed_routing: RefCell<pack::Cache>,
+    /// The packed list of replicas, cached for all processes that fetch it when they start.
     packed_list: RefCell<pack::Cache>,
     readers: RefCell<Readers>,
-    answered: Cell<Option<Time>>,
-    /// Requests under which replicas ended.
+    last_store_answer: Cell<Option<Time>>,
+    /// Requests under which replicas crashed.
     pub poison: RefCell<Registry>,
-    /// Wakes those who tell the other entries of them.
+    /// Wakes the task that notifies the other entries of these requests.
     pub poison_changed: Notify,
     poison_comparing: Cell<bool>,
 }
 
 impl Knowledge {
-    /// Nothing known yet. `paths` has what is known of the process's connections.
+    /// Creates the knowledge of a process that has just started. `paths` is the state of its connections.
     pub fn new(
         identity: Identity,
         seeds: Vec<SocketAddr>,
@@ -158,18 +159,18 @@
             seeds: RefCell::new(seeds),
             regions: RefCell::default(),
             changed: tokio::sync::watch::Sender::new(0),
-            news: Notify::new(),
+            update_notify: Notify::new(),
             store_regained: Notify::new(),
-            trouble: Cell::new(None),
+            last_store_failure: Cell::new(None),
             losses: RefCell::default(),
             fetching: Cell::new(false),
             unresponsive: RefCell::default(),
-            lost_heartbeats: Repeats::default(),
+            heartbeat_failures: Repeats::default(),
             fetches: RefCell::default(),
-            packed: RefCell::default(),
+            packed_routing: RefCell::default(),
             packed_list: RefCell::default(),
             readers: RefCell::new(Readers::new(Clock::default().now())),
-            answered: Cell::new(None),
+            last_store_answer: Cell::new(None),
             poison: RefCell::default(),
             poison_changed: Notify::new(),
             poison_comparing: Cell::new(false),
@@ -177,7 +178,7 @@
         })
     }
 
-    /// The present instant.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
@@ -188,7 +189,7 @@
         peers.of_hall(&self.identity.hall, self.now())
     }
 
-    /// Whether this entry reads `topic` from the store, or others of its hall do.
+    /// Whether this entry reads `topic` from the store itself instead of leaving it to others of its hall.
     pub fn reads(&self, topic: Topic) -> bool {
         if !self.policy.few_readers {
             return true;
@@ -208,25 +209,25 @@
         catalog.routing().is_none() || !catalog.has_replica_list()
     }
 
-    /// Whether this entry has never had the list of replicas and a process with `marks` has it.
+    /// Whether this entry has never had the list of replicas and a process with `revisions` has it.
     fn lacks_list(&self, revisions: Revisions) -> bool {
         revisions.replicas > 0 && !self.catalog.borrow().has_replica_list()
     }
 
-    /// Bytes of an answer of the store came.
-    fn store_is_answering(&self) {
-        self.answered.set(Some(self.now()));
+    /// Records that bytes of an answer of the store were received.
+    fn record_store_answer(&self) {
+        self.last_store_answer.set(Some(self.now()));
     }
 
     /// Milliseconds since the store answered this process.
     fn store_age_ms(&self, now: Time) -> Option<u64> {
-        let at = self.answered.get()?;
+        let at = self.last_store_answer.get()?;
         Some(now.since(at).as_millis() as u64)
     }
 
-    /// Takes what an entry tells of itself with every message: that it is there, and, if it stands
-    /// in this hall, how long ago the store answered it.
-    fn hear(&self, entry: SocketAddr, hall: &Arc<str>, store_age_ms: Option<u64>) {
+    /// Records what every message of an entry implies: that it is alive, and, if it is in this hall, how
+    /// long ago the store answered it.
+    fn record_peer(&self, entry: SocketAddr, hall: &Arc<str>, store_age_ms: Option<u64>) {
         let now = self.now();
         self.update_peers(|peers| peers.observe(entry, hall, now));
         if *hall != self.identity.hall {
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Updates the entries, and wakes those who work with them if there is a new one.
+    /// Updates the known entries, and reports a change if there is a new one.
     fn update_peers(&self, update: impl FnOnce(&mut Peers)) {
         let mut peers = self.peers.borrow_mut();
         let before = peers.added();
@@ -247,17 +248,17 @@
         }
     }
 
-    /// An entry does not answer.
+    /// Records that an entry does not answer.
     pub fn mark_unreachable(&self, entry: SocketAddr) {
         self.readers.borrow_mut().remove(entry);
     }
 
-    /// Whether another process with these marks knows something newer.
+    /// Whether a process with `revisions` has newer state than this one.
     pub fn is_behind(&self, revisions: Revisions) -> bool {
         revisions.any_newer_than(self.catalog.borrow().revisions())
     }
 
-    /// The place of a process in `hall` as a source of draws.
+    /// The locality of a process in `hall` as a source of fetches.
     fn locality_of(&self, hall: &str) -> Locality {
         if *hall == *self.identity.hall {
             Locality::Local
@@ -268,8 +269,8 @@
         }
     }
 
-    /// The place of an entry in the own hall; `is_hub` says whether it sends frames to all others.
-    /// Halls in which it reaches every entry directly make no distinction.
+    /// The locality of an entry in the own hall; `is_hub` is set if it sends frames to all others. In
+    /// halls where the hub reaches every entry directly, it is treated like any other entry.
     fn locality_in_own_hall(&self, is_hub: bool) -> Locality {
         if is_hub && self.local_peers().len() > fanout::DEGREE {
             Locality::LocalHub
@@ -278,20 +279,20 @@
         }
     }
 
-    /// Whether this process is an entry that lacks the configuration or the list of replicas of a
-    /// process with `marks`.
+    /// Whether this process is an entry that lacks the configuration or the list of replicas of a process
+    /// with `revisions`.
     fn needs_fetch(&self, revisions: Revisions) -> bool {
         self.identity.entry
             && (!self.knows_routing(revisions.routing) || self.lacks_list(revisions))
     }
 
-    /// Whether to start a draw from `peer` at `place` now. If so, the caller has to call
-    /// [`Knowledge::drew`] afterwards.
+    /// Whether to start a fetch from `peer` at `locality` now. If so, the caller must call
+    /// [`Knowledge::finish_fetch`] afterwards.
     fn begin_fetch(&self, peer: SocketAddr, locality: Locality) -> bool {
         self.fetches.borrow_mut().begin(peer, locality, self.now())
     }
 
-    /// A draw from `peer` ended.
+    /// Records the end of a fetch from `peer`.
     fn finish_fetch(&self, peer: SocketAddr) {
         self.fetches.borrow_mut().finish(peer);
     }
@@ -306,8 +307,9 @@
         let catalog = self.catalog.borrow();
         match topic {
             Topic::Operator => {
-                // An evacuation may be told while a configuration of before is still drawn: who watches
-                // from it on would miss that one. What is seen twice changes nothing.
+                // Leaves out the revision of evacuations: one may be received while an older
+                // configuration is still being fetched, which a watch from that revision would miss.
+                // Facts that are received twice have no effect.
                 let revisions = catalog.revisions();
                 // Without a configuration, read from the start: a version received from another
                 // process may have a later revision than the configuration, and a watch from that
@@ -321,55 +323,60 @@
         }
     }
 
-    /// The store was out of reach of this process. While it answers others of the hall, that is no
-    /// trouble of the store, and what it tells through them is as sure as ever.
+    /// Records that the store was unreachable for this process, unless it answers others of the hall:
+    /// then the store itself is not at fault, and what it reports through them is reliable.
     pub fn record_store_failure(&self) {
         let now = self.now();
-        if self.readers.borrow().answered_within(ANSWERS_OTHERS, now) {
+        if self
+            .readers
+            .borrow()
+            .answered_within(LOCAL_ANSWER_MAX_AGE, now)
+        {
             return;
         }
-        self.trouble.set(Some(now));
+        self.last_store_failure.set(Some(now));
     }
 
-    fn shaky(&self) -> bool {
+    /// Whether the store was unreachable recently.
+    fn store_unstable(&self) -> bool {
         let now = self.now();
-        self.trouble
+        self.last_store_failure
             .get()
-            .is_some_and(|trouble| now.since(trouble) < SHAKY)
+            .is_some_and(|at| now.since(at) < UNSTABLE_PERIOD)
     }
 
-    fn tell(&self, effect: Effect) {
+    fn notify(&self, effect: Effect) {
         if effect != Effect::None {
             self.changed.send_modify(|count| *count += 1);
         }
     }
 
-    fn learn(&self, dated: Revisioned, origin: &str) -> Effect {
+    fn apply_fact(&self, dated: Revisioned, origin: &str) -> Effect {
         let revision = dated.revision;
         let text = describe(&dated.fact);
-        let (now, shaky) = (self.now(), self.shaky());
-        let effect = self.catalog.borrow_mut().apply(dated, now, shaky);
+        let (now, store_unstable) = (self.now(), self.store_unstable());
+        let effect = self.catalog.borrow_mut().apply(dated, now, store_unstable);
         if effect != Effect::None {
-            log::info!(revision, origin, shaky; "learned: {text}");
+            log::info!(revision, origin, shaky = store_unstable; "applied: {text}");
         }
         if effect == Effect::Routing {
             self.fetches.borrow_mut().reset();
         }
-        self.tell(effect);
+        self.notify(effect);
         effect
     }
 
-    /// Takes what the store answered; `whole` if that is everything of its topic.
+    /// Applies an answer of the store; `whole` if it contains the whole topic.
     pub fn apply_batch(&self, topic: Topic, whole: bool, batch: Batch) {
-        self.store_is_answering();
-        if self.learn_batch(topic, whole, batch) {
-            self.news.notify_one();
+        self.record_store_answer();
+        if self.apply_facts(topic, whole, batch) {
+            self.update_notify.notify_one();
         }
     }
 
-    /// Returns whether anything changed.
-    fn learn_batch(&self, topic: Topic, whole: bool, batch: Batch) -> bool {
-        self.note_damage(&batch.damaged, batch.revision);
+    /// Applies the facts of a batch. Returns whether anything changed.
+    fn apply_facts(&self, topic: Topic, whole: bool, batch: Batch) -> bool {
+        self.log_losses(&batch.damaged, batch.revision);
         if whole && topic == Topic::Replicas {
             let records = batch
                 .facts
@@ -378,15 +385,20 @@
                     Fact::Replica(record) => Some((dated.revision, record)),
                     _ => None,
                 });
-            let effect = self.take_list(records.collect(), batch.revision, self.shaky(), "store");
+            let effect = self.apply_list(
+                records.collect(),
+                batch.revision,
+                self.store_unstable(),
+                "store",
+            );
             return effect != Effect::None;
         }
         let mut changed = false;
         if whole {
-            changed |= self.take_evacuations(&batch);
+            changed |= self.apply_all_evacuations(&batch);
         }
         for dated in batch.facts {
-            changed |= self.learn(dated, "store") != Effect::None;
+            changed |= self.apply_fact(dated, "store") != Effect::None;
         }
         if topic == Topic::Replicas {
             self.catalog.borrow_mut().advance_list(batch.revision);
@@ -394,8 +406,8 @@
         changed
     }
 
-    /// The store's whole word on evacuations: one that is not in it is over.
-    fn take_evacuations(&self, batch: &Batch) -> bool {
+    /// Applies the evacuations of a batch with a whole topic: those that it does not contain are over.
+    fn apply_all_evacuations(&self, batch: &Batch) -> bool {
         let halls = batch.facts.iter().filter_map(|dated| match &dated.fact {
             Fact::Evacuation { hall, active: true } => Some(hall.clone()),
             _ => None,
@@ -406,18 +418,18 @@
             .borrow_mut()
             .apply_evacuations(&halls, batch.revision);
         if effect != Effect::None {
-            log::info!(revision = batch.revision; "learned: evacuations that are over");
+            log::info!(revision = batch.revision; "applied: end of evacuations");
         }
-        self.tell(effect);
+        self.notify(effect);
         effect != Effect::None
     }
 
-    /// Writes down what could not be read of entries of the store.
-    fn note_damage(&self, damaged: &[Damaged], revision: u64) {
+    /// Logs and counts the parts of store entries that could not be read.
+    fn log_losses(&self, damaged: &[Damaged], revision: u64) {
         let mut losses = self.losses.borrow_mut();
         for entry in damaged {
             for loss in &entry.losses {
-                log::warn!(revision, key = entry.key.as_str(); "entry of the store: {loss}");
+                log::warn!(revision, key = entry.key.as_str(); "store entry not fully read: {loss}");
             }
             losses.count += entry.losses.len() as u64;
             losses.latest = entry
@@ -427,31 +439,38 @@
         }
     }
 
-    fn take_list(&self, records: Vec<(u64, Record)>, at: u64, shaky: bool, origin: &str) -> Effect {
+    fn apply_list(
+        &self,
+        records: Vec<(u64, Record)>,
+        at: u64,
+        store_unstable: bool,
+        origin: &str,
+    ) -> Effect {
         let count = records.len();
         let now = self.now();
         let first_list = !self.catalog.borrow().has_replica_list();
         let effect = self
             .catalog
             .borrow_mut()
-            .apply_list(records, at, now, shaky);
+            .apply_list(records, at, now, store_unstable);
         if first_list && !self.lacks_initial_state() {
             self.fetches.borrow_mut().reset();
         }
         if effect != Effect::None {
-            log::info!(revision = at, origin, replicas = count, shaky; "learned: list of replicas");
+            log::info!(revision = at, origin, replicas = count, shaky = store_unstable; "applied: list of replicas");
         }
-        self.tell(effect);
+        self.notify(effect);
         effect
     }
 
-    /// The settings of the change of versions, planned as `setting`, for an origin like the present one.
+    /// The rollout settings `setting`, adapted to the transfer time of the current origin.
     pub fn rollout(&self, setting: rollout::Setting) -> rollout::Setting {
-        let copy = self.summary().and_then(|brief| brief.copy());
+        let copy = self.summary().and_then(|summary| summary.copy());
         setting.with_transfer_time(copy, self.policy)
     }
 
-    /// The model that `service` serves, by the engine's figures, or by what its replicas hold.
+    /// The model that `service` serves, according to its engine's configuration or else to the models that
+    /// its replicas have loaded.
     pub fn model_of(&self, service: &str) -> Option<Arc<str>> {
         let catalog = self.catalog.borrow();
         let configured = catalog.routing().and_then(|routing| {
@@ -461,7 +480,7 @@
         configured.or_else(|| catalog.loaded_model(Some(service)))
     }
 
-    /// The configuration in brief, from the whole if that is known.
+    /// The summary of the configuration, derived from the configuration itself if that is known.
     pub fn summary(&self) -> Option<Summary> {
         let catalog = self.catalog.borrow();
         let Some(routing) = catalog.routing() else {
@@ -480,13 +499,13 @@
 fn describe(fact: &Fact) -> String {
     match fact {
         Fact::Routing(document) => format!("routing version {}", document.version),
-        Fact::Version { model, version } => format!("model {model} wanted in version {version}"),
+        Fact::Version { model, version } => format!("model {model}: desired version {version}"),
         Fact::Replica(record) => {
             let state = if record.leaving { "leaving" } else { "ready" };
             format!("replica {} of {} {state}", record.id, record.service)
         }
-        Fact::ReplicaGone(id) => format!("replica {id} gone"),
-        Fact::Evacuation { hall, active: true } => format!("hall {hall} is evacuated"),
-        Fact::Evacuation { hall, .. } => format!("the evacuation of hall {hall} is over"),
+        Fact::ReplicaGone(id) => format!("replica {id} removed"),
+        Fact::Evacuation { hall, active: true } => format!("evacuation of hall {hall} started"),
+        Fact::Evacuation { hall, .. } => format!("evacuation of hall {hall} ended"),
     }
 }
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -289,7 +289,7 @@
                 let sync = knowledge.heartbeat_with(round.peer_exchange);
                 if let Err(error) = post(&knowledge, peer, SYNC_PATH, &sync).await {
                     knowledge.mark_unreachable(peer);
-                    if let Some(lost) = knowledge.lost_heartbeats.count() {
+                    if let Some(lost) = knowledge.heartbeat_failures.count() {
                         log::warn!(peer:% = peer, lost; "heartbeat lost: {error}");
                     }
                 }
@@ -321,7 +321,7 @@
 /// them, for good or in place of one that hears nothing. Runs until dropped.
 pub async fn announce_updates(knowledge: Rc<Knowledge>) {
     loop {
-        knowledge.news.notified().await;
+        knowledge.update_notify.notified().await;
         let local_peers = knowledge.local_peers();
         let reader = Readers::is_reader(knowledge.identity.address, &local_peers);
         if !reader && !knowledge.reads(Topic::Operator) {
--- a/src/knowledge/news.rs
+++ b/src/knowledge/heartbeat.rs
@@ -19,89 +19,97 @@
     Heartbeat, PackedReplicaList, PublishedVersion, ReplicaList, RevisionedDocument, Update,
 };
 
-/// How long after its naming a version is told to those who know it, with its age: longer than any
-/// bound that is counted from there.
-const VERSIONS_TOLD: Duration = Duration::from_secs(20);
+/// How long after its publication a version is repeated, with its age, to processes that may know it. It
+/// exceeds every bound that is counted from the publication.
+const VERSION_REPEAT_PERIOD: Duration = Duration::from_secs(20);
 
 impl Knowledge {
-    /// Takes what another process answered.
-    pub fn apply_update(&self, from: SocketAddr, news: Update) {
-        self.update_peers(|peers| peers.merge(&news.peers, self.now()));
-        if let Some(packed) = &news.packed_peers {
+    /// Applies the answer of another process.
+    pub fn apply_update(&self, from: SocketAddr, update: Update) {
+        self.update_peers(|peers| peers.merge(&update.peers, self.now()));
+        if let Some(packed) = &update.packed_peers {
             match pack::unpack::<Vec<Advertisement>>(packed) {
-                Ok(told) => self.update_peers(|peers| peers.merge(&told, self.now())),
+                Ok(entries) => self.update_peers(|peers| peers.merge(&entries, self.now())),
                 Err(error) => {
                     log::warn!(from:% = from; "cannot unpack the list of entries: {error}");
                 }
             }
         }
-        if news.entry {
-            self.hear(from, &news.hall, news.store_age_ms);
+        if update.entry {
+            self.record_peer(from, &update.hall, update.store_age_ms);
         }
-        if let Some(dated) = news.routing {
-            self.take_document(from, dated);
+        if let Some(dated) = update.routing {
+            self.apply_document(from, dated);
         }
-        for named in news.versions {
-            self.take_named(named);
+        for published in update.versions {
+            self.apply_version(published);
         }
-        for told in news.evacuations {
-            let revision = told.revision;
+        for evacuation in update.evacuations {
+            let revision = evacuation.revision;
             let fact = Fact::Evacuation {
-                hall: told.hall,
-                active: told.active,
+                hall: evacuation.hall,
+                active: evacuation.active,
             };
-            self.learn(Revisioned { revision, fact }, &from.to_string());
+            self.apply_fact(Revisioned { revision, fact }, &from.to_string());
         }
-        if let Some(list) = news.replicas {
-            self.take_whole_list(from, list);
+        if let Some(list) = update.replicas {
+            self.apply_whole_list(from, list);
         }
-        if let Some(packed) = news.list {
-            self.take_packed_list(from, packed);
+        if let Some(packed) = update.list {
+            self.apply_packed_list(from, packed);
         }
-        if let Some(changes) = news.changes {
-            self.take_changes(changes, &from.to_string());
+        if let Some(changes) = update.changes {
+            self.apply_changes_from(changes, &from.to_string());
         }
-        if let Some(brief) = news.summary {
+        if let Some(summary) = update.summary {
             let newer = self
                 .summary
                 .borrow()
                 .as_ref()
-                .is_none_or(|known| known.revision < brief.revision);
+                .is_none_or(|known| known.revision < summary.revision);
             if newer {
-                self.summary.replace(Some(brief));
-                self.tell(Effect::Routing);
+                self.summary.replace(Some(summary));
+                self.notify(Effect::Routing);
             }
         }
     }
 
-    fn take_changes(&self, changes: Changes, origin: &str) {
+    fn apply_changes_from(&self, changes: Changes, origin: &str) {
         let revision = changes.revision;
         let (written, removed) = (changes.records.len(), changes.removals.len());
-        let shaky = changes.store_unstable || self.shaky();
+        let store_unstable = changes.store_unstable || self.store_unstable();
         let now = self.now();
-        let effect = self.catalog.borrow_mut().apply_changes(changes, now, shaky);
+        let effect = self
+            .catalog
+            .borrow_mut()
+            .apply_changes(changes, now, store_unstable);
         if effect != Effect::None {
-            log::info!(revision, origin, written, removed, shaky; "learned: changes of replicas");
+            log::info!(revision, origin, written, removed, shaky = store_unstable; "applied: changes of replicas");
         }
-        self.tell(effect);
+        self.notify(effect);
     }
 
     /// Applies the whole list of replicas, received from `from`.
-    fn take_whole_list(&self, from: SocketAddr, list: ReplicaList) {
+    fn apply_whole_list(&self, from: SocketAddr, list: ReplicaList) {
         let records = list.records.into_iter();
         let records = records.map(|dated| (dated.revision, dated.record));
-        let shaky = list.store_unstable || self.shaky();
-        self.take_list(records.collect(), list.revision, shaky, &from.to_string());
+        let store_unstable = list.store_unstable || self.store_unstable();
+        self.apply_list(
+            records.collect(),
+            list.revision,
+            store_unstable,
+            &from.to_string(),
+        );
     }
 
-    fn take_packed_list(&self, from: SocketAddr, list: PackedReplicaList) {
+    fn apply_packed_list(&self, from: SocketAddr, list: PackedReplicaList) {
         let PackedReplicaList {
             revision,
             store_unstable,
             packed,
         } = list;
         match pack::unpack(&packed) {
-            Ok(records) => self.take_whole_list(
+            Ok(records) => self.apply_whole_list(
                 from,
                 ReplicaList {
                     revision,
@@ -115,41 +123,43 @@
         }
     }
 
-    fn take_document(&self, from: SocketAddr, dated: RevisionedDocument) {
+    fn apply_document(&self, from: SocketAddr, dated: RevisionedDocument) {
         let revision = dated.revision;
         match pack::unpack(&dated.packed) {
             Ok(document) => {
                 let fact = Fact::Routing(Arc::new(document));
-                self.learn(Revisioned { revision, fact }, &from.to_string());
+                self.apply_fact(Revisioned { revision, fact }, &from.to_string());
+            }
+            Err(error) => {
+                log::warn!(from:% = from, revision; "cannot unpack the configuration: {error}");
             }
-            Err(error) => log::warn!(from:% = from, revision; "configuration: {error}"),
         }
     }
 
-    fn take_named(&self, named: PublishedVersion) {
+    fn apply_version(&self, published: PublishedVersion) {
         let now = self.now();
-        let age = Duration::from_millis(named.age_ms);
-        let wanted = DesiredVersion {
-            version: named.version,
-            revision: named.revision,
+        let age = Duration::from_millis(published.age_ms);
+        let desired = DesiredVersion {
+            version: published.version,
+            revision: published.revision,
             since: now,
         };
-        let model = named.model.clone();
+        let model = published.model.clone();
         let effect = self
             .catalog
             .borrow_mut()
-            .apply_aged(model, wanted, age, now);
+            .apply_aged(model, desired, age, now);
         if effect != Effect::None {
             log::info!(
-                model = &*named.model, version = named.version, age_ms = named.age_ms;
-                "learned: version named"
+                model = &*published.model, version = published.version, age_ms = published.age_ms;
+                "applied: version published"
             );
         }
-        self.tell(effect);
+        self.notify(effect);
     }
 
-    /// The heartbeat that this process sends. With `names_entries` it tells the entries that it
-    /// knows, and wants to be told.
+    /// The heartbeat that this process sends. With `names_entries`, it lists the known entries and requests
+    /// those that the receiver knows.
     pub fn heartbeat(&self, names_entries: bool) -> Heartbeat {
         let exchange = if names_entries {
             PeerExchange::PushPull
@@ -186,72 +196,74 @@
         }
     }
 
-    /// The news since `marks` without the configuration, if there is any.
+    /// The update since `revisions` without the configuration, if there is any.
     pub fn update_since(&self, revisions: Revisions) -> Option<Update> {
-        let has_news = {
+        let has_update = {
             let catalog = self.catalog.borrow();
             let own = catalog.revisions().without_routing();
-            own.any_newer_than(revisions) || names_young(&catalog, self.now())
+            own.any_newer_than(revisions) || has_recent_versions(&catalog, self.now())
         };
-        has_news.then(|| {
-            let sync = Heartbeat {
+        has_update.then(|| {
+            let heartbeat = Heartbeat {
                 entry: false,
                 revisions,
                 ..self.heartbeat(false)
             };
-            self.update_for(&sync, false)
+            self.update_for(&heartbeat, false)
         })
     }
 
-    /// The answer to an entry of another hall that polls this one: what its sender lacks. It lists
-    /// only entries of this hall, because the sender polls the other halls as well.
-    pub fn update_for_hall(&self, sync: &Heartbeat) -> Update {
-        self.news_with_entries(sync, false, |now| self.hall_peers(now))
+    /// The answer to a poll of an entry of another hall: what its sender lacks. It lists only entries of
+    /// this hall, because the sender polls the other halls as well.
+    pub fn update_for_hall(&self, heartbeat: &Heartbeat) -> Update {
+        self.update_with_entries(heartbeat, false, |now| self.hall_peers(now))
     }
 
-    /// What this process tells others about the other entries of its own hall.
+    /// The other entries of the own hall, as advertised to other processes.
     fn hall_peers(&self, now: Time) -> Vec<Advertisement> {
         let local_peers = self.local_peers();
         let peers = self.peers.borrow();
         peers.advertise_filtered(now, |entry| local_peers.contains(&entry))
     }
 
-    /// The answer to a heartbeat: what its sender lacks. `brief` for one that does not keep the
-    /// whole configuration.
-    pub fn update_for(&self, sync: &Heartbeat, brief: bool) -> Update {
-        self.news_with_entries(sync, brief, |now| self.entries_to_send(sync, now))
+    /// The answer to a heartbeat: what its sender lacks. `wants_summary` is set for senders that do not keep
+    /// the configuration itself.
+    pub fn update_for(&self, heartbeat: &Heartbeat, wants_summary: bool) -> Update {
+        self.update_with_entries(heartbeat, wants_summary, |now| {
+            self.entries_to_send(heartbeat, now)
+        })
     }
 
     /// The answer to a heartbeat. It lists the result of `entries` if the sender requests entries.
-    fn news_with_entries(
+    fn update_with_entries(
         &self,
-        sync: &Heartbeat,
-        brief: bool,
+        heartbeat: &Heartbeat,
+        wants_summary: bool,
         entries: impl FnOnce(Time) -> Vec<Advertisement>,
     ) -> Update {
         let now = self.now();
-        self.update_peers(|peers| peers.merge(&sync.peers, now));
-        if sync.entry {
-            self.hear(sync.from, &sync.hall, sync.store_age_ms);
+        self.update_peers(|peers| peers.merge(&heartbeat.peers, now));
+        if heartbeat.entry {
+            self.record_peer(heartbeat.from, &heartbeat.hall, heartbeat.store_age_ms);
         }
         let catalog = self.catalog.borrow();
         let revisions = catalog.revisions();
-        let told = if sync.wants_peers {
+        let advertisements = if heartbeat.wants_peers {
             entries(now)
         } else {
             Vec::new()
         };
-        let newer_routing = revisions.routing > sync.revisions.routing;
-        let newer_list = revisions.replicas > sync.revisions.replicas;
-        let changes = (newer_list && sync.takes_changes)
-            .then(|| catalog.changes_since(sync.revisions.replicas))
+        let newer_routing = revisions.routing > heartbeat.revisions.routing;
+        let newer_list = revisions.replicas > heartbeat.revisions.replicas;
+        let changes = (newer_list && heartbeat.takes_changes)
+            .then(|| catalog.changes_since(heartbeat.revisions.replicas))
             .flatten();
         let changes = changes.map(|changes| Changes {
-            store_unstable: self.shaky(),
+            store_unstable: self.store_unstable(),
             ..changes
         });
-        let packed_peers = if sync.takes_packed_peers {
-            pack_peers(&told)
+        let packed_peers = if heartbeat.takes_packed_peers {
+            pack_peers(&advertisements)
         } else {
             None
         };
@@ -262,58 +274,62 @@
             revisions,
             store_age_ms: self.store_age_ms(now),
             peers: if packed_peers.is_none() {
-                told
+                advertisements
             } else {
                 Vec::new()
             },
             packed_peers,
-            routing: (newer_routing && sync.wants_routing)
-                .then(|| self.document())
+            routing: (newer_routing && heartbeat.wants_routing)
+                .then(|| self.packed_document())
                 .flatten(),
-            versions: if revisions.versions > sync.revisions.versions || names_young(&catalog, now)
+            versions: if revisions.versions > heartbeat.revisions.versions
+                || has_recent_versions(&catalog, now)
             {
-                self.named(now)
+                self.published_versions(now)
             } else {
                 Vec::new()
             },
-            evacuations: if revisions.evacuations > sync.revisions.evacuations {
+            evacuations: if revisions.evacuations > heartbeat.revisions.evacuations {
                 catalog.evacuations().all()
             } else {
                 Vec::new()
             },
-            // A process that begins contacts several others, so it gets the list only from the one it
-            // draws it from.
-            replicas: (needs_whole_list && !sync.draws_list).then(|| list(&catalog, self.shaky())),
-            list: (needs_whole_list && sync.draws_list && sync.wants_list)
+            // A starting process contacts several others, so it receives the list only from the one that
+            // it fetches it from.
+            replicas: (needs_whole_list && !heartbeat.draws_list)
+                .then(|| replica_list(&catalog, self.store_unstable())),
+            list: (needs_whole_list && heartbeat.draws_list && heartbeat.wants_list)
                 .then(|| self.packed_list())
                 .flatten(),
             changes,
-            summary: (newer_routing && brief).then(|| self.summary()).flatten(),
+            summary: (newer_routing && wants_summary)
+                .then(|| self.summary())
+                .flatten(),
             poison: self.poison.borrow().digest(now),
         }
     }
 
-    /// The entries that the reply to `sync` lists: all known ones if the sender is an entry, a
+    /// The entries that the answer to `heartbeat` lists: all known ones if the sender is an entry, a
     /// bounded subset if it is a sidecar, unless sidecars report to all entries.
-    fn entries_to_send(&self, sync: &Heartbeat, now: Time) -> Vec<Advertisement> {
+    fn entries_to_send(&self, heartbeat: &Heartbeat, now: Time) -> Vec<Advertisement> {
         let peers = self.peers.borrow();
-        if sync.entry || !self.policy.digests {
+        if heartbeat.entry || !self.policy.digests {
             return peers.advertise(now);
         }
-        let selected = Readers::entries_for_sidecar(sync.from, &sync.hall, &peers, now);
+        let selected = Readers::entries_for_sidecar(heartbeat.from, &heartbeat.hall, &peers, now);
         peers.advertise_filtered(now, |entry| selected.contains(&entry))
     }
 
-    /// The configuration as others draw it.
-    fn document(&self) -> Option<RevisionedDocument> {
+    /// The packed configuration, for processes that fetch it.
+    fn packed_document(&self) -> Option<RevisionedDocument> {
         let catalog = self.catalog.borrow();
         let routing = catalog.routing()?;
         let revision = catalog.revisions().routing;
-        let mut cache = self.packed.borrow_mut();
+        let mut cache = self.packed_routing.borrow_mut();
         match cache.get_or_pack(revision, || &*routing.document) {
             Ok(packed) => Some(RevisionedDocument { revision, packed }),
             Err(error) => {
-                log::error!(revision; "configuration: {error}");
+                log::error!(revision; "cannot pack configuration: {error}");
                 None
             }
         }
@@ -327,7 +343,7 @@
         match cache.get_or_pack(at, || present_records(&catalog)) {
             Ok(packed) => Some(PackedReplicaList {
                 revision: at,
-                store_unstable: self.shaky(),
+                store_unstable: self.store_unstable(),
                 packed,
             }),
             Err(error) => {
@@ -337,26 +353,26 @@
         }
     }
 
-    fn named(&self, now: Time) -> Vec<PublishedVersion> {
+    fn published_versions(&self, now: Time) -> Vec<PublishedVersion> {
         let catalog = self.catalog.borrow();
         let versions = catalog.versions();
         versions
-            .map(|(model, wanted)| PublishedVersion {
+            .map(|(model, desired)| PublishedVersion {
                 model: model.clone(),
-                version: wanted.version,
-                revision: wanted.revision,
-                age_ms: now.since(wanted.since).as_millis() as u64,
+                version: desired.version,
+                revision: desired.revision,
+                age_ms: now.since(desired.since).as_millis() as u64,
             })
             .collect()
     }
 }
 
-/// Encodes `told` for [`Update::packed_peers`]. Returns `None` if it is empty or cannot be packed.
-fn pack_peers(told: &[Advertisement]) -> Option<ByteBuf> {
-    if told.is_empty() {
+/// Encodes `advertisements` for [`Update::packed_peers`]. Returns `None` if it is empty or cannot be packed.
+fn pack_peers(advertisements: &[Advertisement]) -> Option<ByteBuf> {
+    if advertisements.is_empty() {
         return None;
     }
-    match pack::pack(&told) {
+    match pack::pack(&advertisements) {
         Ok(packed) => Some(packed.into()),
         Err(error) => {
             log::error!("cannot pack the list of entries: {error}");
@@ -365,17 +381,18 @@
     }
 }
 
-/// Whether a version was named lately. Then a process that knows the newest may still lack the one before,
-/// which the store tells nobody any more, or have heard of them later than this one.
-fn names_young(catalog: &Catalog, now: Time) -> bool {
-    let mut named = catalog.versions();
-    named.any(|(_, wanted)| now.since(wanted.since) < VERSIONS_TOLD)
+/// Whether a version was published recently. In that case, a process that knows the newest version may
+/// still lack the previous one, which the store no longer returns, or may have learned of both later than
+/// this process.
+fn has_recent_versions(catalog: &Catalog, now: Time) -> bool {
+    let mut published = catalog.versions();
+    published.any(|(_, desired)| now.since(desired.since) < VERSION_REPEAT_PERIOD)
 }
 
-fn list(catalog: &Catalog, shaky: bool) -> ReplicaList {
+fn replica_list(catalog: &Catalog, store_unstable: bool) -> ReplicaList {
     ReplicaList {
         revision: catalog.revisions().replicas,
-        store_unstable: shaky,
+        store_unstable,
         records: present_records(catalog),
     }
 }
--- a/src/knowledge/store.rs
+++ b/src/knowledge/store.rs
@@ -97,7 +97,7 @@
     // A store that is still answering is in reach, however long that takes: the others of the hall
     // are told so, and do not draw the same over the same link. An entry that need not read after
     // all, because one before it does, lets go.
-    let moved = || knowledge.store_is_answering();
+    let moved = || knowledge.record_store_answer();
     let needed = || knowledge.reads(topic);
     let waits = schedule.timeouts(after.is_none());
     let call = pin!(patience::wait_while(call, &progress, waits, moved, needed));
