--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
 use crate::config::routing::Kind;
 use crate::exchange::{self, Note, Options, Reuse, Unframed};
 use crate::http::Answer;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 use crate::patience;
 use crate::request::attempt::Ended;
 use crate::request::poison::RequestHash;
@@ -93,7 +93,7 @@
     gateway: Rc<Gateway>,
     key: Key,
     /// The life of its replica.
-    pub life: Incarnation,
+    pub instance: Instance,
     /// What it is an attempt of.
     request: RequestHash,
     choice: Choice,
@@ -128,7 +128,7 @@
         let replica = pool
             .get(choice.key)
             .filter(|replica| !replica.wish().refuses(now))?;
-        let (life, address) = (replica.record.incarnation(), replica.record.address);
+        let (instance, address) = (replica.record.instance(), replica.record.address);
         let demand = job.demand();
         let model = job.ask.inference.as_ref().map(|work| &*work.model);
         let start_bound = model.and_then(|model| pool.start_bound(choice.key, model, now));
@@ -136,7 +136,7 @@
         Some(Self {
             gateway: gateway.clone(),
             key: choice.key,
-            life,
+            instance,
             request: job.name,
             choice,
             address,
@@ -190,7 +190,7 @@
         log::warn!(
             request = job.ask.id.as_str(),
             name:% = job.name,
-            replica = &*self.life.id,
+            replica = &*self.instance.id,
             ended = name(ended),
             known_requests = self.choice.requests,
             expected_ms = self.choice.expected.as_millis() as u64,
@@ -220,9 +220,9 @@
                 .is_some_and(|replica| replica.record.leaving || replica.wish().leaving())
         };
         if !leaves {
-            let life = self.life.clone();
+            let instance = self.instance.clone();
             self.gateway
-                .suspect(self.request, life, self.address, sight);
+                .suspect(self.request, instance, self.address, sight);
         }
     }
 
@@ -239,7 +239,7 @@
         } = send;
         let now = self.gateway.knowledge.now();
         let forward = Forward {
-            replica: &self.life.id,
+            replica: &self.instance.id,
             remaining: job.remaining(now),
             customer: job.customer.as_deref(),
             urgency: job.priority.min(URGENCY_MAX),
@@ -292,7 +292,7 @@
 
     /// Nothing has run, and the request goes to the replica itself.
     fn not_kept(&self, job: &Job, error: &reader::Error) {
-        log::info!(request = job.ask.id.as_str(), replica = &*self.life.id; "sent directly: {error}");
+        log::info!(request = job.ask.id.as_str(), replica = &*self.instance.id; "sent directly: {error}");
         if matches!(error, reader::Error::OutOfReach { .. }) {
             let now = self.now();
             self.gateway.pool.borrow_mut().unheard(self.key, false, now);
@@ -403,10 +403,10 @@
     fn wants(&self, job: &Job, notice: Notice) {
         let now = self.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        if pool.take_notice(self.key, &self.life, notice, now) {
+        if pool.take_notice(self.key, &self.instance, notice, now) {
             log::info!(
                 request = job.ask.id.as_str(),
-                replica = &*self.life.id,
+                replica = &*self.instance.id,
                 notice:% = notice;
                 "a replica told what it wants"
             );
--- a/src/gateway/course.rs
+++ b/src/gateway/course.rs
@@ -429,7 +429,7 @@
             return Err(Failure::new(Ended::NotSent, detail));
         };
         self.tried.push(choice.key);
-        self.trace.replica = Some(attempt.life.id.clone());
+        self.trace.replica = Some(attempt.instance.id.clone());
         self.trace.expected = Some(Expected {
             chosen: self.trace.elapsed(),
             first: choice.expected,
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -13,7 +13,7 @@
 use super::{CONNECT_TIMEOUT, Gateway};
 use crate::clock::Time;
 use crate::knowledge::poison;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 use crate::request::poison::{CaseReport, MAX_CRASHES, RequestHash, Verdict};
 
 /// When it is looked whether the list or the process beside a replica tells of its end or of a new life: one that starts again within a
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 struct Suspect {
     name: RequestHash,
-    life: Incarnation,
+    instance: Instance,
     sight: Sight,
     at: Time,
     /// The replicas that were known at the address then.
@@ -87,7 +87,7 @@
     pub(super) fn suspect(
         self: &Rc<Self>,
         name: RequestHash,
-        life: Incarnation,
+        instance: Instance,
         address: SocketAddr,
         sight: Sight,
     ) {
@@ -96,7 +96,7 @@
         let watch = suspects.0.entry(address).or_default();
         watch.suspects.push(Suspect {
             name,
-            life,
+            instance,
             sight,
             at: self.knowledge.now(),
             known: self.pool.borrow().ids_at(address),
@@ -161,7 +161,7 @@
         };
         let pool = self.pool.borrow();
         let over = |suspect: &mut Suspect| {
-            refused || pool.outlived(address, suspect.life.born, &suspect.known, now)
+            refused || pool.outlived(address, suspect.instance.born, &suspect.known, now)
         };
         let ended: Vec<Suspect> = watch.suspects.extract_if(.., over).collect();
         let Some(first) = ended.first() else {
@@ -169,17 +169,17 @@
         };
         let given_up = |suspect: &&Suspect| suspect.sight == Sight::GivenUp;
         log::warn!(
-            replica = &*first.life.id, address:% = address, requests = ended.len(),
+            replica = &*first.instance.id, address:% = address, requests = ended.len(),
             given_up = ended.iter().filter(given_up).count();
             "a replica ended, with all that ran there"
         );
-        for Suspect { name, life, .. } in ended {
+        for Suspect { name, instance, .. } in ended {
             self.instruments.replica_ended();
             let news = self
                 .knowledge
                 .poison
                 .borrow_mut()
-                .record_crash(name, life, now);
+                .record_crash(name, instance, now);
             if news {
                 self.log_if_barred(name);
             }
@@ -212,7 +212,7 @@
 fn describe(case: &CaseReport) -> String {
     let ends = case.crashes.iter();
     let ends: Vec<String> = ends
-        .map(|end| format!("{} {} ms ago", end.incarnation.id, end.age_ms))
+        .map(|end| format!("{} {} ms ago", end.instance.id, end.age_ms))
         .collect();
     format!("replicas ended under it: {}", ends.join(", "))
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -195,7 +195,7 @@
                     self.course.only = self.course.only.or(begun.version);
                     log::info!(
                         request = self.course.job.ask.id.as_str(),
-                        replica = &*self.attempt.life.id,
+                        replica = &*self.attempt.instance.id,
                         last_event:? = last;
                         "stream taken up"
                     );
--- a/src/member/replica.rs
+++ b/src/member/replica.rs
@@ -20,9 +20,9 @@
     loaded.map(|loaded| loaded.version)
 }
 
-/// Identifies an incarnation of a replica: one run between a start and the next.
+/// Identifies an instance of a replica: one run of it, from one start to the next.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Incarnation {
+pub struct Instance {
     /// The replica's id.
     pub id: Arc<str>,
     /// Its start time in milliseconds since the Unix epoch; 0 if not reported.
@@ -36,7 +36,7 @@
     /// Its id. A replica may keep it when it restarts.
     pub id: Arc<str>,
     /// Its start time in milliseconds since the Unix epoch; 0 if not reported. Together with the id, it
-    /// identifies an incarnation of the replica, which retains nothing of earlier ones.
+    /// identifies an instance of the replica, which retains nothing of earlier ones.
     #[serde(default)]
     pub born: u64,
     /// Its service.
@@ -60,7 +60,7 @@
 }
 
 impl Record {
-    /// The record of a later incarnation that started at `born`, about which nothing else is known yet.
+    /// The record of a later instance that started at `born`, about which nothing else is known yet.
     pub fn restarted(&self, born: u64) -> Self {
         Self {
             born,
@@ -70,9 +70,9 @@
         }
     }
 
-    /// The incarnation that it describes.
-    pub fn incarnation(&self) -> Incarnation {
-        Incarnation {
+    /// The instance that it describes.
+    pub fn instance(&self) -> Instance {
+        Instance {
             id: self.id.clone(),
             born: self.born,
         }
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -16,7 +16,7 @@
 
 use crate::clock::Time;
 use crate::hash;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 
 /// Replicas that end under a request before it is sent to no other.
 pub const MAX_CRASHES: usize = 3;
@@ -78,7 +78,7 @@
 pub struct Crash {
     /// What ended.
     #[serde(rename = "life")]
-    pub incarnation: Incarnation,
+    pub instance: Instance,
     /// Milliseconds since.
     pub age_ms: u64,
 }
@@ -121,7 +121,7 @@
 /// What is known of one request.
 #[derive(Debug, Clone, Default)]
 struct Case {
-    ends: BTreeMap<Incarnation, Time>,
+    ends: BTreeMap<Instance, Time>,
     /// When it was answered whole last.
     good: Option<Time>,
     tries: u32,
@@ -130,13 +130,13 @@
 
 impl Case {
     /// A replica ended under it. Returns whether that is news.
-    fn end(&mut self, life: Incarnation, at: Time) -> bool {
+    fn end(&mut self, instance: Instance, at: Time) -> bool {
         let taken_back = self.good.is_some_and(|good| at <= good + DATED_WITHIN);
         let full = self.ends.len() >= LIVES_MAX;
-        if taken_back || full || self.ends.contains_key(&life) {
+        if taken_back || full || self.ends.contains_key(&instance) {
             return false;
         }
-        self.ends.insert(life, at);
+        self.ends.insert(instance, at);
         true
     }
 
@@ -206,8 +206,8 @@
 
     fn report(&self, name: RequestHash, now: Time) -> CaseReport {
         let age_ms = |at: Time| now.since(at).as_millis() as u64;
-        let ends = self.ends.iter().map(|(life, at)| Crash {
-            incarnation: life.clone(),
+        let ends = self.ends.iter().map(|(instance, at)| Crash {
+            instance: instance.clone(),
             age_ms: age_ms(*at),
         });
         CaseReport {
@@ -226,7 +226,7 @@
             .is_some_and(|age| self.come_good(at(age)));
         let mut news = good;
         for end in &told.crashes {
-            news |= self.end(end.incarnation.clone(), at(end.age_ms));
+            news |= self.end(end.instance.clone(), at(end.age_ms));
         }
         if let Some(age) = told.trial_age_ms {
             news |= self.tried(told.trials, at(age));
@@ -245,9 +245,9 @@
 
 impl Registry {
     /// The replica's life `life` ended at `at` while `name` ran there. Returns whether that is news.
-    pub fn record_crash(&mut self, name: RequestHash, life: Incarnation, at: Time) -> bool {
+    pub fn record_crash(&mut self, name: RequestHash, instance: Instance, at: Time) -> bool {
         self.make_room(name);
-        let news = self.cases.entry(name).or_default().end(life, at);
+        let news = self.cases.entry(name).or_default().end(instance, at);
         if news {
             self.news.insert(name);
         }
@@ -340,7 +340,7 @@
             if told.crashes.len() <= MAX_CRASHES {
                 told.crashes
                     .iter()
-                    .for_each(|end| end.incarnation.hash(&mut hasher));
+                    .for_each(|end| end.instance.hash(&mut hasher));
             }
             digest ^= hasher.finish();
         }
--- a/src/route/notice.rs
+++ b/src/route/notice.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 
 /// Longest rest that a replica is believed to mean.
 const REST_MAX: Duration = Duration::from_secs(600);
@@ -106,17 +106,20 @@
 
 /// What lives of replicas want, listed or not.
 #[derive(Debug, Default)]
-pub struct Wishes(BTreeMap<Incarnation, (Wish, Time)>);
+pub struct Wishes(BTreeMap<Instance, (Wish, Time)>);
 
 impl Wishes {
     /// The life `life` wants so now.
-    pub fn remember(&mut self, life: Incarnation, wish: Wish, now: Time) {
+    pub fn remember(&mut self, instance: Instance, wish: Wish, now: Time) {
         self.0.retain(|_, (_, at)| now.since(*at) < REMEMBERED);
-        self.0.insert(life, (wish, now));
+        self.0.insert(instance, (wish, now));
     }
 
     /// What the life `life` wants, as far as is remembered.
-    pub fn of(&self, life: &Incarnation) -> Wish {
-        self.0.get(life).map(|(wish, _)| *wish).unwrap_or_default()
+    pub fn of(&self, instance: &Instance) -> Wish {
+        self.0
+            .get(instance)
+            .map(|(wish, _)| *wish)
+            .unwrap_or_default()
     }
 }
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -20,7 +20,7 @@
 use crate::clock::Time;
 use crate::config::residency::{Regions, Residency};
 use crate::config::routing::Engine;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 use crate::policy::Policy;
 use crate::wire::sync::ReplicaStatus;
 
@@ -299,13 +299,19 @@
     }
 
     /// The replica `key` told `notice`, in its life `life`. Returns whether that is news.
-    pub fn take_notice(&mut self, key: Key, life: &Incarnation, notice: Notice, now: Time) -> bool {
+    pub fn take_notice(
+        &mut self,
+        key: Key,
+        instance: &Instance,
+        notice: Notice,
+        now: Time,
+    ) -> bool {
         if notice.is_empty() {
             return false;
         }
-        let mut wish = self.wishes.of(life);
+        let mut wish = self.wishes.of(instance);
         let news = wish.take(notice, now);
-        self.wishes.remember(life.clone(), wish, now);
+        self.wishes.remember(instance.clone(), wish, now);
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.wish.take(notice, now);
         }
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -39,17 +39,17 @@
             }
         }
         for (id, listed) in list.iter().filter(|(_, listed)| usable(listed)) {
-            let life = self
+            let instance = self
                 .ids
                 .get(id)
                 .map(|&key| (key, self.replicas[key].record.born));
-            let key = match life {
+            let key = match instance {
                 Some((key, born)) if born >= listed.record.born => key,
                 Some((key, _)) => self.begin_life(key, listed.record.clone()),
                 None => {
                     let mut replica = Replica::new(listed.record.clone());
                     // The entry of a life may lapse and come back, and what it wants holds all the same.
-                    replica.wish = self.wishes.of(&listed.record.incarnation());
+                    replica.wish = self.wishes.of(&listed.record.instance());
                     let key = self.replicas.insert(replica);
                     self.ids.insert(id.clone(), key);
                     key
@@ -126,14 +126,14 @@
         let Some(here) = self.addresses.get(&address).cloned() else {
             return false;
         };
-        let lives = here.iter().map(|&key| self.replicas[key].record.born);
-        let known = load.born > 0 && lives.clone().any(|born| born == load.born);
-        let reborn = load.born > 0 && !known && lives.clone().any(|born| born < load.born);
+        let instances = here.iter().map(|&key| self.replicas[key].record.born);
+        let known = load.born > 0 && instances.clone().any(|born| born == load.born);
+        let reborn = load.born > 0 && !known && instances.clone().any(|born| born < load.born);
         for key in here {
             let record = &self.replicas[key].record;
             if load.born == 0 || load.born == record.born {
-                let life = record.incarnation();
-                self.take_notice(key, &life, load.notice(), at);
+                let instance = record.instance();
+                self.take_notice(key, &instance, load.notice(), at);
                 self.replicas[key].report(load, at);
             } else if !known && record.born < load.born {
                 // The list does not tell of this life yet.
--- a/tests/notice.rs
+++ b/tests/notice.rs
@@ -95,8 +95,8 @@
 /// Has the replica that is chosen tell `notice`.
 fn tell(pool: &mut Pool, notice: Notice, now: Time) -> Key {
     let key = choose(pool, now).unwrap();
-    let life = pool.get(key).unwrap().record.incarnation();
-    assert!(pool.take_notice(key, &life, notice, now));
+    let instance = pool.get(key).unwrap().record.instance();
+    assert!(pool.take_notice(key, &instance, notice, now));
     key
 }
 
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::member::replica::Incarnation;
+use pumicelatch::member::replica::Instance;
 use pumicelatch::request::poison::{MAX_CRASHES, Registry, RequestHash, Verdict};
 use quickcheck::quickcheck;
 
@@ -13,8 +13,8 @@
     RequestHash::of("test.example", "/stream/x", "escola", b"body")
 }
 
-fn life(number: u8) -> Incarnation {
-    Incarnation {
+fn instance(number: u8) -> Instance {
+    Instance {
         id: format!("i-{number}").into(),
         born: 1,
     }
@@ -28,7 +28,7 @@
 fn knowing(ends: usize) -> Registry {
     let mut register = Registry::default();
     for number in 0..ends as u8 {
-        register.record_crash(name(), life(number), NOW);
+        register.record_crash(name(), instance(number), NOW);
     }
     register
 }
@@ -62,7 +62,7 @@
     let mut register = knowing(1);
     for seen_by in 1..5 {
         let mut other = Registry::default();
-        other.record_crash(name(), life(0), after(seen_by * 10));
+        other.record_crash(name(), instance(0), after(seen_by * 10));
         register.merge(&other.take_changes(after(100)), after(100));
     }
     assert_eq!(register.verdict(name(), after(100)), Verdict::Allowed);
@@ -72,7 +72,10 @@
 #[test]
 fn a_replica_that_starts_again_under_its_id_is_another_life() {
     let mut register = knowing(MAX_CRASHES - 1);
-    let again = Incarnation { born: 2, ..life(0) };
+    let again = Instance {
+        born: 2,
+        ..instance(0)
+    };
     register.record_crash(name(), again, NOW);
     assert_eq!(register.verdict(name(), NOW), Verdict::Blocked);
 }
@@ -102,7 +105,7 @@
         assert!(given <= 1);
         if given == 1 {
             tries.push(second);
-            register.record_crash(name(), life(100 + tries.len() as u8), now);
+            register.record_crash(name(), instance(100 + tries.len() as u8), now);
         }
     }
     assert_eq!(tries, [2, 22]);
@@ -118,7 +121,7 @@
         register.remove_expired(now);
         if register.claim_trial(name(), now) {
             tries.push(second);
-            register.record_crash(name(), life(100 + tries.len() as u8), now);
+            register.record_crash(name(), instance(100 + tries.len() as u8), now);
         }
     }
     assert_eq!(tries, [2, 22, 622]);
@@ -149,7 +152,7 @@
     let mut register = knowing(2);
     for number in 0..5_000_u32 {
         let other = RequestHash::of("test.example", "/", "escola", &number.to_le_bytes());
-        register.record_crash(other, life(9), after(number.into()));
+        register.record_crash(other, instance(9), after(number.into()));
     }
     assert_eq!(register.case(name(), NOW).unwrap().crashes.len(), 2);
     // A single end is told once; heartbeats bring what matters.
@@ -162,7 +165,7 @@
     if number % 8 == 7 {
         register.record_success(name(), at);
     } else {
-        register.record_crash(name(), life(number % 8), at);
+        register.record_crash(name(), instance(number % 8), at);
     }
 }
 
