--- a/src/knowledge/store.rs
+++ b/src/knowledge/store.rs
@@ -1,4 +1,4 @@
-//! Reads and watches the platform's store. Each call has its price, so calls are few.
+//! Reads and watches the platform's store, with few calls, as each is costly.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -14,65 +14,66 @@
 use crate::patience::{self, Progress};
 use crate::source::{Batch, Error, Source, Topic};
 
-/// How often an entry looks whether it has to read for itself.
-const STANDBY: Duration = Duration::from_millis(100);
+/// Interval at which an entry checks whether it has to read the store itself.
+const STANDBY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An answer of so many bytes is written down: it takes a good part of a link between regions.
-const LONG: usize = 64 << 10;
+/// Size in bytes from which an answer is logged, as it uses a considerable part of a link between regions.
+const LONG_ANSWER_BYTES: usize = 64 << 10;
 
 /// How a call ended.
-enum Ended {
-    /// The store answered, or did not.
+enum CallEnd {
+    /// With an answer of the store, or a failure.
     Call(Result<Batch, Error>),
-    /// The store answers others again, and this call may hang from before; or its connection went silent.
-    AskAgain,
+    /// Without a result; the call must be repeated. The store answers others again, and this call may
+    /// have been hanging since before; its connection went silent; or this entry need not read any more.
+    Repeat,
 }
 
 /// Follows one topic until dropped.
 pub async fn follow(knowledge: Rc<Knowledge>, source: Rc<dyn Source>, topic: Topic) {
     let mut after = None;
     let mut schedule = Schedule::new(topic);
-    let mut reads_whole = false;
+    let mut read_whole = false;
     loop {
         if !knowledge.reads(topic) {
-            // What others learned meanwhile need not be read again.
+            // Updates that other entries receive meanwhile need not be read again.
             after = None;
-            sleep(STANDBY).await;
+            sleep(STANDBY_INTERVAL).await;
             continue;
         }
         let known = knowledge.revision(topic);
-        if !reads_whole {
+        if !read_whole {
             after = after.or((known > 0).then_some(known));
         }
         let began = knowledge.now();
-        match ask(&knowledge, &*source, schedule, topic, after).await {
-            Ended::AskAgain => {}
-            Ended::Call(Ok(batch)) => {
+        match call(&knowledge, &*source, schedule, topic, after).await {
+            CallEnd::Repeat => {}
+            CallEnd::Call(Ok(batch)) => {
                 if !schedule.is_reachable() {
-                    log::info!(topic:? = topic; "store is in reach again");
+                    log::info!(topic:? = topic; "store is reachable again");
                     knowledge.store_regained.notify_waiters();
                 }
                 let at = batch.revision;
-                if batch.bytes >= LONG {
+                if batch.bytes >= LONG_ANSWER_BYTES {
                     let ms = knowledge.now().since(began).as_millis() as u64;
-                    log::info!(topic:? = topic, after:? = after, bytes = batch.bytes, ms; "long answer of the store");
+                    log::info!(topic:? = topic, after:? = after, bytes = batch.bytes, ms; "large answer of the store");
                 }
                 knowledge.apply_batch(topic, after.is_none(), batch);
-                reads_whole = false;
+                read_whole = false;
                 after = Some(at);
                 sleep(schedule.succeeded()).await;
             }
-            Ended::Call(Err(Error::Compacted)) => {
-                log::info!(topic:? = topic, after:? = after; "store has forgotten; reading anew");
+            CallEnd::Call(Err(Error::Compacted)) => {
+                log::info!(topic:? = topic, after:? = after; "store has compacted the requested revisions; reading the whole topic");
                 after = None;
-                reads_whole = true;
+                read_whole = true;
             }
-            Ended::Call(Err(error)) => {
+            CallEnd::Call(Err(error)) => {
                 knowledge.record_store_failure();
                 if schedule.is_reachable() {
-                    log::warn!(topic:? = topic; "store lost: {error}");
+                    log::warn!(topic:? = topic; "store became unreachable: {error}");
                 } else {
-                    log::info!(topic:? = topic, after:? = after, calls = schedule.failures(); "store still lost: {error}");
+                    log::info!(topic:? = topic, after:? = after, calls = schedule.failures(); "store still unreachable: {error}");
                 }
                 let jitter = knowledge.rng.borrow_mut().random_range(0.7..1.3);
                 sleep(schedule.failed(jitter)).await;
@@ -81,40 +82,42 @@
     }
 }
 
-async fn ask(
+async fn call(
     knowledge: &Knowledge,
     source: &dyn Source,
     schedule: Schedule,
     topic: Topic,
     after: Option<u64>,
-) -> Ended {
+) -> CallEnd {
     knowledge.traffic.count(Purpose::Store, 0);
     let progress = Progress::default();
-    let call = match after {
+    let request = match after {
         None => source.read(topic, progress.clone()),
         Some(after) => source.watch(topic, after, schedule.watch_timeout(), progress.clone()),
     };
-    // A store that is still answering is in reach, however long that takes: the others of the hall
-    // are told so, and do not draw the same over the same link. An entry that need not read after
-    // all, because one before it does, lets go.
-    let moved = || knowledge.record_store_answer();
+    // A store that is still sending an answer is reachable, however long the answer takes. The others of
+    // the hall are informed of this, and do not read the same data over the same link. An entry that
+    // need not read after all, because a higher-ranked one does, cancels the call.
+    let received = || knowledge.record_store_answer();
     let needed = || knowledge.reads(topic);
-    let waits = schedule.timeouts(after.is_none());
-    let call = pin!(patience::wait_while(call, &progress, waits, moved, needed));
+    let timeouts = schedule.timeouts(after.is_none());
+    let call = pin!(patience::wait_while(
+        request, &progress, timeouts, received, needed
+    ));
     let regained = pin!(knowledge.store_regained.notified());
     let ended = match select(call, regained).await {
         Either::Left((ended, _)) => ended,
-        // A call whose answer is coming in does not hang.
+        // A call that is receiving its answer does not hang.
         Either::Right((_, call)) if progress.last().is_some() => call.await,
-        Either::Right(_) => return Ended::AskAgain,
+        Either::Right(_) => return CallEnd::Repeat,
     };
     match ended {
-        Ok(Err(Error::Silent)) => Ended::AskAgain,
-        Ok(answer) => Ended::Call(answer),
-        Err(patience::Error::NotNeeded) => Ended::AskAgain,
+        Ok(Err(Error::Silent)) => CallEnd::Repeat,
+        Ok(answer) => CallEnd::Call(answer),
+        Err(patience::Error::NotNeeded) => CallEnd::Repeat,
         Err(error) => {
             let reason = error.to_string();
-            Ended::Call(Err(Error::Unreachable { reason }))
+            CallEnd::Call(Err(Error::Unreachable { reason }))
         }
     }
 }
