--- a/src/knowledge/fanout.rs
+++ b/src/knowledge/fanout.rs
@@ -132,13 +132,13 @@
         unresponsive.record(first, sent.is_ok(), now);
         drop(unresponsive);
         match sent {
-            Ok(news) => return gossip::apply_answer(&knowledge, first, news),
+            Ok(update) => return gossip::apply_answer(&knowledge, first, update),
             Err(Error::Status { status }) if status == StatusCode::NOT_FOUND => {
                 // Entries of earlier releases cannot forward and get the plain message.
                 let (knowledge, message) = (knowledge.clone(), message.clone());
                 actix_rt::spawn(async move {
-                    if let Ok(news) = message.send(&knowledge, first, &[]).await {
-                        gossip::apply_answer(&knowledge, first, news);
+                    if let Ok(update) = message.send(&knowledge, first, &[]).await {
+                        gossip::apply_answer(&knowledge, first, update);
                     }
                 });
             }
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to entries, and what they bring back.
+//! Calls to other processes of the system: heartbeats to entries, and updates and fetches in return.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,47 +25,47 @@
 use crate::source::Topic;
 use crate::wire::sync::{FRAME_PATH, HALL_PATH, Heartbeat, REPORT_PATH, SYNC_PATH, Update};
 
-/// Shortest time between two rounds of telling that there is news.
-const NEWS_GAP: Duration = Duration::from_millis(150);
+/// Minimum interval between two notices of updates.
+const NOTICE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long a connection may take to open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a used connection may leave a message unanswered before it is sent again on a new one: a few
-/// chunks of weights on a narrow link hold it up for less, and a packet that was lost is sent again by then.
+/// Time without an answer on a used connection after which a message is sent again on a new one. A few
+/// chunks of weights on a narrow link delay an answer by less, and a lost packet is retransmitted by then.
 const RENEWS_AFTER: Duration = Duration::from_millis(250);
 
-/// Longest rest of a connection to another process that is used again: while it rests, the kernel
-/// probes its other end every 1.5 s, and most exchanges come at least once a second or rarely.
+/// Maximum idle time after which a connection to another process is reused. While it is idle, the kernel
+/// probes its other end every 1.5 s, and most exchanges occur either at least once a second or rarely.
 pub const IDLE_MAX: Duration = Duration::from_secs(3);
 
-/// Longest answer: a configuration of many routes.
-const NEWS_MAX: usize = 16 << 20;
+/// Maximum size of an answer in bytes. The largest ones contain a configuration with many routes.
+const ANSWER_BYTES_MAX: usize = 16 << 20;
 
-/// Why a process brought no news.
+/// Why a call to a process failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The exchange failed.
     #[error(transparent)]
     Exchange(#[from] crate::exchange::Error),
-    /// It was not waited for any longer.
+    /// The call timed out or was cancelled.
     #[error(transparent)]
     Patience(#[from] patience::Error),
-    /// It answered with a failure.
+    /// The process answered with an error status.
     #[error("answered {status}")]
     Status {
         /// The HTTP status.
         status: u16,
     },
-    /// The codec rejects a message.
+    /// The codec rejected a message.
     #[error("codec: {reason}")]
     Codec {
-        /// What it reported.
+        /// The codec's error message.
         reason: String,
     },
 }
 
-/// Sends `message` to another process of the system and takes the news that it answers.
+/// Sends `message` to another process of the system and applies the update in its answer.
 pub async fn post<T: Serialize>(
     knowledge: &Rc<Knowledge>,
     peer: SocketAddr,
@@ -75,7 +75,7 @@
     post_noting(knowledge, peer, path, message, &Note::default()).await
 }
 
-/// Does the same, and notes which connection it takes.
+/// Like [`post`], and records in `note` which connection it uses.
 pub async fn post_noting<T: Serialize>(
     knowledge: &Rc<Knowledge>,
     peer: SocketAddr,
@@ -83,22 +83,22 @@
     message: &T,
     note: &Note,
 ) -> Result<(), Error> {
-    let call = Call::new(peer, path, packed(message)?);
-    let news = call.exchange(knowledge, note, || true).await?;
-    apply_answer(knowledge, peer, news);
+    let call = Call::new(peer, path, encode(message)?);
+    let update = call.exchange(knowledge, note, || true).await?;
+    apply_answer(knowledge, peer, update);
     Ok(())
 }
 
-/// Takes what `peer` answered, and draws the configuration from it if that is newer there.
-pub fn apply_answer(knowledge: &Rc<Knowledge>, peer: SocketAddr, news: Update) {
-    let (hall, revisions, entry) = (news.hall.clone(), news.revisions, news.entry);
-    let digest = news.poison;
-    knowledge.apply_update(peer, news);
+/// Applies the answer of `peer`, and fetches the configuration from it if it has a newer one.
+pub fn apply_answer(knowledge: &Rc<Knowledge>, peer: SocketAddr, update: Update) {
+    let (hall, revisions, entry) = (update.hall.clone(), update.revisions, update.entry);
+    let digest = update.poison;
+    knowledge.apply_update(peer, update);
     if entry {
         start_fetch(knowledge, peer, revisions, || knowledge.locality_of(&hall));
     }
-    let both = entry && knowledge.identity.entry;
-    if both && digest != knowledge.poison.borrow().digest(knowledge.now()) {
+    let both_entries = entry && knowledge.identity.entry;
+    if both_entries && digest != knowledge.poison.borrow().digest(knowledge.now()) {
         actix_rt::spawn(poison::compare(knowledge.clone(), peer));
     }
 }
@@ -110,26 +110,26 @@
     path: &str,
     message: &T,
 ) -> Result<A, Error> {
-    let call = Call::new(peer, path, packed(message)?);
+    let call = Call::new(peer, path, encode(message)?);
     call.exchange(knowledge, &Note::default(), || true).await
 }
 
-/// Sends `message` to another process of the system and reads its answer, which is due `within`. If
-/// a used connection brings none, it is sent again on a new one, over which it is due within `again`.
-/// Notes which connection it takes.
+/// Sends `message` to another process of the system and reads its answer. If a used connection brings
+/// no answer within `timeout`, sends the message again on a new one, which has another `retry_timeout`.
+/// Records in `note` which connection it uses.
 pub async fn call_within<T: Serialize, A: DeserializeOwned>(
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
     message: &T,
-    (within, again): (Duration, Duration),
+    (timeout, retry_timeout): (Duration, Duration),
     note: &Note,
 ) -> Result<A, Error> {
     let call = Call {
-        renews_after: Some(within),
-        ..Call::new(peer, path, packed(message)?)
+        renews_after: Some(timeout),
+        ..Call::new(peer, path, encode(message)?)
     };
-    let after = within + again;
+    let after = timeout + retry_timeout;
     let answer = actix_rt::time::timeout(after, call.exchange(knowledge, note, || true)).await;
     answer.unwrap_or(Err(patience::Error::NoAnswer { after }.into()))
 }
@@ -139,13 +139,13 @@
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
-    packed: Bytes,
+    encoded: Bytes,
 ) -> Result<Update, Error> {
-    let call = Call::new(peer, path, packed);
+    let call = Call::new(peer, path, encoded);
     call.exchange(knowledge, &Note::default(), || true).await
 }
 
-fn packed<T: Serialize>(message: &T) -> Result<Bytes, Error> {
+fn encode<T: Serialize>(message: &T) -> Result<Bytes, Error> {
     let body = rmp_serde::to_vec_named(message);
     body.map(Bytes::from).map_err(|error| Error::Codec {
         reason: error.to_string(),
@@ -157,7 +157,7 @@
     peer: SocketAddr,
     path: &'a str,
     body: Bytes,
-    /// How long a used connection may leave it unanswered before it is sent again on a new one.
+    /// Time without an answer on a used connection after which the message is sent again on a new one.
     renews_after: Option<Duration>,
 }
 
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Sends it and reads the answer while that is `needed`.
+    /// Sends the message and reads the answer for as long as `needed` returns true.
     async fn exchange<A: DeserializeOwned>(
         &self,
         knowledge: &Knowledge,
@@ -190,7 +190,7 @@
             let (client, body) = (&knowledge.client, Some(self.body.clone()));
             let answer = client.exchange_noting(self.peer, head, body, options, note);
             let mut answer = answer.await?;
-            let body = answer.read_noting(NEWS_MAX, &progress).await?;
+            let body = answer.read_noting(ANSWER_BYTES_MAX, &progress).await?;
             let bytes = self.body.len() + body.len();
             knowledge.traffic.count(purpose(self.path), bytes);
             if !answer.status.is_success() {
@@ -217,8 +217,8 @@
     }
 }
 
-/// Draws the configuration, and the list of replicas if this entry has none yet, from `peer`, if
-/// `marks` show that the peer has them and [`Knowledge::begins_draw`] selects it at its `place`.
+/// Fetches the configuration, and the list of replicas if this entry has none yet, from `peer`, if
+/// `revisions` show that the peer has them and [`Knowledge::begin_fetch`] selects it at its `locality`.
 fn start_fetch(
     knowledge: &Rc<Knowledge>,
     peer: SocketAddr,
@@ -235,62 +235,66 @@
     let is_remote = matches!(locality, Locality::RemoteDelegate | Locality::Remote);
     let knowledge = knowledge.clone();
     actix_rt::spawn(async move {
-        let sync = Heartbeat {
+        let heartbeat = Heartbeat {
             wants_routing: true,
             wants_list: true,
             ..knowledge.heartbeat(false)
         };
         let began = knowledge.now();
         let needed = || knowledge.needs_fetch(revisions);
-        let result = fetch_while(&knowledge, peer, &sync, needed).await;
+        let result = fetch_while(&knowledge, peer, &heartbeat, needed).await;
         knowledge.finish_fetch(peer);
         let ms = knowledge.now().since(began).as_millis() as u64;
         match result {
-            Ok(news) => {
-                let bytes = news.routing.as_ref().map_or(0, |dated| dated.packed.len());
-                let list_bytes = news.list.as_ref().map_or(0, |list| list.packed.len());
-                log::info!(peer:% = peer, bytes, list_bytes, ms; "configuration drawn");
-                knowledge.apply_update(peer, news);
+            Ok(update) => {
+                let bytes = update
+                    .routing
+                    .as_ref()
+                    .map_or(0, |dated| dated.packed.len());
+                let list_bytes = update.list.as_ref().map_or(0, |list| list.packed.len());
+                log::info!(peer:% = peer, bytes, list_bytes, ms; "configuration fetched");
+                knowledge.apply_update(peer, update);
                 if is_remote {
-                    // The hall's readers of the store may be cut off from it.
+                    // The hall's readers may have no connection to the store.
                     fanout::send(&knowledge, &Message::Notice, knowledge.local_peers());
                 }
             }
             Err(Error::Patience(patience::Error::NotNeeded)) => {}
-            Err(error) => log::warn!(peer:% = peer, ms; "configuration not drawn: {error}"),
+            Err(error) => log::warn!(peer:% = peer, ms; "failed to fetch configuration: {error}"),
         }
     });
 }
 
-/// Asks for what `sync` tells to be lacking while that is `needed`. It is not sent twice: the answer may
-/// be long, and its sender may take its time to write it.
+/// Sends `heartbeat`, which requests missing state, and waits for the answer while it is `needed`. The
+/// message is not sent again on a new connection: the answer may be large and take the peer long to
+/// write.
 async fn fetch_while(
     knowledge: &Knowledge,
     peer: SocketAddr,
-    sync: &Heartbeat,
+    heartbeat: &Heartbeat,
     needed: impl Fn() -> bool,
 ) -> Result<Update, Error> {
     let call = Call {
         renews_after: None,
-        ..Call::new(peer, SYNC_PATH, packed(sync)?)
+        ..Call::new(peer, SYNC_PATH, encode(heartbeat)?)
     };
     call.exchange(knowledge, &Note::default(), needed).await
 }
 
-/// Exchanges heartbeats with other entries until dropped. `others` names processes beside replicas,
-/// which know entries too: they are asked when no entry answers.
-pub async fn run(knowledge: Rc<Knowledge>, others: impl Fn() -> Vec<SocketAddr>) {
+/// Exchanges heartbeats with other entries until dropped. `sidecars` returns the addresses of sidecars,
+/// which also know entries and are asked if no entry answers.
+pub async fn run(knowledge: Rc<Knowledge>, sidecars: impl Fn() -> Vec<SocketAddr>) {
     let mut planner = RoundPlanner::default();
     loop {
-        let round = plan_round(&knowledge, &mut planner, &others);
+        let round = plan_round(&knowledge, &mut planner, &sidecars);
         for peer in round.targets {
             let knowledge = knowledge.clone();
             actix_rt::spawn(async move {
-                let sync = knowledge.heartbeat_with(round.peer_exchange);
-                if let Err(error) = post(&knowledge, peer, SYNC_PATH, &sync).await {
+                let heartbeat = knowledge.heartbeat_with(round.peer_exchange);
+                if let Err(error) = post(&knowledge, peer, SYNC_PATH, &heartbeat).await {
                     knowledge.mark_unreachable(peer);
                     if let Some(lost) = knowledge.heartbeat_failures.count() {
-                        log::warn!(peer:% = peer, lost; "heartbeat lost: {error}");
+                        log::warn!(peer:% = peer, lost; "heartbeat failed: {error}");
                     }
                 }
             });
@@ -304,7 +308,7 @@
 fn plan_round(
     knowledge: &Knowledge,
     planner: &mut RoundPlanner,
-    others: impl Fn() -> Vec<SocketAddr>,
+    sidecars: impl Fn() -> Vec<SocketAddr>,
 ) -> Round {
     let input = RoundInput {
         own: knowledge.identity.address,
@@ -314,41 +318,41 @@
         lacks_initial_state: knowledge.lacks_initial_state(),
     };
     let mut rng = knowledge.rng.borrow_mut();
-    planner.plan(input, others, knowledge.now(), &mut *rng)
+    planner.plan(input, sidecars, knowledge.now(), &mut *rng)
 }
 
-/// Tells the other entries of the hall at once that there is news, if this one reads the store for
-/// them, for good or in place of one that hears nothing. Runs until dropped.
+/// Notifies the other entries of the hall of updates without delay if this one reads the store for them,
+/// either regularly or in place of a reader that receives no answers. Runs until dropped.
 pub async fn announce_updates(knowledge: Rc<Knowledge>) {
     loop {
         knowledge.update_notify.notified().await;
         let local_peers = knowledge.local_peers();
-        let reader = Readers::is_reader(knowledge.identity.address, &local_peers);
-        if !reader && !knowledge.reads(Topic::Operator) {
+        let is_reader = Readers::is_reader(knowledge.identity.address, &local_peers);
+        if !is_reader && !knowledge.reads(Topic::Operator) {
             continue;
         }
         fanout::send(&knowledge, &Message::Notice, local_peers);
-        sleep(NEWS_GAP).await;
+        sleep(NOTICE_INTERVAL).await;
     }
 }
 
-/// Sends a heartbeat to each of `processes`, which may well not answer. With `names_entries` it
-/// tells the entries that this process knows, and wants to be told.
+/// Sends a heartbeat to each of `processes`, which need not answer. With `names_entries`, it lists the
+/// entries that this process knows and requests those that the receivers know.
 pub fn send_heartbeats(knowledge: &Rc<Knowledge>, processes: Vec<SocketAddr>, names_entries: bool) {
     for process in processes {
         let knowledge = knowledge.clone();
         actix_rt::spawn(async move {
-            let sync = knowledge.heartbeat(names_entries);
-            if let Err(error) = post(&knowledge, process, SYNC_PATH, &sync).await {
-                log::debug!(process:% = process; "not told: {error}");
+            let heartbeat = knowledge.heartbeat(names_entries);
+            if let Err(error) = post(&knowledge, process, SYNC_PATH, &heartbeat).await {
+                log::debug!(process:% = process; "failed to send a heartbeat: {error}");
             }
         });
     }
 }
 
-/// Fetches news from `peer` of the own hall, whose `marks` are newer than those of this process.
-/// With `is_hub`, the peer sends frames to the whole hall, and the configuration is drawn from it
-/// only after a delay.
+/// Fetches an update from `peer` of the own hall, whose `revisions` are newer than those of this process.
+/// If `is_hub` is set, the peer sends frames to the whole hall, and the configuration is fetched from
+/// it only after a delay.
 pub async fn fetch_update(
     knowledge: Rc<Knowledge>,
     peer: SocketAddr,
@@ -358,17 +362,17 @@
     start_fetch(&knowledge, peer, revisions, || {
         knowledge.locality_in_own_hall(is_hub)
     });
-    // A draw brings all the rest too, but later.
+    // The fetch of the configuration includes everything else, but completes later.
     if !knowledge.is_behind(revisions.without_routing()) {
         return;
     }
-    // Several tell of the same news.
+    // Several processes may announce the same update.
     if knowledge.fetching.replace(true) {
         return;
     }
-    let sync = knowledge.heartbeat(false);
-    if let Err(error) = post(&knowledge, peer, SYNC_PATH, &sync).await {
-        log::warn!(peer:% = peer; "news lost: {error}");
+    let heartbeat = knowledge.heartbeat(false);
+    if let Err(error) = post(&knowledge, peer, SYNC_PATH, &heartbeat).await {
+        log::warn!(peer:% = peer; "failed to fetch an update: {error}");
     }
     knowledge.fetching.set(false);
 }
