--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -96,10 +96,10 @@
             ),
             Err(answer) => answer,
         },
-        poison::TRY_PATH => match decode::<poison::Ask>(&mut request).await {
+        poison::TRIAL_PATH => match decode::<poison::Claim>(&mut request).await {
             Ok(ask) => http::pack(
                 StatusCode::OK,
-                &poison::answer_try(&gateway.knowledge, &ask),
+                &poison::answer_trial(&gateway.knowledge, &ask),
             ),
             Err(answer) => answer,
         },
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -242,7 +242,9 @@
     pub(super) async fn unless_poison(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Allowed => Ok(()),
-            Verdict::TrialDue if poison::take_try(&self.gateway.knowledge, self.job.name).await => {
+            Verdict::TrialDue
+                if poison::claim_trial(&self.gateway.knowledge, self.job.name).await =>
+            {
                 Ok(())
             }
             Verdict::TrialDue | Verdict::Blocked => Err(self.barred()),
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -212,7 +212,7 @@
         HALL_PATH => Purpose::HallPoll,
         FRAME_PATH | FRAME_FORWARD_PATH => Purpose::Forward,
         place::PATH => Purpose::Place,
-        poison::PATH | poison::TRY_PATH => Purpose::Poison,
+        poison::PATH | poison::TRIAL_PATH => Purpose::Poison,
         _ => Purpose::Heartbeat,
     }
 }
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -22,7 +22,7 @@
 pub const PATH: &str = "/v1/poison";
 
 /// Path of an [`Ask`].
-pub const TRY_PATH: &str = "/v1/poison/try";
+pub const TRIAL_PATH: &str = "/v1/poison/try";
 
 /// What is learned within so long is told together: the runs of a replica that ended break at the same moment.
 const GATHERED: Duration = Duration::from_millis(30);
@@ -49,7 +49,7 @@
 
 /// Asks for the single try of a request that is barred.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Claim {
     /// What is known of the request.
     pub case: CaseReport,
 }
@@ -139,7 +139,7 @@
 }
 
 /// Asks for the single try of `name`: one entry deals it out for all that know each other.
-pub async fn take_try(knowledge: &Knowledge, name: RequestHash) -> bool {
+pub async fn claim_trial(knowledge: &Knowledge, name: RequestHash) -> bool {
     let now = knowledge.now();
     let own = knowledge.identity.address;
     let others: Vec<SocketAddr> = {
@@ -157,9 +157,9 @@
     let (Some(first), Some(case)) = (first, case) else {
         return false;
     };
-    let (ask, note) = (Ask { case }, Note::default());
+    let (ask, note) = (Claim { case }, Note::default());
     let answer =
-        gossip::call_within::<_, Answer>(knowledge, first, TRY_PATH, &ask, ANSWERS_WITHIN, &note);
+        gossip::call_within::<_, Answer>(knowledge, first, TRIAL_PATH, &ask, ANSWERS_WITHIN, &note);
     match answer.await {
         Ok(answer) => answer.given,
         Err(error) => {
@@ -170,7 +170,7 @@
 }
 
 /// Answers an entry that asks for a single try.
-pub fn answer_try(knowledge: &Knowledge, ask: &Ask) -> Answer {
+pub fn answer_trial(knowledge: &Knowledge, ask: &Claim) -> Answer {
     let (name, now) = (ask.case.request, knowledge.now());
     let told = std::slice::from_ref(&ask.case);
     knowledge.poison.borrow_mut().merge(told, now);
