--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Time;
 use crate::hash;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 
 /// Crashes under a request after which it is sent to no further replica.
 pub const MAX_CRASHES: usize = 3;
@@ -83,7 +83,7 @@
 pub struct Crash {
     /// The replica instance that ended.
     #[serde(rename = "life")]
-    pub instance: Incarnation,
+    pub instance: Instance,
     /// Milliseconds since the crash.
     pub age_ms: u64,
 }
@@ -126,7 +126,7 @@
 /// What is known of one request.
 #[derive(Debug, Clone, Default)]
 struct Case {
-    crashes: BTreeMap<Incarnation, Time>,
+    crashes: BTreeMap<Instance, Time>,
     /// Time of the last complete response.
     last_success: Option<Time>,
     trials: u32,
@@ -135,7 +135,7 @@
 
 impl Case {
     /// Records a crash. Returns whether that is new.
-    fn record_crash(&mut self, instance: Incarnation, at: Time) -> bool {
+    fn record_crash(&mut self, instance: Instance, at: Time) -> bool {
         let cleared = self
             .last_success
             .is_some_and(|last_success| at <= last_success + REPORT_LATENCY);
@@ -265,7 +265,7 @@
 impl Registry {
     /// Records that `instance` ended at `at` while `request` ran there. Returns whether that is
     /// new.
-    pub fn record_crash(&mut self, request: RequestHash, instance: Incarnation, at: Time) -> bool {
+    pub fn record_crash(&mut self, request: RequestHash, instance: Instance, at: Time) -> bool {
         self.make_room(request);
         let changed = self
             .cases
--- a/src/route/pool/life.rs
+++ b/src/route/pool/life.rs
@@ -8,14 +8,14 @@
 use crate::clock::Time;
 use crate::config::catalog::ListedReplica;
 use crate::member::replica::Record;
-use crate::route::replica::{Due, Load, Replica};
+use crate::route::replica::{Load, Replica, Schedule};
 
 impl Pool {
     /// Takes the list as it stands now, and what change of version each replica has before it.
     pub fn update(
         &mut self,
         list: &BTreeMap<Arc<str>, ListedReplica>,
-        due: impl Fn(&Record) -> Option<Due>,
+        due: impl Fn(&Record) -> Option<Schedule>,
     ) {
         let tell_lives: BTreeSet<&str> = list
             .values()
@@ -39,17 +39,17 @@
             }
         }
         for (id, listed) in list.iter().filter(|(_, listed)| usable(listed)) {
-            let life = self
+            let instance = self
                 .ids
                 .get(id)
                 .map(|&key| (key, self.replicas[key].record.born));
-            let key = match life {
+            let key = match instance {
                 Some((key, born)) if born >= listed.record.born => key,
                 Some((key, _)) => self.begin_life(key, listed.record.clone()),
                 None => {
                     let mut replica = Replica::new(listed.record.clone());
                     // The entry of a life may lapse and come back, and what it wants holds all the same.
-                    replica.wish = self.wishes.of(&listed.record.incarnation());
+                    replica.wish = self.wishes.of(&listed.record.instance());
                     let key = self.replicas.insert(replica);
                     self.ids.insert(id.clone(), key);
                     key
@@ -77,7 +77,7 @@
 
     /// Addresses of replicas of which a later life began since the last call: connections to the
     /// earlier one lead nowhere.
-    pub fn take_reborn(&mut self) -> Vec<SocketAddr> {
+    pub fn take_restarted(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.reborn)
     }
 
@@ -93,14 +93,20 @@
     }
 
     /// Whether the process beside a replica at `address` was heard of lately.
-    pub fn heard_of(&self, address: SocketAddr, now: Time) -> bool {
+    pub fn recently_reported(&self, address: SocketAddr, now: Time) -> bool {
         self.at(address)
             .any(|replica| replica.reported(now).is_some())
     }
 
     /// Whether the life that started at `born` at `address` is over, where only the replicas of the ids `known` were: a later one is
     /// known there, or the process beside it finds nobody.
-    pub fn outlived(&self, address: SocketAddr, born: u64, known: &[Arc<str>], now: Time) -> bool {
+    pub fn superseded(
+        &self,
+        address: SocketAddr,
+        born: u64,
+        known: &[Arc<str>],
+        now: Time,
+    ) -> bool {
         let later = |replica: &Replica| {
             let reborn = born > 0 && replica.record.born > born;
             reborn || !known.contains(&replica.record.id)
@@ -126,14 +132,14 @@
         let Some(here) = self.addresses.get(&address).cloned() else {
             return false;
         };
-        let lives = here.iter().map(|&key| self.replicas[key].record.born);
-        let known = load.born > 0 && lives.clone().any(|born| born == load.born);
-        let reborn = load.born > 0 && !known && lives.clone().any(|born| born < load.born);
+        let instances = here.iter().map(|&key| self.replicas[key].record.born);
+        let known = load.born > 0 && instances.clone().any(|born| born == load.born);
+        let reborn = load.born > 0 && !known && instances.clone().any(|born| born < load.born);
         for key in here {
             let record = &self.replicas[key].record;
             if load.born == 0 || load.born == record.born {
-                let life = record.incarnation();
-                self.take_notice(key, &life, load.notice(), at);
+                let instance = record.instance();
+                self.apply_notice(key, &instance, load.notice(), at);
                 self.replicas[key].report(load, at);
             } else if !known && record.born < load.born {
                 // The list does not tell of this life yet.
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::member::replica::Incarnation;
+use pumicelatch::member::replica::Instance;
 use pumicelatch::request::poison::{MAX_CRASHES, Registry, RequestHash, Verdict};
 use quickcheck::quickcheck;
 
@@ -14,8 +14,8 @@
     RequestHash::of("test.example", "/stream/x", "escola", b"body")
 }
 
-fn instance(number: u8) -> Incarnation {
-    Incarnation {
+fn instance(number: u8) -> Instance {
+    Instance {
         id: format!("i-{number}").into(),
         born: 1,
     }
@@ -82,7 +82,7 @@
 #[test]
 fn restarted_replica_with_the_same_id_is_another_instance() {
     let mut registry = registry_with(MAX_CRASHES - 1);
-    let restarted = Incarnation {
+    let restarted = Instance {
         born: 2,
         ..instance(0)
     };
