--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -352,9 +352,9 @@
         since: Time,
     ) -> Effect {
         let desired = self.versions.entry(model).or_default();
-        let place = desired.partition_point(|known| known.version < version);
+        let index = desired.partition_point(|known| known.version < version);
         if desired
-            .get(place)
+            .get(index)
             .is_some_and(|known| known.version == version)
         {
             return Effect::None;
@@ -364,7 +364,7 @@
             revision,
             since,
         };
-        desired.insert(place, desired_version);
+        desired.insert(index, desired_version);
         if desired.len() > MAX_VERSIONS {
             desired.remove(0);
         }
@@ -375,18 +375,18 @@
         if self
             .removals
             .get(&record.id)
-            .is_some_and(|gone| *gone >= revision)
+            .is_some_and(|removal| *removal >= revision)
         {
             return Effect::None;
         }
         let known = self.replicas.get(&record.id);
-        let life = known.map_or(0, |known| known.record.born);
-        if record.born < life {
+        let known_born = known.map_or(0, |known| known.record.born);
+        if record.born < known_born {
             // A late heartbeat of an earlier instance may be written after the first one of its
             // successor.
             return Effect::None;
         }
-        if known.is_some_and(|known| known.revision >= revision && record.born == life) {
+        if known.is_some_and(|known| known.revision >= revision && record.born == known_born) {
             return Effect::None;
         }
         // Such a late heartbeat may already have raised the known revision.
@@ -447,7 +447,7 @@
             .filter(|listed| {
                 listed
                     .removed_at
-                    .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE)
+                    .is_some_and(|removed_at| now.since(removed_at) < REMOVAL_GRACE)
             })
             .count();
         removed >= MASS_REMOVAL_MIN && removed * 3 >= replicas().count()
@@ -457,7 +457,7 @@
         for listed in self.replicas.values_mut() {
             let recent = listed
                 .removed_at
-                .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE);
+                .is_some_and(|removed_at| now.since(removed_at) < REMOVAL_GRACE);
             listed.provisional |= recent && &*listed.record.service == service;
         }
     }
@@ -588,7 +588,7 @@
         let before = self.replicas.len();
         self.replicas.retain(|_, listed| match listed.removed_at {
             None => true,
-            Some(gone) => listed.provisional && now.since(gone) < REMOVAL_GRACE,
+            Some(removed_at) => listed.provisional && now.since(removed_at) < REMOVAL_GRACE,
         });
         while self.removals.len() > MAX_REMOVALS {
             let oldest = self.removals.iter().min_by_key(|(_, revision)| **revision);
--- a/src/version/fallback.rs
+++ b/src/version/fallback.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Returns the version that an empty replica should load for the time being, of those that others
-/// `loaded`, or `None` if waiting for the newest is better.
+/// Returns the version that an empty replica should load for the time being, out of those that
+/// others have `loaded`, or `None` if none is worthwhile.
 pub fn select(
     desired: &[DesiredVersion],
     loaded: &BTreeSet<u64>,
--- a/src/version/rollout.rs
+++ b/src/version/rollout.rs
@@ -173,7 +173,7 @@
 
 /// Returns the next step.
 pub fn step(state: State, setting: Setting, now: Time) -> Step {
-    if state.loaded.is_some_and(|held| held >= state.desired) || state.busy {
+    if state.loaded.is_some_and(|loaded| loaded >= state.desired) || state.busy {
         return Step::Idle;
     }
     let Some(complete) = state.complete_since else {
