--- a/src/burst.rs
+++ b/src/burst.rs
@@ -184,7 +184,7 @@
             fetch.abort();
         }
         if let Some(swarm) = self.swarm.borrow_mut().as_mut() {
-            swarm.drop_all();
+            swarm.clear_fetches();
         }
     }
 
@@ -192,7 +192,7 @@
     pub fn resume(self: &Rc<Self>, host: &Rc<Host>) {
         if self.at_rest.replace(false) {
             if let Some(swarm) = self.swarm.borrow_mut().as_mut() {
-                swarm.leave_origin();
+                swarm.disable_origin();
             }
             self.review(host);
         }
@@ -266,9 +266,9 @@
             hall: host.hall.clone(),
         };
         let now = host.clock.now();
-        let mut setting = host.spread.favouring(self.options.favour);
+        let mut setting = host.spread.with_favour(self.options.favour);
         if let Some(chunk) = self.options.origin_chunk_time {
-            setting = setting.with_origin_chunk(chunk);
+            setting = setting.with_origin_chunk_time(chunk);
         }
         setting.settle_fully = self.options.holders == Holders::All;
         setting.settle = match self.options.holders {
@@ -279,10 +279,10 @@
         let seed = rand::rng().random();
         let mut swarm = Swarm::new(self.version, own, chunks, setting, seed, now);
         if self.options.peers_only {
-            swarm.leave_origin();
+            swarm.disable_origin();
         }
         for &chunk in self.gained.borrow().iter() {
-            swarm.hold(chunk, now);
+            swarm.mark_held(chunk, now);
         }
         self.swarm.replace(Some(swarm));
         self.tell();
@@ -306,9 +306,9 @@
     }
 
     fn keep(&self, host: &Host, chunk: u32, bytes: &[u8]) -> Result<bool, weight::Error> {
-        let mut receipt = host.store.borrow().receive(self.version, chunk)?;
-        receipt.push(bytes)?;
-        let chunk = receipt.finish()?;
+        let mut partial = host.store.borrow().receive(self.version, chunk)?;
+        partial.push(bytes)?;
+        let chunk = partial.finish()?;
         host.store.borrow_mut().put(chunk)
     }
 
@@ -334,7 +334,7 @@
         let members = self.members.borrow();
         let useless = |name: &Arc<str>| {
             let substitute = !regular.contains(name);
-            !members.contains_key(name) || (substitute && !swarm.heard_from(name, now))
+            !members.contains_key(name) || (substitute && !swarm.is_responsive(name, now))
         };
         let follows = self.follows.borrow();
         let gone: Vec<Arc<str>> = follows
@@ -360,7 +360,7 @@
             return;
         };
         if let (Some(key), Some(swarm)) = (follow.key.get(), self.swarm.borrow_mut().as_mut()) {
-            swarm.leave(key);
+            swarm.remove_peer(key);
         }
     }
 
@@ -472,13 +472,16 @@
     /// Chunks that are being drawn from the origin.
     fn drawing(&self) -> Vec<u32> {
         let swarm = self.swarm.borrow();
-        swarm.as_ref().map(Swarm::drawing).unwrap_or_default()
+        swarm
+            .as_ref()
+            .map(Swarm::origin_fetches)
+            .unwrap_or_default()
     }
 
     /// Milliseconds since the origin brought a chunk to anyone, as far as is known.
     fn origin_age(&self) -> Option<u64> {
         let swarm = self.swarm.borrow();
-        let brought = swarm.as_ref()?.origin_brought()?;
+        let brought = swarm.as_ref()?.last_origin_chunk()?;
         Some(self.clock.now().since(brought).as_millis() as u64)
     }
 
@@ -490,7 +493,7 @@
 
     /// Chunks held, and chunks in all.
     pub fn progress(&self) -> (usize, usize) {
-        self.swarm.borrow().as_ref().map_or((0, 0), Swarm::held)
+        self.swarm.borrow().as_ref().map_or((0, 0), Swarm::progress)
     }
 }
 
--- a/src/burst/fetch.rs
+++ b/src/burst/fetch.rs
@@ -115,8 +115,8 @@
     fn manifest_sources(&self, host: &Host, round: u32) -> Vec<ManifestSource> {
         let members = self.ring();
         let relays = self.relays();
-        let drawing = ring::drawing(&members, &relays);
-        let sponsors = ring::sponsors(self.version, &drawing, host.spread.sponsors);
+        let fetchers = ring::origin_fetchers(&members, &relays);
+        let sponsors = ring::sponsors(self.version, &fetchers, host.spread.sponsors);
         let mut sources = Vec::new();
         let asks_origin = sponsors.contains(&host.name) || round >= MANIFEST_ROUNDS;
         if asks_origin && !self.options.peers_only {
@@ -199,7 +199,7 @@
                 return Outcome::Failed;
             }
         }
-        let Ok(mut receipt) = host.store.borrow().receive(version, self.chunk) else {
+        let Ok(mut partial) = host.store.borrow().receive(version, self.chunk) else {
             return Outcome::Failed;
         };
         while let Some(part) = response.next().await {
@@ -210,19 +210,19 @@
                     return Outcome::Failed;
                 }
             };
-            if receipt.push(&part).is_err() {
+            if partial.push(&part).is_err() {
                 return Outcome::Corrupt;
             }
             if let Some(strong) = burst.upgrade()
                 && let Some(swarm) = strong.swarm.borrow_mut().as_mut()
             {
-                swarm.progress(self.key, host.clock.now());
+                swarm.record_progress(self.key, host.clock.now());
             }
         }
-        if !receipt.full() {
+        if !partial.is_complete() {
             return Outcome::Failed;
         }
-        let Ok(chunk) = receipt.finish() else {
+        let Ok(chunk) = partial.finish() else {
             log::warn!(source = self.url.as_str(); "chunk failed verification");
             return Outcome::Corrupt;
         };
--- a/src/burst/follow.rs
+++ b/src/burst/follow.rs
@@ -14,7 +14,7 @@
 use super::Burst;
 use super::host::{Host, swarm_url};
 use crate::member::Listed;
-use crate::spread::swarm::{Notice, PeerKey};
+use crate::spread::swarm::{Announcement, PeerKey};
 use crate::wire::{self, Have};
 
 /// Chunks gained within so long are told in one frame.
@@ -85,7 +85,7 @@
             return;
         };
         if let (Some(key), Some(swarm)) = (key.take(), strong.swarm.borrow_mut().as_mut()) {
-            swarm.leave(key);
+            swarm.remove_peer(key);
         }
         drop(strong);
         pause = if heard {
@@ -151,16 +151,16 @@
         if let Some(swarm) = self.swarm.borrow_mut().as_mut() {
             let known = match key.get() {
                 Some(known) => known,
-                None => swarm.join(peer.name.clone(), now),
+                None => swarm.add_peer(peer.name.clone(), now),
             };
             key.set(Some(known));
-            let notice = Notice {
+            let announcement = Announcement {
                 gained: &have.gained,
                 load: have.load,
                 drawing: &have.drawing,
                 origin_age: have.origin_age_ms.map(Duration::from_millis),
             };
-            swarm.notice(known, notice, now);
+            swarm.update_peer(known, announcement, now);
         }
         if !have.gained.is_empty() {
             self.plan(host);
--- a/src/burst/upload.rs
+++ b/src/burst/upload.rs
@@ -103,7 +103,10 @@
 
     fn progress(&self) {
         let now = self.host.clock.now();
-        self.burst.uploads.borrow_mut().progress(self.key, now);
+        self.burst
+            .uploads
+            .borrow_mut()
+            .record_progress(self.key, now);
     }
 }
 
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -1,11 +1,12 @@
-//! The burst: which chunk a box draws next and from whom, and whom it serves.
+//! Scheduling of a burst: which chunk a box fetches next and from which source, and which uploads
+//! it serves.
 //!
-//! Everything here is pure. Time, randomness and events come in; typed actions go out. The edge
-//! ([`crate::agent`]) carries them out over HTTP.
+//! This module does no I/O. Time, randomness and events are passed in, and it returns typed
+//! actions. [`crate::burst`] carries them out over HTTP.
 //!
-//! * [`ring`] says who a box's neighbours and a version's sponsors are.
-//! * [`swarm`] plans the downloads of one version at one box.
-//! * [`upload`] schedules what a box sends to others.
+//! * [`ring`] selects the neighbours of a box and the sponsors of a version.
+//! * [`swarm`] plans the downloads of one version on one box.
+//! * [`upload`] schedules the chunks that a box sends to others.
 
 use std::time::Duration;
 
@@ -16,76 +17,79 @@
 pub mod swarm;
 pub mod upload;
 
-/// What a customer weighs more during a burst.
+/// What a customer wants minimized during a burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Favour {
-    /// The time until every box holds a servable replica.
+    /// Time until every box holds a servable replica.
     #[default]
     Time,
-    /// The bytes drawn from the origin.
+    /// Bytes fetched from the origin.
     OriginBytes,
 }
 
-/// Settings of the burst. The defaults are what docs/DESIGN.md's measurements led to.
+/// Settings of a burst. The defaults follow from the measurements in docs/DESIGN.md.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setting {
-    /// Neighbours in the box's own hall.
+    /// Number of neighbours in the box's own hall.
     pub hall_neighbours: usize,
-    /// Neighbours anywhere.
+    /// Number of neighbours in the whole fleet.
     pub fleet_neighbours: usize,
-    /// Most peers that a box follows at once, substitutes included.
+    /// Maximum number of peers that a box follows, substitutes included.
     pub peers_max: usize,
-    /// Chunks that a box draws at once.
+    /// Maximum number of concurrent fetches of a box.
     pub fetches_max: usize,
-    /// Chunks that a box draws from one peer at once.
+    /// Maximum number of concurrent fetches from one peer.
     pub peer_fetches_max: usize,
-    /// Chunks that a sponsor draws from the origin at once; 0 if nothing is drawn there.
+    /// Maximum number of concurrent fetches of a sponsor from the origin; 0 disables them.
     pub origin_fetches_max: usize,
-    /// Sponsors that draw from the origin in ordinary times.
+    /// Number of sponsors that fetch from the origin in normal operation.
     pub sponsors: usize,
-    /// Further sponsors that stand by for one that falls silent.
+    /// Number of further sponsors that replace unresponsive ones.
     pub standbys: usize,
-    /// Uploads that a relay serves at once: a member with a wide link and no engine of its own.
+    /// Upload slots of a relay, a member with a fast link and no engine of its own.
     pub relay_slots: usize,
-    /// Relays of its hall that a box follows.
+    /// Number of relays of its hall that a box follows.
     pub relay_neighbours: usize,
-    /// Uploads that share a box's link.
+    /// Number of uploads that share the link of a box.
     pub upload_slots: usize,
-    /// Uploads that may wait for a slot.
+    /// Maximum number of uploads that wait for a slot.
     pub upload_queue_max: usize,
-    /// A peer that sent nothing for so long is passed over.
+    /// A peer that has sent nothing for this long is not used.
     pub peer_timeout: Duration,
-    /// A fetch without a byte for so long is given up, unless fetches are slower on the whole.
-    pub stall: Duration,
-    /// A fetch from the origin without a byte for so long is given up. All that draw share its link:
-    /// forty of them get a chunk of 24 KB every 1.8 s at 4.4 Mbit/s, and what is dropped meanwhile is
-    /// drawn twice.
-    pub origin_stall: Duration,
-    /// How long a chunk takes from the origin while all sponsors draw; zero if that is not known.
-    pub origin_fetch: Duration,
-    /// How long unseen chunks are left to their sponsors before other boxes step in.
+    /// A fetch that receives no bytes for this long is cancelled. The limit is longer while fetches
+    /// take long on average.
+    pub stall_timeout: Duration,
+    /// A fetch from the origin that receives no bytes for this long is cancelled. All fetches share
+    /// the origin's link: with 40 of them at 4.4 Mbit/s, a chunk of 24 KB takes 1.8 s, and
+    /// cancelling one earlier only means fetching it twice.
+    pub origin_stall_timeout: Duration,
+    /// Expected time to fetch a chunk from the origin while all sponsors do so; zero if unknown.
+    pub origin_fetch_time: Duration,
+    /// How long chunks that no peer holds are left to their sponsors before other boxes fetch them.
     pub sponsor_wait: Duration,
-    /// How long a peer that sent a bad chunk is passed over, doubled each time.
+    /// How long a peer is not used after a corrupt chunk or a failed or stalled fetch. Doubles each
+    /// time.
     pub penalty: Duration,
-    /// An unseen chunk is left to its sponsor for this many usual fetches at least.
+    /// Lower bound for `sponsor_wait`, as a multiple of the average fetch time.
     pub sponsor_wait_fetches: u32,
-    /// A sponsor that has drawn its part takes over what others have not: after so long where it is
-    /// the next in a chunk's order, after as long again where it is the next but one, and so on.
+    /// A sponsor that has fetched its own share also fetches the chunks of others: after this
+    /// interval those for which it is the second sponsor, after two intervals those for which it is
+    /// the third, and so on.
     pub takeover_interval: Duration,
-    /// Longest pause between two tries at an origin that fails.
+    /// Maximum delay between two attempts to fetch from a failing origin.
     pub origin_pause_max: Duration,
-    /// How long a box that joins waits for peers to tell what they hold before it draws from the
-    /// origin.
+    /// How long a joining box waits for its peers to announce their chunks before it fetches from
+    /// the origin.
     pub settle: Duration,
-    /// Whether it waits for so long even if all its peers have spoken.
+    /// Whether it waits for the full time even if all its peers have answered.
     pub settle_fully: bool,
-    /// Whether each chunk enters a hall through one box of it, because bytes between halls are
-    /// dear. The others of the hall wait for that box for as long as for a sponsor.
+    /// Whether each chunk enters a hall through a single box, because traffic between halls is
+    /// expensive. The other boxes of the hall wait for that box as long as for a sponsor.
     pub import_once: bool,
-    /// Whether each sponsor begins with other chunks.
+    /// Whether each sponsor starts at a different chunk.
     pub staggered_order: bool,
-    /// Whether nobody draws from the origin what a peer is drawing there.
+    /// Whether a chunk that a peer is fetching from the origin is left to that peer.
     pub claims: bool,
 }
 
@@ -105,9 +109,9 @@
             upload_slots: 2,
             upload_queue_max: 2,
             peer_timeout: Duration::from_millis(1_500),
-            stall: Duration::from_millis(1_000),
-            origin_stall: Duration::from_millis(2_500),
-            origin_fetch: Duration::ZERO,
+            stall_timeout: Duration::from_millis(1_000),
+            origin_stall_timeout: Duration::from_millis(2_500),
+            origin_fetch_time: Duration::ZERO,
             sponsor_wait: Duration::from_millis(1_500),
             penalty: Duration::from_millis(500),
             sponsor_wait_fetches: 10,
@@ -123,7 +127,7 @@
 }
 
 impl Setting {
-    /// Settings for a few halls of a few boxes each, with dear bytes between halls: everyone
+    /// Returns the settings for a few small halls with expensive traffic between them. Each box
     /// follows its whole hall.
     pub fn for_few_halls() -> Self {
         Self {
@@ -141,15 +145,15 @@
         }
     }
 
-    /// The settings where the origin's link carries a chunk in `chunk`.
-    pub fn with_origin_chunk(self, chunk: Duration) -> Self {
+    /// Returns the settings for an origin whose link transfers a chunk in `chunk_time`.
+    pub fn with_origin_chunk_time(self, chunk_time: Duration) -> Self {
         Self {
-            origin_fetch: chunk * (self.sponsors + self.standbys) as u32,
+            origin_fetch_time: chunk_time * (self.sponsors + self.standbys) as u32,
             ..self
         }
     }
 
-    /// The settings of a relay, instead of those of the boxes around it.
+    /// Returns the settings of a relay, derived from those of the boxes around it.
     pub fn for_relay(self) -> Self {
         Self {
             upload_slots: self.relay_slots,
@@ -159,9 +163,9 @@
         }
     }
 
-    /// The settings under a favour: origin bytes are spared by waiting longer before a second
-    /// box draws what a sponsor may still bring.
-    pub fn favouring(self, favour: Favour) -> Self {
+    /// Returns the settings for `favour`. To save bytes from the origin, boxes wait longer before
+    /// they fetch a chunk that a sponsor may still deliver.
+    pub fn with_favour(self, favour: Favour) -> Self {
         match favour {
             Favour::Time => self,
             Favour::OriginBytes => Self {
--- a/src/spread/bitmap.rs
+++ b/src/spread/bitmap.rs
@@ -1,6 +1,6 @@
-//! A set of chunk indices, one bit each.
+//! A bitmap of chunk indices.
 
-/// A fixed-length set of bits.
+/// A bitmap of fixed length.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Bitmap {
     words: Vec<u64>,
@@ -8,55 +8,55 @@
     ones: usize,
 }
 
-/// Bits in a word.
-const WORD: usize = u64::BITS as usize;
+/// Bits per word.
+const WORD_BITS: usize = u64::BITS as usize;
 
 impl Bitmap {
-    /// `length` bits, all clear.
+    /// Creates a bitmap of `length` clear bits.
     pub fn new(length: usize) -> Self {
         Self {
-            words: vec![0; length.div_ceil(WORD)],
+            words: vec![0; length.div_ceil(WORD_BITS)],
             length,
             ones: 0,
         }
     }
 
-    /// Whether bit `index` is set. Bits beyond the length are clear.
+    /// Whether bit `index` is set. Bits beyond the length read as clear.
     pub fn get(&self, index: usize) -> bool {
-        index < self.length && self.words[index / WORD] >> (index % WORD) & 1 == 1
+        index < self.length && self.words[index / WORD_BITS] >> (index % WORD_BITS) & 1 == 1
     }
 
-    /// Sets bit `index`. Returns whether it was clear; bits beyond the length are ignored.
+    /// Sets bit `index`. Returns whether it was clear. Bits beyond the length are ignored.
     pub fn set(&mut self, index: usize) -> bool {
         if index >= self.length || self.get(index) {
             return false;
         }
-        self.words[index / WORD] |= 1 << (index % WORD);
+        self.words[index / WORD_BITS] |= 1 << (index % WORD_BITS);
         self.ones += 1;
         true
     }
 
-    /// Bits that are set.
+    /// Returns the number of set bits.
     pub fn count(&self) -> usize {
         self.ones
     }
 
-    /// Bits in all.
+    /// Returns the length in bits.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether there are no bits at all.
+    /// Whether the length is 0.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
     /// Whether every bit is set.
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.ones == self.length
     }
 
-    /// The bits that are set, ascending.
+    /// Returns the indices of the set bits in ascending order.
     pub fn ones(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.length).filter(|&index| self.get(index))
     }
--- a/src/spread/ring.rs
+++ b/src/spread/ring.rs
@@ -1,30 +1,32 @@
-//! Who follows whom during a burst, worked out by every box alone from the same list.
+//! Selection of peers and sponsors for a burst. Every box computes it locally from the same member
+//! list.
 //!
-//! Boxes stand on a ring in the order of a hash of version and name. A box follows the boxes at
-//! fixed offsets, so that everyone is followed as often as it follows: a random choice leaves some
-//! links with few customers, and an idle link is lost time. Sponsors are the first boxes by
-//! rendezvous hashing.
+//! Boxes are placed on a ring in the order of a hash of version and name. A box follows the boxes
+//! at fixed offsets, so that each box has as many followers as peers that it follows. A random
+//! choice would leave some boxes with few followers, and their links idle. Sponsors are the first
+//! boxes by rendezvous hashing.
 
 use std::sync::Arc;
 
 use crate::hash;
 use crate::weight::Digest;
 
-/// A box that takes part in a burst.
+/// A box that participates in a burst.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Member {
-    /// The box's name.
+    /// Name of the box.
     pub name: Arc<str>,
-    /// The data hall it stands in.
+    /// Data hall of the box.
     pub hall: Arc<str>,
 }
 
-/// A 64-bit weight of `parts`, the same on every box.
+/// Returns a 64-bit hash of `version` and `parts`, which is the same on every box.
 pub fn score(version: Digest, parts: &[&[u8]]) -> u64 {
     hash::under(version.as_bytes(), parts.iter().copied())
 }
 
-/// The boxes at `count` offsets from `own` on the ring of `members`; fewer if the ring is short.
+/// Returns the boxes at `count` offsets from `own` on the ring of `members`, or all others if
+/// there are fewer.
 fn at_offsets(version: Digest, own: &str, members: &[&Member], count: usize) -> Vec<Arc<str>> {
     let mut ring: Vec<(u64, &Member)> = members
         .iter()
@@ -41,14 +43,15 @@
         .collect()
 }
 
-/// `count` different offsets in `1..=others`, spread over the ring with a jitter from the hash.
+/// Returns `count` distinct offsets in `1..=others`, spread over the ring with jitter from the
+/// hash.
 fn offsets(version: Digest, others: usize, count: usize) -> Vec<usize> {
     if others <= count {
         return (1..=others).collect();
     }
     (0..count)
         .map(|slot| {
-            // Each offset is drawn from its own stretch of the ring, so no two are the same.
+            // Each offset is taken from its own section of the ring, so no two are equal.
             let start = slot * others / count;
             let end = (slot + 1) * others / count;
             let jitter = score(version, &[b"offset", &(slot as u64).to_le_bytes()]);
@@ -57,7 +60,8 @@
         .collect()
 }
 
-/// The peers that `own` follows: some in its hall, some anywhere, without repetition.
+/// Returns the peers that `own` follows: some in its hall and some in the whole fleet, without
+/// duplicates.
 pub fn neighbours(
     version: Digest,
     own: &Member,
@@ -79,13 +83,14 @@
     chosen
 }
 
-/// The members who draw from the origin: the relays if there are any, or else everyone.
-pub fn drawing(members: &[Member], relays: &[Arc<str>]) -> Vec<Member> {
-    let draws = |member: &&Member| relays.is_empty() || relays.contains(&member.name);
-    members.iter().filter(draws).cloned().collect()
+/// Returns the members that may fetch from the origin: the relays, or all members if there are no
+/// relays.
+pub fn origin_fetchers(members: &[Member], relays: &[Arc<str>]) -> Vec<Member> {
+    let fetches = |member: &&Member| relays.is_empty() || relays.contains(&member.name);
+    members.iter().filter(fetches).cloned().collect()
 }
 
-/// The first `count` boxes for a version by rendezvous hashing, best first.
+/// Returns the first `count` boxes for a version by rendezvous hashing, highest score first.
 pub fn sponsors(version: Digest, members: &[Member], count: usize) -> Vec<Arc<str>> {
     let mut ranked: Vec<(u64, &Member)> = members
         .iter()
@@ -104,20 +109,20 @@
         .collect()
 }
 
-/// The order in which the `active` of `sponsors` are to draw `chunk`: the first is to, each next one
-/// steps in for those before it.
+/// Returns the `active` ones of `sponsors` in the order in which they are responsible for `chunk`:
+/// the first fetches it from the origin, each further one replaces those before it.
 ///
-/// Chunks are dealt in rounds, each in another order of the sponsors, so that all draw equally
-/// many: by a hash of each chunk alone one of eight sponsors drew 18 of 96 chunks, and everyone
-/// waited for it.
-pub fn drawers<'a>(
+/// Chunks are assigned in rounds, with a different order of the sponsors in each, so that every
+/// sponsor gets the same number. With an independent hash per chunk, one of eight sponsors got 18
+/// of 96 chunks, and all boxes had to wait for it.
+pub fn fetch_order<'a>(
     version: Digest,
     chunk: u32,
     sponsors: &[Arc<str>],
     active: &[&'a str],
 ) -> Vec<&'a str> {
     let count = sponsors.len().max(1) as u32;
-    let (round, place) = (chunk / count, chunk % count);
+    let (round, position) = (chunk / count, chunk % count);
     let mut order: Vec<(u64, &str)> = sponsors
         .iter()
         .map(|name| {
@@ -127,7 +132,7 @@
         .collect();
     order.sort_unstable();
     if !order.is_empty() {
-        order.rotate_left(place as usize);
+        order.rotate_left(position as usize);
     }
     order
         .into_iter()
@@ -135,24 +140,27 @@
         .collect()
 }
 
-/// The chunk of `count` with which the sponsor `name` begins; the others follow in their order. Each
-/// begins elsewhere: sponsors that do not know of each other yet would all draw the same chunks.
+/// Returns the chunk, out of `count`, with which the sponsor `name` starts; the others follow in
+/// ascending order, wrapping around. Sponsors start at different chunks, because those that do not
+/// know of each other yet would all fetch the same ones otherwise.
 pub fn first_chunk(version: Digest, name: &str, count: usize) -> u32 {
     let count = count.max(1) as u64;
     (score(version, &[b"turn", name.as_bytes()]) % count) as u32
 }
 
-/// The place of `chunk` of `count` in the order in which the sponsor `name` draws.
-pub fn turn(version: Digest, chunk: u32, name: &str, count: usize) -> u32 {
+/// Returns the index of `chunk`, out of `count`, in the order in which the sponsor `name` fetches.
+pub fn fetch_index(version: Digest, chunk: u32, name: &str, count: usize) -> u32 {
     let first = first_chunk(version, name, count);
     let count = count.max(1) as u32;
     (chunk + count - first) % count
 }
 
-/// How many boxes come before `own` to draw in place of sponsors that bring nothing: its rank in its
-/// hall, where relays are first, and its hall's rank among the halls, so that a cut-off hall has a
-/// first box of its own. It is one rank for all chunks: with one for each chunk every box is first
-/// for some, and all of them draw from an origin that is merely away.
+/// Returns the rank of `own` among the boxes that fetch from the origin in place of sponsors that
+/// deliver nothing. It is the sum of its rank in its hall, where relays come first, and the rank of
+/// its hall, so that a partitioned hall has a first substitute of its own.
+///
+/// The rank is the same for all chunks. With one rank per chunk, every box would be first for some
+/// chunk, and all of them would send requests to an origin that is only temporarily unavailable.
 pub fn substitute_rank(
     version: Digest,
     own: &Member,
@@ -161,11 +169,11 @@
 ) -> usize {
     let priority =
         |kind: &[u8], name: &str| score(version, &[b"substitute", kind, name.as_bytes()]);
-    let place = |name: &Arc<str>| (relays.contains(name), priority(b"box", name));
-    let own_place = place(&own.name);
+    let rank_key = |name: &Arc<str>| (relays.contains(name), priority(b"box", name));
+    let own_key = rank_key(&own.name);
     let in_hall = members
         .iter()
-        .filter(|member| member.hall == own.hall && place(&member.name) > own_place)
+        .filter(|member| member.hall == own.hall && rank_key(&member.name) > own_key)
         .count();
     let hall_priority = priority(b"hall", &own.hall);
     let mut halls: Vec<&str> = members.iter().map(|member| &*member.hall).collect();
@@ -178,22 +186,25 @@
     in_hall + among_halls
 }
 
-/// Stretches of patience up to which each further substitute waits twice as long as the one before.
-const DOUBLED: u128 = 8;
-
-/// How many ranks of substitutes draw after a quiet of so many stretches of patience: one more each
-/// time that the quiet doubles, and later with each eight stretches. An origin that is away for twelve
-/// stretches is then found again by a few boxes of each hall, and not by all.
-pub fn substitutes(stretches: u128) -> usize {
-    if stretches < DOUBLED {
-        return stretches
+/// Number of wait intervals up to which each further substitute waits twice as long as the one
+/// before it.
+const DOUBLING_INTERVALS: u128 = 8;
+
+/// Returns how many ranks of substitutes fetch from the origin after no new chunk was seen for
+/// `intervals` times as long as chunks are left to their sponsors: one more each time that this
+/// number doubles, and from eight on one more per eight intervals. An origin that was unavailable
+/// for twelve intervals is then retried by a few boxes of each hall instead of all.
+pub fn substitute_count(intervals: u128) -> usize {
+    if intervals < DOUBLING_INTERVALS {
+        return intervals
             .checked_ilog2()
             .map_or(0, |doublings| doublings as usize + 1);
     }
-    (DOUBLED.ilog2() as u128 + stretches / DOUBLED) as usize
+    (DOUBLING_INTERVALS.ilog2() as u128 + intervals / DOUBLING_INTERVALS) as usize
 }
 
-/// How many of the own hall come before `own` to draw `chunk` from another hall: relays first.
+/// Returns the rank of `own` among the boxes of its hall for fetching `chunk` from another hall.
+/// Relays come first.
 pub fn import_rank(
     version: Digest,
     chunk: u32,
@@ -214,9 +225,9 @@
         .count()
 }
 
-/// The first `count` of `candidates` for `own` by rendezvous hashing, so that each has about as many
-/// followers as any other.
-pub fn nearest<'a>(
+/// Returns the first `count` of `candidates` for `own` by rendezvous hashing, so that all
+/// candidates have about the same number of followers.
+pub fn select_peers<'a>(
     version: Digest,
     own: &str,
     candidates: impl Iterator<Item = &'a Member>,
--- a/src/spread/swarm.rs
+++ b/src/spread/swarm.rs
@@ -1,4 +1,5 @@
-//! The downloads of one version at one box: what to draw next, from whom, and when to give up.
+//! Plan of the downloads of one version on one box: what to fetch next, from which source, and when
+//! to cancel a fetch.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,29 +23,29 @@
 slotmap::new_key_type! {
     /// A peer that this box follows for one version.
     pub struct PeerKey;
-    /// A chunk on its way to this box.
+    /// A chunk that this box is fetching.
     pub struct FetchKey;
 }
 
-/// Fetches whose length shapes the estimate: the weight of the newest is one in this many.
+/// Smoothing of the mean fetch time: the newest fetch counts for one in this many.
 const SMOOTHING: u32 = 8;
 
-/// A fetch may take this many times the usual before it counts as stalled.
+/// A fetch counts as stalled once it has received no bytes for this many times the mean fetch time.
 const STALL_FACTOR: u32 = 6;
 
-/// A fetch that takes this many times the usual is dropped even if bytes still come.
+/// A fetch that takes this many times the mean fetch time is cancelled even if bytes still arrive.
 const SLOW_FACTOR: u32 = 8;
 
-/// How long a peer that had no slot is left alone.
-const BUSY_PAUSE: Duration = Duration::from_millis(40);
+/// How long a peer without a free upload slot is not asked again.
+const BUSY_DELAY: Duration = Duration::from_millis(40);
 
-/// First pause after the origin failed, doubled up to the setting's longest.
-const ORIGIN_PAUSE: Duration = Duration::from_millis(200);
+/// Delay after the first failure of the origin, doubled up to [`Setting::origin_pause_max`].
+const ORIGIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Doublings of a penalty after which it grows no more.
-const DOUBLINGS_MAX: u32 = 6;
+/// Maximum number of times that the penalty of a peer doubles.
+const PENALTY_DOUBLINGS_MAX: u32 = 6;
 
-/// Where a chunk comes from.
+/// Source of a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// Another box.
@@ -53,50 +54,50 @@
     Origin,
 }
 
-/// What the edge is to do.
+/// An action for the caller to carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// Draw a chunk.
+    /// Fetch a chunk.
     Fetch {
-        /// The fetch that reports back.
+        /// Key under which the result is reported.
         fetch: FetchKey,
-        /// The chunk's place in the manifest.
+        /// Index of the chunk in the manifest.
         chunk: u32,
-        /// Whom to ask.
+        /// Source to fetch from.
         source: Source,
     },
-    /// Drop a fetch: it is stalled, or its peer is.
+    /// Cancel a fetch, because it has stalled, takes too long, or its peer is unresponsive.
     Cancel {
-        /// The fetch to drop.
+        /// The fetch to cancel.
         fetch: FetchKey,
     },
 }
 
-/// How a fetch ended.
+/// Result of a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The chunk was verified and is held.
+    /// The chunk was verified and stored.
     Stored,
     /// The bytes did not match the manifest.
     Corrupt,
-    /// The peer had no slot.
+    /// The source had no free slot.
     Busy,
-    /// The peer does not have the chunk, or the exchange broke.
+    /// The source does not have the chunk, or the transfer failed.
     Failed,
 }
 
-/// How a version's fetches ended so far.
+/// Number of fetches of a version by result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Tally {
-    /// Chunks that were verified.
+    /// Chunks verified and stored.
     pub stored: u64,
     /// Chunks that did not match the manifest.
     pub corrupt: u64,
-    /// Requests that found no slot.
+    /// Requests that were rejected because no slot was free.
     pub busy: u64,
-    /// Exchanges that broke.
+    /// Transfers that failed.
     pub failed: u64,
-    /// Fetches that stalled and were dropped.
+    /// Fetches that were cancelled.
     pub cancelled: u64,
 }
 
@@ -110,34 +111,34 @@
     }
 }
 
-/// What a peer tells of itself.
+/// Status that a peer announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Notice<'a> {
-    /// Chunks that it holds and had not told of.
+pub struct Announcement<'a> {
+    /// Chunks that it holds and has not announced before.
     pub gained: &'a [u32],
-    /// Uploads waiting or running there.
+    /// Number of its uploads, waiting or running.
     pub load: u32,
-    /// Chunks that it is drawing from the origin.
+    /// Chunks that it is fetching from the origin.
     pub drawing: &'a [u32],
-    /// Time since the origin brought a chunk to anyone, as far as it knows.
+    /// Time since any box fetched a chunk from the origin, as far as the peer knows.
     pub origin_age: Option<Duration>,
 }
 
 #[derive(Debug)]
 struct Peer {
     name: Arc<str>,
-    near: bool,
+    same_hall: bool,
     relay: bool,
     have: Bitmap,
     load: u32,
     fetches: u32,
-    heard: Time,
+    last_heard: Time,
     avoid_until: Time,
-    offences: u32,
-    drawing: Vec<Claim>,
+    failures: u32,
+    claims: Vec<Claim>,
 }
 
-/// A chunk that a peer draws from the origin, and since when it is known.
+/// A chunk that a peer is fetching from the origin, and when its claim was first announced.
 #[derive(Debug, Clone, Copy)]
 struct Claim {
     chunk: u32,
@@ -149,10 +150,10 @@
     chunk: u32,
     source: Source,
     started: Time,
-    progressed: Time,
+    last_progress: Time,
 }
 
-/// The plan of one version's downloads.
+/// State and schedule of the downloads of one version.
 #[derive(Debug)]
 pub struct Swarm {
     version: Digest,
@@ -163,27 +164,27 @@
     in_flight: Vec<u8>,
     rarity: Vec<u32>,
     seen: Bitmap,
-    new_seen: Time,
-    began: Time,
+    last_new_chunk: Time,
+    started: Time,
     peers: SlotMap<PeerKey, Peer>,
     fetches: SlotMap<FetchKey, Fetch>,
-    usual: Option<Duration>,
-    usual_at_origin: Option<Duration>,
-    stands_in: bool,
-    origin_brought: Option<Time>,
+    mean_fetch_time: Option<Duration>,
+    mean_origin_fetch_time: Option<Duration>,
+    substituting: bool,
+    last_origin_chunk: Option<Time>,
     members: Vec<Member>,
     relays: Vec<Arc<str>>,
     sponsors: Vec<Arc<str>>,
     import_ranks: Vec<usize>,
-    seen_at: Vec<Time>,
-    drawn_since: Option<Time>,
+    first_seen: Vec<Time>,
+    share_fetched_at: Option<Time>,
     origin_backoff: Backoff,
-    origin_pause_until: Time,
+    origin_retry_at: Time,
     tally: Tally,
 }
 
 impl Swarm {
-    /// A plan for `chunks` chunks at box `own`, beginning `now`.
+    /// Creates the plan to fetch `chunks` chunks to the box `own`, starting at `now`.
     pub fn new(
         version: Digest,
         own: Member,
@@ -201,40 +202,40 @@
             in_flight: vec![0; chunks],
             rarity: vec![0; chunks],
             seen: Bitmap::new(chunks),
-            new_seen: now,
-            began: now,
+            last_new_chunk: now,
+            started: now,
             peers: SlotMap::with_key(),
             fetches: SlotMap::with_key(),
-            usual: None,
-            usual_at_origin: None,
-            stands_in: false,
-            origin_brought: None,
+            mean_fetch_time: None,
+            mean_origin_fetch_time: None,
+            substituting: false,
+            last_origin_chunk: None,
             members: Vec::new(),
             relays: Vec::new(),
             sponsors: Vec::new(),
             import_ranks: Vec::new(),
-            seen_at: vec![now; chunks],
-            drawn_since: None,
-            origin_backoff: Backoff::new(ORIGIN_PAUSE, setting.origin_pause_max),
-            origin_pause_until: now,
+            first_seen: vec![now; chunks],
+            share_fetched_at: None,
+            origin_backoff: Backoff::new(ORIGIN_BACKOFF, setting.origin_pause_max),
+            origin_retry_at: now,
             tally: Tally::default(),
         }
     }
 
-    /// Sets who takes part, this box included.
+    /// Sets the participating boxes, including this one.
     pub fn set_members(&mut self, members: Vec<Member>) {
         self.set_members_and_relays(members, Vec::new());
     }
 
-    /// Sets who takes part, and who of them is a relay. Relays draw from the origin and bring chunks
-    /// into their halls before anyone else does.
+    /// Sets the participating boxes, and which of them are relays. Relays are the first to fetch
+    /// chunks from the origin and to bring them into their halls.
     pub fn set_members_and_relays(&mut self, members: Vec<Member>, relays: Vec<Arc<str>>) {
         if self.members == members && self.relays == relays {
             return;
         }
         let count = self.setting.sponsors + self.setting.standbys;
-        let drawing = ring::drawing(&members, &relays);
-        self.sponsors = ring::sponsors(self.version, &drawing, count);
+        let fetchers = ring::origin_fetchers(&members, &relays);
+        self.sponsors = ring::sponsors(self.version, &fetchers, count);
         if self.setting.import_once {
             let rank = |chunk| ring::import_rank(self.version, chunk, &self.own, &members, &relays);
             self.import_ranks = (0..self.have.len() as u32).map(rank).collect();
@@ -246,35 +247,35 @@
         self.relays = relays;
     }
 
-    fn relay(&self, name: &Arc<str>) -> bool {
+    fn is_relay(&self, name: &Arc<str>) -> bool {
         self.relays.contains(name)
     }
 
-    /// Whether a chunk may be drawn from another hall: by one box of the hall as soon as it is seen
-    /// anywhere, and by one more with each further stretch of patience.
+    /// Whether this box may fetch a chunk from another hall. One box per hall may do so as soon as
+    /// the chunk is seen anywhere, and one more after each further [`Setting::sponsor_wait`].
     fn may_import(&self, chunk: u32, now: Time) -> bool {
         let Some(&rank) = self.import_ranks.get(chunk as usize) else {
             return true;
         };
-        let since = now.since(self.seen_at[chunk as usize]).as_millis();
-        let turns = since / self.setting.sponsor_wait.as_millis().max(1);
-        rank as u128 <= turns
+        let since = now.since(self.first_seen[chunk as usize]).as_millis();
+        let intervals = since / self.setting.sponsor_wait.as_millis().max(1);
+        rank as u128 <= intervals
     }
 
-    /// A chunk was seen, here or at a peer.
-    fn see(&mut self, chunk: usize, now: Time) {
+    /// Records that a chunk was seen, on this box or on a peer.
+    fn mark_seen(&mut self, chunk: usize, now: Time) {
         if self.seen.set(chunk) {
-            self.seen_at[chunk] = now;
-            self.new_seen = now;
+            self.first_seen[chunk] = now;
+            self.last_new_chunk = now;
         }
     }
 
-    /// The names of the peers that this box ought to follow, the ones it needs most first. Peers
-    /// that do not speak are made up for by others of the box's hall.
+    /// Returns the peers that this box should follow, the most important first. Unresponsive peers
+    /// are compensated by random other boxes of the same hall.
     pub fn wanted_peers(&mut self, now: Time) -> Vec<Arc<str>> {
         let mut wanted = self.regular_peers();
-        let lacking = wanted.len().saturating_sub(self.responsive_peers(now));
-        if now.since(self.began) < self.setting.peer_timeout {
+        let missing = wanted.len().saturating_sub(self.responsive_peers(now));
+        if now.since(self.started) < self.setting.peer_timeout {
             return wanted;
         }
         let mut spare: Vec<Arc<str>> = self
@@ -284,14 +285,15 @@
             .map(|member| member.name.clone())
             .filter(|name| !wanted.contains(name) && !self.follows(name))
             .collect();
-        for _ in 0..lacking.min(spare.len()) {
+        for _ in 0..missing.min(spare.len()) {
             let index = self.rng.random_range(0..spare.len());
             wanted.push(spare.swap_remove(index));
         }
         wanted
     }
 
-    /// The peers that ring and sponsorship give this box.
+    /// Returns the peers assigned to this box by the ring, by its role as a sponsor, and by the
+    /// choice of relays.
     pub fn regular_peers(&self) -> Vec<Arc<str>> {
         let mut wanted = Vec::new();
         if self.sponsors.contains(&self.own.name) {
@@ -301,10 +303,16 @@
         let (in_hall, anywhere) = if self.relays.is_empty() {
             (setting.hall_neighbours, setting.fleet_neighbours)
         } else {
-            let near = |member: &&Member| member.hall == self.own.hall && self.relay(&member.name);
-            let relays = self.members.iter().filter(near);
+            let local_relay =
+                |member: &&Member| member.hall == self.own.hall && self.is_relay(&member.name);
+            let relays = self.members.iter().filter(local_relay);
             let count = setting.relay_neighbours;
-            wanted.extend(ring::nearest(self.version, &self.own.name, relays, count));
+            wanted.extend(ring::select_peers(
+                self.version,
+                &self.own.name,
+                relays,
+                count,
+            ));
             (count, count / 2)
         };
         wanted.extend(ring::neighbours(
@@ -327,28 +335,29 @@
         self.peers.values().any(|peer| &*peer.name == name)
     }
 
-    /// A peer is being followed from now on.
-    pub fn join(&mut self, name: Arc<str>, now: Time) -> PeerKey {
-        let near = self
+    /// Adds a peer that is followed from now on.
+    pub fn add_peer(&mut self, name: Arc<str>, now: Time) -> PeerKey {
+        let same_hall = self
             .members
             .iter()
             .any(|member| member.name == name && member.hall == self.own.hall);
         self.peers.insert(Peer {
             relay: self.relays.contains(&name),
             name,
-            near,
+            same_hall,
             have: Bitmap::new(self.have.len()),
             load: 0,
             fetches: 0,
-            heard: now,
+            last_heard: now,
             avoid_until: now,
-            offences: 0,
-            drawing: Vec::new(),
+            failures: 0,
+            claims: Vec::new(),
         })
     }
 
-    /// A peer is no longer followed. Fetches from it report on their own.
-    pub fn leave(&mut self, key: PeerKey) {
+    /// Removes a peer that is no longer followed. The results of fetches from it are still
+    /// reported.
+    pub fn remove_peer(&mut self, key: PeerKey) {
         if let Some(peer) = self.peers.remove(key) {
             for chunk in peer.have.ones() {
                 self.rarity[chunk] -= 1;
@@ -356,22 +365,22 @@
         }
     }
 
-    /// A peer told of itself.
-    pub fn notice(&mut self, key: PeerKey, notice: Notice<'_>, now: Time) {
+    /// Applies the announcement of a peer.
+    pub fn update_peer(&mut self, key: PeerKey, announcement: Announcement<'_>, now: Time) {
         let Some(peer) = self.peers.get_mut(key) else {
             return;
         };
-        peer.heard = now;
-        peer.load = notice.load;
-        let brought = notice.origin_age.map(|age| now - age);
-        self.origin_brought = self.origin_brought.max(brought);
-        let claims = notice.drawing.iter().map(|&chunk| {
-            let mut known = peer.drawing.iter();
+        peer.last_heard = now;
+        peer.load = announcement.load;
+        let fetched = announcement.origin_age.map(|age| now - age);
+        self.last_origin_chunk = self.last_origin_chunk.max(fetched);
+        let claims = announcement.drawing.iter().map(|&chunk| {
+            let mut known = peer.claims.iter();
             let known = known.find(|claim| claim.chunk == chunk).copied();
             known.unwrap_or(Claim { chunk, since: now })
         });
-        peer.drawing = claims.collect();
-        for &chunk in notice.gained {
+        peer.claims = claims.collect();
+        for &chunk in announcement.gained {
             let chunk = chunk as usize;
             let Some(peer) = self.peers.get_mut(key) else {
                 return;
@@ -380,27 +389,28 @@
                 continue;
             }
             self.rarity[chunk] += 1;
-            self.see(chunk, now);
+            self.mark_seen(chunk, now);
         }
     }
 
-    /// Bytes of a fetch arrived.
-    pub fn progress(&mut self, key: FetchKey, now: Time) {
+    /// Records that bytes of a fetch have arrived.
+    pub fn record_progress(&mut self, key: FetchKey, now: Time) {
         let Some(fetch) = self.fetches.get_mut(key) else {
             return;
         };
-        fetch.progressed = now;
+        fetch.last_progress = now;
         if let Source::Peer(peer) = fetch.source
             && let Some(peer) = self.peers.get_mut(peer)
         {
-            peer.heard = now;
+            peer.last_heard = now;
         }
     }
 
-    /// A fetch ended. A fetch that was cancelled before is ignored, unless it brought its chunk.
+    /// Records the result of a fetch. For a fetch that was cancelled before, only a stored chunk
+    /// counts.
     pub fn finish(&mut self, key: FetchKey, chunk: u32, outcome: Outcome, now: Time) {
         if outcome == Outcome::Stored {
-            self.hold(chunk, now);
+            self.mark_held(chunk, now);
         }
         let Some(fetch) = self.remove_fetch(key) else {
             return;
@@ -408,89 +418,90 @@
         match outcome {
             Outcome::Stored => {
                 self.tally.stored += 1;
-                self.learn(fetch.source, now.since(fetch.started));
+                self.record_fetch_time(fetch.source, now.since(fetch.started));
             }
             Outcome::Corrupt => {
                 self.tally.corrupt += 1;
-                self.punish(fetch.source, now);
+                self.penalize(fetch.source, now);
             }
             Outcome::Busy => {
                 self.tally.busy += 1;
-                self.pause(fetch.source, now);
+                self.defer(fetch.source, now);
             }
             Outcome::Failed => {
                 self.tally.failed += 1;
-                self.punish(fetch.source, now);
+                self.penalize(fetch.source, now);
             }
         }
         if fetch.source == Source::Origin && outcome == Outcome::Stored {
             self.origin_backoff.succeeded();
-            self.origin_brought = Some(now);
+            self.last_origin_chunk = Some(now);
         }
     }
 
-    /// When the origin brought a chunk to anyone last, as far as is known here.
-    pub fn origin_brought(&self) -> Option<Time> {
-        self.origin_brought
+    /// Returns when any box last fetched a chunk from the origin, as far as this box knows.
+    pub fn last_origin_chunk(&self) -> Option<Time> {
+        self.last_origin_chunk
     }
 
-    /// Marks a chunk as held, from wherever it came.
-    pub fn hold(&mut self, chunk: u32, now: Time) {
+    /// Marks a chunk as held, regardless of its source.
+    pub fn mark_held(&mut self, chunk: u32, now: Time) {
         self.have.set(chunk as usize);
-        self.see(chunk as usize, now);
+        self.mark_seen(chunk as usize, now);
     }
 
     /// Whether every chunk is held.
     pub fn complete(&self) -> bool {
-        self.have.full()
+        self.have.is_full()
     }
 
-    /// Chunks held, and chunks in all.
-    pub fn held(&self) -> (usize, usize) {
+    /// Returns the number of chunks held, and the total.
+    pub fn progress(&self) -> (usize, usize) {
         (self.have.count(), self.have.len())
     }
 
-    /// What is known of the version's weights, here and at peers.
+    /// Returns how much of the version is available on this box and its peers.
     pub fn availability(&self, now: Time) -> Outlook {
-        let lacked = |chunk: &usize| !self.have.get(*chunk);
-        let unseen = |chunk: &usize| lacked(chunk) && self.rarity[*chunk] == 0;
+        let missing = |chunk: &usize| !self.have.get(*chunk);
+        let unseen = |chunk: &usize| missing(chunk) && self.rarity[*chunk] == 0;
         let chunks = 0..self.have.len();
         Outlook {
-            missing: chunks.clone().filter(lacked).count() as u32,
+            missing: chunks.clone().filter(missing).count() as u32,
             unseen: chunks.clone().filter(unseen).count() as u32,
             chunks: chunks.len() as u32,
-            // To a box that joins, chunks are new that others have had for long.
-            quiet: now.since(self.origin_brought.unwrap_or(self.new_seen)),
+            // A joining box sees chunks as new that others have held for long, so the time of the
+            // last fetch from the origin takes precedence.
+            quiet: now.since(self.last_origin_chunk.unwrap_or(self.last_new_chunk)),
         }
     }
 
-    /// All fetches were dropped.
-    pub fn drop_all(&mut self) {
+    /// Removes all fetches after the caller has cancelled them.
+    pub fn clear_fetches(&mut self) {
         let keys: Vec<FetchKey> = self.fetches.keys().collect();
         for key in keys {
             self.remove_fetch(key);
         }
     }
 
-    /// Draws nothing from the origin from now on.
-    pub fn leave_origin(&mut self) {
+    /// Disables fetches from the origin.
+    pub fn disable_origin(&mut self) {
         self.setting.origin_fetches_max = 0;
     }
 
-    /// How fetches ended so far.
+    /// Returns the number of fetches by result.
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// Peers that spoke within the silence bound.
+    /// Returns the number of peers that were heard from within [`Setting::peer_timeout`].
     pub fn responsive_peers(&self, now: Time) -> usize {
         self.peers
             .values()
-            .filter(|peer| now.since(peer.heard) < self.setting.peer_timeout)
+            .filter(|peer| now.since(peer.last_heard) < self.setting.peer_timeout)
             .count()
     }
 
-    /// Plans the next step.
+    /// Returns the actions that are due: fetches to cancel and fetches to start.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.complete() {
@@ -504,18 +515,19 @@
 
     fn cancel_stalled(&mut self, now: Time, actions: &mut Vec<Action>) {
         let limit = self.stall_limit();
-        let slow = limit.max(self.usual.unwrap_or(limit) * SLOW_FACTOR);
+        let slow = limit.max(self.mean_fetch_time.unwrap_or(limit) * SLOW_FACTOR);
         let stalled: Vec<FetchKey> = self
             .fetches
             .iter()
             .filter(|(_, fetch)| {
-                let quiet = now.since(fetch.progressed);
+                let idle = now.since(fetch.last_progress);
                 match fetch.source {
-                    // What still comes over a link that many share is never begun anew.
-                    Source::Origin => quiet >= self.setting.origin_stall,
+                    // The origin's link is shared by many, so a fetch that still receives bytes is
+                    // not restarted however slow it is.
+                    Source::Origin => idle >= self.setting.origin_stall_timeout,
                     Source::Peer(peer) => {
                         let slow = now.since(fetch.started) >= slow;
-                        quiet >= limit || slow || self.silent(peer, now)
+                        idle >= limit || slow || self.is_unresponsive(peer, now)
                     }
                 }
             })
@@ -526,31 +538,31 @@
                 continue;
             };
             self.tally.cancelled += 1;
-            self.punish(fetch.source, now);
+            self.penalize(fetch.source, now);
             actions.push(Action::Cancel { fetch: key });
         }
     }
 
-    fn silent(&self, peer: PeerKey, now: Time) -> bool {
+    fn is_unresponsive(&self, peer: PeerKey, now: Time) -> bool {
         let peer = self.peers.get(peer);
-        peer.is_none_or(|peer| now.since(peer.heard) >= self.setting.peer_timeout)
+        peer.is_none_or(|peer| now.since(peer.last_heard) >= self.setting.peer_timeout)
     }
 
-    /// A fetch that waits behind others at its peer makes no progress either, so the bound follows
-    /// the length of usual fetches.
+    /// Returns how long a fetch from a peer may receive no bytes. The limit grows with the mean
+    /// fetch time, because a fetch that is queued at its peer makes no progress either.
     fn stall_limit(&self) -> Duration {
-        let usual = self.usual.unwrap_or_default();
-        self.setting.stall.max(usual * STALL_FACTOR)
+        let mean = self.mean_fetch_time.unwrap_or_default();
+        self.setting.stall_timeout.max(mean * STALL_FACTOR)
     }
 
-    /// Whether a followed peer of this name spoke within the silence bound.
-    pub fn heard_from(&self, name: &str, now: Time) -> bool {
-        self.peers
-            .values()
-            .any(|peer| &*peer.name == name && now.since(peer.heard) < self.setting.peer_timeout)
+    /// Whether the followed peer `name` was heard from within [`Setting::peer_timeout`].
+    pub fn is_responsive(&self, name: &str, now: Time) -> bool {
+        self.peers.values().any(|peer| {
+            &*peer.name == name && now.since(peer.last_heard) < self.setting.peer_timeout
+        })
     }
 
-    fn begin(&mut self, chunk: u32, source: Source, now: Time) -> Action {
+    fn start_fetch(&mut self, chunk: u32, source: Source, now: Time) -> Action {
         if let Source::Peer(key) = source {
             self.peers[key].fetches += 1;
         }
@@ -559,7 +571,7 @@
             chunk,
             source,
             started: now,
-            progressed: now,
+            last_progress: now,
         });
         Action::Fetch {
             fetch,
@@ -579,45 +591,46 @@
         Some(fetch)
     }
 
-    fn learn(&mut self, source: Source, took: Duration) {
-        let known = match source {
-            Source::Origin => &mut self.usual_at_origin,
-            Source::Peer(_) => &mut self.usual,
+    fn record_fetch_time(&mut self, source: Source, took: Duration) {
+        let mean = match source {
+            Source::Origin => &mut self.mean_origin_fetch_time,
+            Source::Peer(_) => &mut self.mean_fetch_time,
         };
-        *known = Some(match *known {
+        *mean = Some(match *mean {
             None => took,
-            Some(usual) => (usual * (SMOOTHING - 1) + took) / SMOOTHING,
+            Some(mean) => (mean * (SMOOTHING - 1) + took) / SMOOTHING,
         });
     }
 
-    /// Passes over a source that failed badly, for longer each time.
-    fn punish(&mut self, source: Source, now: Time) {
+    /// Excludes a source after a failure, for longer each time.
+    fn penalize(&mut self, source: Source, now: Time) {
         match source {
-            Source::Origin => self.pause_origin(now),
+            Source::Origin => self.back_off_origin(now),
             Source::Peer(key) => {
                 let penalty = self.setting.penalty;
                 if let Some(peer) = self.peers.get_mut(key) {
-                    peer.avoid_until = now + penalty * 2u32.pow(peer.offences.min(DOUBLINGS_MAX));
-                    peer.offences += 1;
+                    peer.avoid_until =
+                        now + penalty * 2u32.pow(peer.failures.min(PENALTY_DOUBLINGS_MAX));
+                    peer.failures += 1;
                 }
             }
         }
     }
 
-    fn pause(&mut self, source: Source, now: Time) {
+    fn defer(&mut self, source: Source, now: Time) {
         match source {
-            Source::Origin => self.pause_origin(now),
+            Source::Origin => self.back_off_origin(now),
             Source::Peer(key) => {
                 if let Some(peer) = self.peers.get_mut(key) {
-                    peer.avoid_until = now + BUSY_PAUSE;
+                    peer.avoid_until = now + BUSY_DELAY;
                 }
             }
         }
     }
 
-    fn pause_origin(&mut self, now: Time) {
+    fn back_off_origin(&mut self, now: Time) {
         let pause = self.origin_backoff.failed();
         let jitter = self.rng.random_range(0.5..1.0);
-        self.origin_pause_until = now + pause.mul_f64(jitter);
+        self.origin_retry_at = now + pause.mul_f64(jitter);
     }
 }
--- a/src/spread/swarm/holder.rs
+++ b/src/spread/swarm/holder.rs
@@ -1,4 +1,4 @@
-//! What a box draws from peers: which chunk next, and from which of its holders.
+//! Fetches from peers: which chunk to fetch next, and from which of its holders.
 
 use rand::RngExt;
 
@@ -13,8 +13,8 @@
         }
         let setting = self.setting;
         let order = self.rarest_first();
-        // A holder with a free slot first, even of a commoner chunk: a link that idles now is time
-        // lost, while a rare chunk whose holders are all busy is being copied anyway.
+        // Holders with a free slot are preferred, even for a more common chunk: an idle link is
+        // wasted capacity, while a rare chunk whose holders are all busy is being copied anyway.
         let free = setting.upload_slots as u32;
         let queued = free + setting.upload_queue_max as u32;
         for load_max in [free, queued] {
@@ -25,7 +25,7 @@
                 let Some(peer) = self.best_holder(chunk, load_max, now) else {
                     continue;
                 };
-                actions.push(self.begin(chunk, Source::Peer(peer), now));
+                actions.push(self.start_fetch(chunk, Source::Peer(peer), now));
                 room -= 1;
                 if room == 0 {
                     return;
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Chunks that can be drawn from a peer: rarest first, in random order among equals.
+    /// Returns the chunks that a peer holds and this box needs, rarest first, in random order among
+    /// equally rare ones.
     fn rarest_first(&mut self) -> Vec<(u32, u32, u32)> {
         let mut order = Vec::new();
         for chunk in 0..self.have.len() {
@@ -47,13 +48,14 @@
         order
     }
 
-    /// The holder of `chunk` with the least to do, if any has less than `load_max`.
+    /// Returns the least loaded holder of `chunk` whose load is below `load_max`. Relays, which
+    /// have a limit of their own, are preferred.
     fn best_holder(&mut self, chunk: u32, load_max: u32, now: Time) -> Option<PeerKey> {
         let setting = self.setting;
         let import = self.may_import(chunk, now);
         let mut best: Option<(bool, bool, u32, u32, PeerKey)> = None;
         for (key, peer) in &self.peers {
-            if !peer.near && !import {
+            if !peer.same_hall && !import {
                 continue;
             }
             let load = peer.load.max(peer.fetches);
@@ -65,13 +67,14 @@
             let eligible = peer.have.get(chunk as usize)
                 && peer.fetches < fetches_max
                 && peer.avoid_until <= now
-                && now.since(peer.heard) < setting.peer_timeout
+                && now.since(peer.last_heard) < setting.peer_timeout
                 && load < load_max;
             if !eligible {
                 continue;
             }
-            // Bytes between halls are dear where chunks are to enter a hall once.
-            let far = setting.import_once && !peer.near;
+            // With `import_once`, traffic between halls is expensive, so holders in the own hall
+            // are preferred.
+            let far = setting.import_once && !peer.same_hall;
             let candidate = (far, !peer.relay, load, self.rng.random(), key);
             if best.is_none_or(|known| candidate < known) {
                 best = Some(candidate);
--- a/src/spread/swarm/origin.rs
+++ b/src/spread/swarm/origin.rs
@@ -1,4 +1,5 @@
-//! What a box draws from the origin: its part as a sponsor, what other sponsors leave, and what nobody brings.
+//! Fetches from the origin: the box's share as a sponsor, the remaining chunks of other sponsors,
+//! and chunks that no sponsor delivers.
 
 use std::time::Duration;
 
@@ -10,50 +11,53 @@
 
 impl Swarm {
     pub(super) fn fetch_from_origin(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if now < self.origin_pause_until || self.settling(now) {
+        if now < self.origin_retry_at || self.is_settling(now) {
             return;
         }
-        let drawing = self
+        let fetching = self
             .fetches
             .values()
             .filter(|fetch| fetch.source == Source::Origin)
             .count();
-        if drawing >= self.setting.origin_fetches_max {
+        if fetching >= self.setting.origin_fetches_max {
             return;
         }
-        if let Some(chunk) = self.origin_chunk(now) {
-            actions.push(self.begin(chunk, Source::Origin, now));
+        if let Some(chunk) = self.next_origin_chunk(now) {
+            actions.push(self.start_fetch(chunk, Source::Origin, now));
         }
     }
 
-    /// Whether peers may still tell of chunks that the box would draw from the origin otherwise.
-    fn settling(&self, now: Time) -> bool {
+    /// Whether to wait for peers to announce chunks before fetching them from the origin.
+    fn is_settling(&self, now: Time) -> bool {
         let settle = self.setting.settle;
-        let heard = !self.setting.settle_fully && self.peers.len() >= self.regular_peers().len();
-        now.since(self.began) < settle && !heard
+        let complete = !self.setting.settle_fully && self.peers.len() >= self.regular_peers().len();
+        now.since(self.started) < settle && !complete
     }
 
-    /// Chunks that are being drawn from the origin.
-    pub fn drawing(&self) -> Vec<u32> {
+    /// Returns the chunks that this box is fetching from the origin.
+    pub fn origin_fetches(&self) -> Vec<u32> {
         let fetches = self.fetches.values();
-        let drawn = fetches.filter(|fetch| fetch.source == Source::Origin);
-        drawn.map(|fetch| fetch.chunk).collect()
+        let from_origin = fetches.filter(|fetch| fetch.source == Source::Origin);
+        from_origin.map(|fetch| fetch.chunk).collect()
     }
 
-    /// Chunks that a peer in reach is drawing from the origin. One that takes too long is left out.
+    /// Returns the chunks that responsive peers are fetching from the origin, except those that
+    /// take too long.
     fn claimed(&self, now: Time) -> Vec<u32> {
         if !self.setting.claims {
             return Vec::new();
         }
-        let speaking = self.peers.values();
-        let speaking = speaking.filter(|peer| now.since(peer.heard) < self.setting.peer_timeout);
-        let claims = speaking.flat_map(|peer| &peer.drawing);
-        let young = claims.filter(|claim| now.since(claim.since) < self.setting.origin_stall);
-        young.map(|claim| claim.chunk).collect()
+        let peers = self.peers.values();
+        let responsive =
+            peers.filter(|peer| now.since(peer.last_heard) < self.setting.peer_timeout);
+        let claims = responsive.flat_map(|peer| &peer.claims);
+        let recent =
+            claims.filter(|claim| now.since(claim.since) < self.setting.origin_stall_timeout);
+        recent.map(|claim| claim.chunk).collect()
     }
 
-    /// The chunk that this box should draw from the origin now.
-    fn origin_chunk(&mut self, now: Time) -> Option<u32> {
+    /// Returns the chunk that this box should fetch from the origin now.
+    fn next_origin_chunk(&mut self, now: Time) -> Option<u32> {
         let claimed = self.claimed(now);
         let unseen: Vec<u32> = (0..self.have.len())
             .filter(|&chunk| {
@@ -65,32 +69,32 @@
         if unseen.is_empty() {
             return None;
         }
-        if let Some(chunk) = self.sponsored_chunk(&unseen, now) {
+        if let Some(chunk) = self.next_sponsored_chunk(&unseen, now) {
             return Some(chunk);
         }
-        self.stands_in |= self.steps_in(now);
+        self.substituting |= self.should_substitute(now);
         let any = self.rng.random_range(0..unseen.len());
-        self.stands_in.then(|| unseen[any])
+        self.substituting.then(|| unseen[any])
     }
 
-    /// Whether this box is to draw in place of sponsors from which nothing has come for long.
-    fn steps_in(&self, now: Time) -> bool {
-        let quiet = now.since(self.new_seen).as_millis();
-        let ranks = ring::substitutes(quiet / self.sponsor_wait().as_millis().max(1));
+    /// Whether this box should fetch in place of sponsors, because no new chunk was seen for long.
+    fn should_substitute(&self, now: Time) -> bool {
+        let idle = now.since(self.last_new_chunk).as_millis();
+        let ranks = ring::substitute_count(idle / self.sponsor_wait().as_millis().max(1));
         let rank = || ring::substitute_rank(self.version, &self.own, &self.members, &self.relays);
         ranks > 0 && rank() < ranks
     }
 
-    /// The chunk that this box should draw as a sponsor: one of its own part in its own order, or
-    /// else the one that its sponsor comes to last.
-    fn sponsored_chunk(&mut self, unseen: &[u32], now: Time) -> Option<u32> {
+    /// Returns the chunk that this box should fetch as a sponsor: the next one of its own share, or
+    /// else, of the chunks that it may take over, the one that its sponsor would fetch last.
+    fn next_sponsored_chunk(&mut self, unseen: &[u32], now: Time) -> Option<u32> {
         let active = self.active_sponsors(now);
         if !active.contains(&&*self.own.name) {
             return None;
         }
         let regular = &self.sponsors[..self.sponsors.len().min(self.setting.sponsors)];
         let place = |chunk: u32| {
-            let order = ring::drawers(self.version, chunk, regular, &active);
+            let order = ring::fetch_order(self.version, chunk, regular, &active);
             order.iter().position(|name| *name == &*self.own.name)
         };
         let count = self.have.len();
@@ -102,40 +106,42 @@
         let (before, after) = unseen.split_at(unseen.partition_point(|&chunk| chunk < first));
         let mut order = after.iter().chain(before).copied();
         if let Some(own) = order.find(|&chunk| place(chunk) == Some(0)) {
-            self.drawn_since = None;
+            self.share_fetched_at = None;
             return Some(own);
         }
-        let since = now.since(self.drawn_since.unwrap_or(now)).as_millis();
+        let since = now.since(self.share_fetched_at.unwrap_or(now)).as_millis();
         let reach = since / self.setting.takeover_interval.as_millis().max(1);
         let within = |chunk: &u32| place(*chunk).is_some_and(|place| place as u128 <= reach);
         let last = |chunk: &u32| {
-            let sponsor = ring::drawers(self.version, *chunk, regular, &active);
+            let sponsor = ring::fetch_order(self.version, *chunk, regular, &active);
             sponsor
                 .first()
-                .map(|name| ring::turn(self.version, *chunk, name, count))
+                .map(|name| ring::fetch_index(self.version, *chunk, name, count))
         };
         let taken = unseen.iter().copied().filter(within).max_by_key(last);
-        self.drawn_since = self.drawn_since.or(Some(now));
+        self.share_fetched_at = self.share_fetched_at.or(Some(now));
         taken
     }
 
-    /// How long unseen chunks are left to their sponsors after the last new one was seen.
+    /// Returns how long unseen chunks are left to their sponsors after the last new one was seen.
     fn sponsor_wait(&self) -> Duration {
-        let at_origin = self.usual_at_origin.unwrap_or(self.setting.origin_fetch);
-        let usual = self.usual.unwrap_or_default().max(at_origin);
-        let fetches = usual * self.setting.sponsor_wait_fetches;
+        let at_origin = self
+            .mean_origin_fetch_time
+            .unwrap_or(self.setting.origin_fetch_time);
+        let mean = self.mean_fetch_time.unwrap_or_default().max(at_origin);
+        let fetches = mean * self.setting.sponsor_wait_fetches;
         self.setting.sponsor_wait.max(fetches)
     }
 
-    /// The sponsors on duty as far as this box, if a sponsor itself, can tell.
+    /// Returns the active sponsors as far as this box knows. Empty if it is no sponsor itself.
     fn active_sponsors(&self, now: Time) -> Vec<&str> {
         if !self.sponsors.contains(&self.own.name) {
             return Vec::new();
         }
-        let grace = now.since(self.began) < self.setting.peer_timeout;
+        let grace = now.since(self.started) < self.setting.peer_timeout;
         self.sponsors
             .iter()
-            .filter(|name| **name == self.own.name || grace || self.heard_from(name, now))
+            .filter(|name| **name == self.own.name || grace || self.is_responsive(name, now))
             .take(self.setting.sponsors)
             .map(|name| &**name)
             .collect()
--- a/src/spread/upload.rs
+++ b/src/spread/upload.rs
@@ -1,5 +1,5 @@
-//! The schedule of uploads: few at a time, the chunk that was served least first, and no slot for
-//! a reader that has stopped reading.
+//! Scheduling of uploads. A box has a few upload slots. Requests for chunks that it has not
+//! uploaded yet come first, and a reader that has stopped reading does not occupy a slot.
 
 use std::time::Duration;
 
@@ -8,67 +8,68 @@
 use crate::clock::Time;
 
 slotmap::new_key_type! {
-    /// One upload, waiting or running.
+    /// An upload, waiting or running.
     pub struct UploadKey;
 }
 
-/// A reader that took nothing for so long loses its slot (not its upload).
-const SLOW_READER: Duration = Duration::from_millis(400);
+/// A reader that has taken no bytes for this long loses its slot. Its upload goes on.
+const SLOW_READER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Uploads to slow readers that are kept going beside the slots.
-const PARKED_MAX: usize = 8;
+/// Maximum number of uploads to slow readers, besides those that occupy a slot. No further upload
+/// starts while there are this many.
+const SLOW_UPLOADS_MAX: usize = 8;
 
-/// Where an upload stands.
+/// State of an upload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Waiting,
-    Running { progressed: Time },
+    Running { last_progress: Time },
 }
 
 #[derive(Debug)]
 struct Upload {
     chunk: u32,
-    arrived: u64,
+    sequence: u64,
     state: State,
 }
 
-/// What becomes of a request for a chunk.
+/// Result of a request for a chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it now.
+    /// The upload starts at once.
     Start(UploadKey),
-    /// Send it when [`Queue::next`] names it.
+    /// The upload starts when [`Queue::next`] returns its key.
     Wait(UploadKey),
-    /// Too many wait: the reader should ask another box.
+    /// The queue is full. The reader should ask another box.
     Busy,
 }
 
-/// The uploads of one box.
+/// The uploads of one version from this box.
 #[derive(Debug)]
 pub struct Queue {
     slots: usize,
     waiting_max: usize,
-    arrivals: u64,
+    last_sequence: u64,
     uploads: SlotMap<UploadKey, Upload>,
-    served: Vec<u32>,
+    serve_counts: Vec<u32>,
 }
 
 impl Queue {
-    /// A queue with `slots` uploads at a time and `waiting_max` behind them.
+    /// Creates a queue that runs `slots` uploads at a time and lets `waiting_max` more wait.
     pub fn new(slots: usize, waiting_max: usize) -> Self {
         Self {
             slots,
             waiting_max,
-            arrivals: 0,
+            last_sequence: 0,
             uploads: SlotMap::with_key(),
-            served: Vec::new(),
+            serve_counts: Vec::new(),
         }
     }
 
-    /// Takes a request for `chunk`.
+    /// Admits or rejects a request for `chunk`.
     pub fn request(&mut self, chunk: u32, now: Time) -> Admission {
         if self.slot_free(now) {
-            return Admission::Start(self.insert(chunk, State::Running { progressed: now }));
+            return Admission::Start(self.insert(chunk, State::Running { last_progress: now }));
         }
         if self.waiting() >= self.waiting_max {
             return Admission::Busy;
@@ -76,47 +77,50 @@
         Admission::Wait(self.insert(chunk, State::Waiting))
     }
 
-    /// Names the next upload to start, if a slot is free.
+    /// Marks the next waiting upload as running and returns it, if a slot is free.
     pub fn next(&mut self, now: Time) -> Option<UploadKey> {
         if !self.slot_free(now) {
             return None;
         }
-        let served = &self.served;
+        let serve_counts = &self.serve_counts;
         let key = self
             .uploads
             .iter()
             .filter(|(_, upload)| upload.state == State::Waiting)
             .min_by_key(|(_, upload)| {
-                let times = served.get(upload.chunk as usize).copied().unwrap_or(0);
-                (times > 0, upload.arrived)
+                let times = serve_counts
+                    .get(upload.chunk as usize)
+                    .copied()
+                    .unwrap_or(0);
+                (times > 0, upload.sequence)
             })
             .map(|(key, _)| key)?;
-        self.uploads[key].state = State::Running { progressed: now };
+        self.uploads[key].state = State::Running { last_progress: now };
         Some(key)
     }
 
-    /// The reader took some bytes.
-    pub fn progress(&mut self, key: UploadKey, now: Time) {
+    /// Records that the reader has taken some bytes.
+    pub fn record_progress(&mut self, key: UploadKey, now: Time) {
         if let Some(upload) = self.uploads.get_mut(key) {
-            upload.state = State::Running { progressed: now };
+            upload.state = State::Running { last_progress: now };
         }
     }
 
-    /// The upload ended, whole or not.
-    pub fn finish(&mut self, key: UploadKey, whole: bool) {
+    /// Removes an upload that has ended, completely or not.
+    pub fn finish(&mut self, key: UploadKey, completed: bool) {
         let Some(upload) = self.uploads.remove(key) else {
             return;
         };
-        if whole {
+        if completed {
             let index = upload.chunk as usize;
-            if self.served.len() <= index {
-                self.served.resize(index + 1, 0);
+            if self.serve_counts.len() <= index {
+                self.serve_counts.resize(index + 1, 0);
             }
-            self.served[index] += 1;
+            self.serve_counts[index] += 1;
         }
     }
 
-    /// Uploads that wait for a slot.
+    /// Returns the number of uploads that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.uploads
             .values()
@@ -124,38 +128,39 @@
             .count()
     }
 
-    /// Uploads waiting or running: what a reader should expect before it.
+    /// Returns the number of uploads that are waiting or running, as a measure of how long a reader
+    /// may have to wait.
     pub fn load(&self) -> usize {
         self.uploads.len()
     }
 
     fn slot_free(&self, now: Time) -> bool {
-        self.running(now) < self.slots && self.parked(now) < PARKED_MAX
+        self.running(now) < self.slots && self.slow_uploads(now) < SLOW_UPLOADS_MAX
     }
 
     fn running(&self, now: Time) -> usize {
-        self.count_running(|quiet| quiet < SLOW_READER, now)
+        self.count_running(|idle| idle < SLOW_READER_TIMEOUT, now)
     }
 
-    fn parked(&self, now: Time) -> usize {
-        self.count_running(|quiet| quiet >= SLOW_READER, now)
+    fn slow_uploads(&self, now: Time) -> usize {
+        self.count_running(|idle| idle >= SLOW_READER_TIMEOUT, now)
     }
 
     fn count_running(&self, counts: impl Fn(Duration) -> bool, now: Time) -> usize {
         self.uploads
             .values()
             .filter(|upload| match upload.state {
-                State::Running { progressed } => counts(now.since(progressed)),
+                State::Running { last_progress } => counts(now.since(last_progress)),
                 State::Waiting => false,
             })
             .count()
     }
 
     fn insert(&mut self, chunk: u32, state: State) -> UploadKey {
-        self.arrivals += 1;
+        self.last_sequence += 1;
         self.uploads.insert(Upload {
             chunk,
-            arrived: self.arrivals,
+            sequence: self.last_sequence,
             state,
         })
     }
--- a/src/weight.rs
+++ b/src/weight.rs
@@ -1,8 +1,8 @@
-//! Weights: digests, manifests, and the store that holds only verified chunks.
+//! Model weights: digests, manifests, and the in-memory store of verified chunks.
 //!
-//! A version is named by the digest of its manifest, and the manifest lists the digest of every
-//! chunk. A chunk enters the [`Store`] only after its bytes were hashed and compared, so whatever
-//! the store hands out belongs to exactly one version.
+//! A version is identified by the digest of its manifest, and the manifest lists the digest of
+//! every chunk. A chunk enters the [`Store`] only after its bytes were hashed and compared, so
+//! every chunk that the store returns belongs to exactly one version.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,19 +15,19 @@
 /// Bytes in a digest.
 const DIGEST_BYTES: usize = 32;
 
-/// Digits of a digest that [`Digest::short`] shows.
-const SHORT_DIGITS: usize = 12;
+/// Hexadecimal digits that [`Digest::short`] returns.
+const SHORT_DIGEST_DIGITS: usize = 12;
 
-/// Separates manifest digests from digests of anything else that BLAKE3 may be used for.
+/// Key derivation context that keeps manifest digests distinct from other uses of BLAKE3.
 const MANIFEST_CONTEXT: &str = "pumicelatch 2026-12 weight manifest v1";
 
-/// Chunks that one manifest may list.
+/// Maximum number of chunks in a manifest.
 pub const CHUNKS_MAX: usize = 65_536;
 
-/// How the digests of a version's chunks are computed.
+/// Hash function for the chunk digests of a version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Hash {
-    /// BLAKE3, as the product's own origin lists them.
+    /// BLAKE3, used by the product's own origin.
     #[default]
     Blake3,
     /// SHA-256.
@@ -35,7 +35,7 @@
 }
 
 impl Hash {
-    /// The digest of `bytes`.
+    /// Returns the digest of `bytes`.
     pub fn of(self, bytes: &[u8]) -> Digest {
         let mut hasher = self.hasher();
         hasher.update(bytes);
@@ -50,7 +50,7 @@
     }
 }
 
-/// A digest in the making.
+/// Incremental computation of a digest.
 #[derive(Debug)]
 enum Hasher {
     Blake3(Box<blake3::Hasher>),
@@ -75,24 +75,24 @@
     }
 }
 
-/// A digest of 32 bytes. Shown and serialized as 64 hexadecimal digits.
+/// A 32-byte digest. Displayed and serialized as 64 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; DIGEST_BYTES]);
 
 impl Digest {
-    /// The BLAKE3 digest of `bytes`.
+    /// Returns the BLAKE3 digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
-    /// The raw bytes.
+    /// Returns the raw bytes.
     pub fn as_bytes(&self) -> &[u8; DIGEST_BYTES] {
         &self.0
     }
 
-    /// The first twelve digits, for tables and logs.
+    /// Returns the first 12 digits, for tables and logs.
     pub fn short(&self) -> String {
-        self.to_string()[..SHORT_DIGITS].to_owned()
+        self.to_string()[..SHORT_DIGEST_DIGITS].to_owned()
     }
 }
 
@@ -141,90 +141,91 @@
     }
 }
 
-/// What can go wrong with weights.
+/// An error in a digest, a manifest or the store.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Text that should be a digest is not.
+    /// The text is not a valid digest.
     #[error("`{text}` is not a digest: expected 64 hexadecimal digits")]
     DigestText {
-        /// The text, cut to 80 characters.
+        /// The text, truncated to 80 characters.
         text: String,
     },
-    /// A manifest cannot be read.
-    #[error("manifest cannot be read: {reason}")]
+    /// A manifest cannot be decoded.
+    #[error("failed to decode manifest: {reason}")]
     ManifestText {
-        /// What the codec reported.
+        /// Error of the decoder.
         reason: String,
     },
-    /// A manifest does not hash to the digest it was asked for by.
-    #[error("manifest hashes to {found}, expected {expected}")]
+    /// A manifest does not match the digest under which it was requested.
+    #[error("manifest digest mismatch: got {found}, expected {expected}")]
     ManifestDigest {
-        /// The digest that names the version.
+        /// Digest that identifies the version.
         expected: Digest,
-        /// What the received manifest hashes to.
+        /// Digest of the received manifest.
         found: Digest,
     },
-    /// A manifest whose fields contradict each other.
+    /// The fields of a manifest contradict each other, or it lists more than [`CHUNKS_MAX`]
+    /// chunks.
     #[error(
-        "manifest of {chunks} chunks does not fit {model_bytes} bytes in chunks of {chunk_bytes}"
+        "inconsistent manifest: {chunks} chunks for {model_bytes} bytes in chunks of {chunk_bytes}"
     )]
     ManifestShape {
         /// Length of the chunk list.
         chunks: usize,
-        /// Bytes of the whole model.
+        /// Size of the model in bytes.
         model_bytes: u64,
-        /// Bytes of every chunk but the last.
+        /// Size in bytes of every chunk but the last.
         chunk_bytes: u32,
     },
-    /// A chunk's bytes do not hash to what the manifest lists.
-    #[error("chunk {index} of {version:?} failed verification")]
+    /// A chunk has more bytes than the manifest allows, or another digest.
+    #[error("chunk {index} of version {version:?} does not match its manifest")]
     ChunkDigest {
-        /// The version the chunk was fetched for.
+        /// Version to which the chunk should belong.
         version: Digest,
-        /// The chunk's place in the manifest.
+        /// Index of the chunk in the manifest.
         index: u32,
     },
-    /// A chunk's place lies outside the manifest.
+    /// The manifest has no chunk with this index.
     #[error("version {version:?} has no chunk {index}")]
     ChunkIndex {
-        /// The version the chunk was fetched for.
+        /// Version to which the chunk should belong.
         version: Digest,
-        /// The place that was named.
+        /// Requested index.
         index: u32,
     },
-    /// The store has no room for the version.
+    /// The store has too little free capacity for the version.
     #[error("version {version:?} needs {needed} bytes, {free} of {capacity} are free")]
     Capacity {
-        /// The version that was to be admitted.
+        /// Version that was to be admitted.
         version: Digest,
-        /// Bytes that it takes.
+        /// Size of the version in bytes.
         needed: u64,
-        /// Bytes that are free.
+        /// Unreserved bytes.
         free: u64,
-        /// The bound on the store.
+        /// Capacity of the store in bytes.
         capacity: u64,
     },
     /// The version was never admitted, or was released.
     #[error("version {version:?} is not in the store")]
     Unknown {
-        /// The version that was named.
+        /// Requested version.
         version: Digest,
     },
 }
 
-/// The list of a version's chunks. Its digest names the version.
+/// The list of chunks of a version. Its digest identifies the version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Bytes of the whole model.
+    /// Size of the model in bytes.
     pub model_bytes: u64,
-    /// Bytes of every chunk but the last, which may be shorter.
+    /// Size in bytes of every chunk but the last, which may be shorter.
     pub chunk_bytes: u32,
     /// Digest of each chunk, in order.
     pub chunks: Vec<Digest>,
 }
 
 impl Manifest {
-    /// Cuts `model` into chunks of `chunk_bytes` and lists their digests.
+    /// Splits `model` into chunks of `chunk_bytes` and lists their digests.
     pub fn of(model: &[u8], chunk_bytes: u32) -> Self {
         Self {
             model_bytes: model.len() as u64,
@@ -236,7 +237,7 @@
         }
     }
 
-    /// The digest that names this version.
+    /// Returns the digest that identifies this version.
     pub fn digest(&self) -> Digest {
         let mut hasher = blake3::Hasher::new_derive_key(MANIFEST_CONTEXT);
         hasher.update(&self.model_bytes.to_le_bytes());
@@ -247,7 +248,7 @@
         hasher.finalize().into()
     }
 
-    /// Confirms that this manifest is the one named `expected` and that its fields agree.
+    /// Checks that this manifest has the digest `expected` and that its fields are consistent.
     pub fn verify(&self, expected: Digest) -> Result<(), Error> {
         let found = self.digest();
         if found != expected {
@@ -256,7 +257,7 @@
         self.verify_shape()
     }
 
-    /// Confirms that the fields agree.
+    /// Checks that the number of chunks matches the sizes and does not exceed [`CHUNKS_MAX`].
     pub fn verify_shape(&self) -> Result<(), Error> {
         let chunk_bytes = u64::from(self.chunk_bytes.max(1));
         if self.chunks.len() > CHUNKS_MAX
@@ -271,7 +272,7 @@
         Ok(())
     }
 
-    /// Bytes of chunk `index`; zero when there is none.
+    /// Returns the size of chunk `index` in bytes, or 0 if there is no such chunk.
     pub fn chunk_len(&self, index: u32) -> u64 {
         let start = u64::from(index) * u64::from(self.chunk_bytes);
         self.model_bytes
@@ -280,9 +281,10 @@
     }
 }
 
-/// A chunk on its way in: hashed as its bytes come, so that no long hash holds the thread up.
+/// A chunk that is being received. It is hashed incrementally, as its bytes arrive, so that no
+/// long hash computation blocks the thread.
 #[derive(Debug)]
-pub struct Receipt {
+pub struct PartialChunk {
     version: Digest,
     index: u32,
     expected: Digest,
@@ -291,11 +293,11 @@
     hasher: Hasher,
 }
 
-impl Receipt {
-    /// Takes the next bytes. More than the manifest allows is a failed verification.
+impl PartialChunk {
+    /// Appends the next bytes. Fails if the chunk gets longer than the manifest allows.
     pub fn push(&mut self, part: &[u8]) -> Result<(), Error> {
         if self.bytes.len() + part.len() > self.length {
-            return Err(self.failure());
+            return Err(self.mismatch());
         }
         if self.bytes.is_empty() {
             self.bytes.reserve(self.length);
@@ -305,17 +307,17 @@
         Ok(())
     }
 
-    /// Whether as many bytes came as the manifest says. Fewer are a broken exchange, not a bad
-    /// chunk.
-    pub fn full(&self) -> bool {
+    /// Whether as many bytes arrived as the manifest lists. Fewer mean that the transfer was cut
+    /// off, not that the chunk is corrupt.
+    pub fn is_complete(&self) -> bool {
         self.bytes.len() == self.length
     }
 
-    /// Compares what came with the manifest.
+    /// Compares the digest with the manifest.
     pub fn finish(self) -> Result<Chunk, Error> {
-        let failure = self.failure();
+        let mismatch = self.mismatch();
         if self.hasher.finish() != self.expected {
-            return Err(failure);
+            return Err(mismatch);
         }
         Ok(Chunk {
             version: self.version,
@@ -324,7 +326,7 @@
         })
     }
 
-    fn failure(&self) -> Error {
+    fn mismatch(&self) -> Error {
         Error::ChunkDigest {
             version: self.version,
             index: self.index,
@@ -332,7 +334,8 @@
     }
 }
 
-/// A verified chunk. Only [`Receipt::finish`] makes one, so the store cannot hold any other.
+/// A verified chunk. Only [`PartialChunk::finish`] creates one, so the store cannot hold
+/// unverified bytes.
 #[derive(Debug)]
 pub struct Chunk {
     version: Digest,
@@ -341,18 +344,18 @@
 }
 
 impl Chunk {
-    /// Its length in bytes.
+    /// Returns the length in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether it has no bytes.
+    /// Whether the chunk has no bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 }
 
-/// One version in the store.
+/// A version in the store.
 #[derive(Debug)]
 struct Version {
     manifest: Manifest,
@@ -361,7 +364,7 @@
     held: usize,
 }
 
-/// Verified chunks of the versions that this box carries, within a bound on memory.
+/// Verified chunks of the versions on this box, within a memory limit.
 #[derive(Debug)]
 pub struct Store {
     capacity: u64,
@@ -370,7 +373,7 @@
 }
 
 impl Store {
-    /// An empty store of at most `capacity` bytes.
+    /// Creates an empty store of at most `capacity` bytes.
     pub fn new(capacity: u64) -> Self {
         Self {
             capacity,
@@ -379,15 +382,15 @@
         }
     }
 
-    /// Makes room for a version. Its whole size is reserved at once, so that two versions that
-    /// arrive together can never both get stuck half-way.
+    /// Verifies the manifest and reserves capacity for a version. The full size is reserved at
+    /// once, so that two versions received at the same time cannot block each other.
     pub fn admit(&mut self, version: Digest, manifest: Manifest) -> Result<(), Error> {
         manifest.verify(version)?;
         self.admit_checked(version, manifest, Hash::Blake3)
     }
 
-    /// Makes room for a version whose manifest was checked against its name already: where the
-    /// origin counts versions, the name is no digest of the manifest.
+    /// Reserves capacity for a version whose manifest the caller has checked. With an origin that
+    /// numbers its versions, `version` is not the digest of the manifest.
     pub fn admit_checked(
         &mut self,
         version: Digest,
@@ -421,8 +424,8 @@
         Ok(())
     }
 
-    /// Begins to receive chunk `index`. The chunk's memory is taken when its bytes come.
-    pub fn receive(&self, version: Digest, index: u32) -> Result<Receipt, Error> {
+    /// Starts to receive chunk `index`. Memory is allocated when the first bytes arrive.
+    pub fn receive(&self, version: Digest, index: u32) -> Result<PartialChunk, Error> {
         let entry = self
             .versions
             .get(&version)
@@ -433,7 +436,7 @@
             .get(index as usize)
             .ok_or(Error::ChunkIndex { version, index })?;
         let length = entry.manifest.chunk_len(index) as usize;
-        Ok(Receipt {
+        Ok(PartialChunk {
             version,
             index,
             expected,
@@ -443,7 +446,7 @@
         })
     }
 
-    /// Keeps a verified chunk. Returns whether it is new.
+    /// Stores a verified chunk. Returns whether it was missing before.
     pub fn put(&mut self, chunk: Chunk) -> Result<bool, Error> {
         let Chunk {
             version,
@@ -466,7 +469,7 @@
         Ok(true)
     }
 
-    /// The bytes of a held chunk.
+    /// Returns the bytes of a chunk, if it is held.
     pub fn get(&self, version: Digest, index: u32) -> Option<Bytes> {
         self.versions
             .get(&version)?
@@ -475,12 +478,12 @@
             .clone()
     }
 
-    /// The manifest of an admitted version.
+    /// Returns the manifest of an admitted version.
     pub fn manifest(&self, version: Digest) -> Option<&Manifest> {
         self.versions.get(&version).map(|entry| &entry.manifest)
     }
 
-    /// Chunks held of `version`, and chunks that it has.
+    /// Returns the number of chunks held of `version`, and its number of chunks.
     pub fn progress(&self, version: Digest) -> (usize, usize) {
         self.versions
             .get(&version)
@@ -494,19 +497,19 @@
             .is_some_and(|entry| entry.held == entry.chunks.len())
     }
 
-    /// Lets a version go and frees what it reserved.
+    /// Drops a version and frees the capacity reserved for it.
     pub fn release(&mut self, version: Digest) {
         if let Some(entry) = self.versions.remove(&version) {
             self.reserved -= entry.manifest.model_bytes;
         }
     }
 
-    /// The versions that are admitted.
+    /// Returns the admitted versions.
     pub fn versions(&self) -> impl Iterator<Item = Digest> + '_ {
         self.versions.keys().copied()
     }
 
-    /// Bytes reserved, and the bound.
+    /// Returns the reserved bytes and the capacity.
     pub fn usage(&self) -> (u64, u64) {
         (self.reserved, self.capacity)
     }
--- a/tests/burst_plan.rs
+++ b/tests/burst_plan.rs
@@ -8,7 +8,7 @@
 use pumicelatch::clock::Time;
 use pumicelatch::spread::Setting;
 use pumicelatch::spread::ring::{self, Member};
-use pumicelatch::spread::swarm::{Action, Notice, Outcome, Source, Swarm};
+use pumicelatch::spread::swarm::{Action, Announcement, Outcome, Source, Swarm};
 use pumicelatch::spread::upload::{Admission, Queue};
 use pumicelatch::weight::{Digest, Error, Manifest, Store};
 
@@ -125,29 +125,29 @@
     let start = Time::default();
     let mut swarm = Swarm::new(version(), own.clone(), 96, setting, 1, start);
     swarm.set_members(all.clone());
-    let peer = swarm.join("peer".into(), start);
-    let notice = Notice {
+    let peer = swarm.add_peer("peer".into(), start);
+    let announcement = Announcement {
         gained: &[90, 91, 92, 93],
         load: 0,
         drawing: &[],
         origin_age: None,
     };
-    swarm.notice(peer, notice, start);
+    swarm.update_peer(peer, announcement, start);
     let mut drawn = None;
     for step in 0..180 {
         let now = start + Duration::from_millis(10 * step);
-        swarm.notice(
+        swarm.update_peer(
             peer,
-            Notice {
+            Announcement {
                 gained: &[],
-                ..notice
+                ..announcement
             },
             now,
         );
         if let Some(fetch) = drawn
             && step % 30 == 0
         {
-            swarm.progress(fetch, now);
+            swarm.record_progress(fetch, now);
         }
         for action in swarm.tick(now) {
             match action {
@@ -170,7 +170,7 @@
     }
     assert!(drawn.is_some());
     // One that says nothing at all is given up.
-    let late = start + Duration::from_millis(1_740) + setting.origin_stall;
+    let late = start + Duration::from_millis(1_740) + setting.origin_stall_timeout;
     let actions = swarm.tick(late);
     let given_up = actions
         .iter()
@@ -219,12 +219,12 @@
     let mut swarm = swarm(&ordinary(), 3);
     let now = Time::default();
     let peers: Vec<_> = (0..3)
-        .map(|index| swarm.join(format!("peer-{index}").into(), now))
+        .map(|index| swarm.add_peer(format!("peer-{index}").into(), now))
         .collect();
     for &peer in &peers {
-        swarm.notice(
+        swarm.update_peer(
             peer,
-            Notice {
+            Announcement {
                 gained: &[0, 1],
                 load: 0,
                 drawing: &[],
@@ -233,9 +233,9 @@
             now,
         );
     }
-    swarm.notice(
+    swarm.update_peer(
         peers[2],
-        Notice {
+        Announcement {
             gained: &[2],
             load: 0,
             drawing: &[],
@@ -252,10 +252,10 @@
 fn a_silent_peer_is_given_up_and_its_chunk_is_drawn_elsewhere() {
     let mut swarm = swarm(&ordinary(), 1);
     let start = Time::default();
-    let first = swarm.join("first".into(), start);
-    swarm.notice(
+    let first = swarm.add_peer("first".into(), start);
+    swarm.update_peer(
         first,
-        Notice {
+        Announcement {
             gained: &[0],
             load: 0,
             drawing: &[],
@@ -265,10 +265,10 @@
     );
     assert_eq!(fetches(&swarm.tick(start)), [(0, Source::Peer(first))]);
     let later = start + Duration::from_secs(2);
-    let second = swarm.join("second".into(), later);
-    swarm.notice(
+    let second = swarm.add_peer("second".into(), later);
+    swarm.update_peer(
         second,
-        Notice {
+        Announcement {
             gained: &[0],
             load: 0,
             drawing: &[],
@@ -285,14 +285,14 @@
 fn a_peer_that_sent_a_bad_chunk_is_passed_over_for_longer_each_time() {
     let mut swarm = swarm(&ordinary(), 1);
     let mut now = Time::default();
-    let peer = swarm.join("bad".into(), now);
+    let peer = swarm.add_peer("bad".into(), now);
     let mut pauses = Vec::new();
     for _ in 0..4 {
         let began = now;
         loop {
-            swarm.notice(
+            swarm.update_peer(
                 peer,
-                Notice {
+                Announcement {
                     gained: &[0],
                     load: 0,
                     drawing: &[],
@@ -476,11 +476,11 @@
     );
     for index in [2, 0, 1] {
         assert!(!store.complete(version));
-        let mut receipt = store.receive(version, index).unwrap();
+        let mut partial = store.receive(version, index).unwrap();
         for part in chunks[index as usize].chunks(77) {
-            receipt.push(part).unwrap();
+            partial.push(part).unwrap();
         }
-        let chunk = receipt.finish().unwrap();
+        let chunk = partial.finish().unwrap();
         assert!(store.put(chunk).unwrap());
     }
     assert!(store.complete(version));
@@ -523,7 +523,7 @@
     let active: Vec<&str> = sponsors.iter().map(|name| &**name).collect();
     let mut drawn: BTreeMap<&str, u32> = BTreeMap::new();
     for chunk in 0..96 {
-        let order = ring::drawers(version(), chunk, &sponsors, &active);
+        let order = ring::fetch_order(version(), chunk, &sponsors, &active);
         assert_eq!(order.len(), 8);
         *drawn.entry(order[0]).or_default() += 1;
         let without: Vec<&str> = active
@@ -531,7 +531,7 @@
             .copied()
             .filter(|name| *name != order[0])
             .collect();
-        let second = ring::drawers(version(), chunk, &sponsors, &without);
+        let second = ring::fetch_order(version(), chunk, &sponsors, &without);
         assert_eq!(second[0], order[1]);
     }
     assert!(drawn.values().all(|count| *count == 12), "{drawn:?}");
@@ -557,14 +557,14 @@
             let began = Time::from_millis(1_000);
             let mut swarm = Swarm::new(version(), (*own).clone(), 96, setting, 1, began);
             swarm.set_members(all.clone());
-            let peer = swarm.join(sponsor.clone(), began);
-            let notice = Notice {
+            let peer = swarm.add_peer(sponsor.clone(), began);
+            let announcement = Announcement {
                 gained: &[chunk],
                 load: 0,
                 drawing: &[],
                 origin_age: None,
             };
-            swarm.notice(peer, notice, began);
+            swarm.update_peer(peer, announcement, began);
             let actions = swarm.tick(began + after);
             actions.iter().any(|action| {
                 matches!(
@@ -622,9 +622,9 @@
     let mut spoilt = store.receive(label, 0).unwrap();
     spoilt.push(b"some weightz").unwrap();
     assert!(matches!(spoilt.finish(), Err(Error::ChunkDigest { .. })));
-    let mut receipt = store.receive(label, 0).unwrap();
-    receipt.push(&bytes).unwrap();
-    store.put(receipt.finish().unwrap()).unwrap();
+    let mut partial = store.receive(label, 0).unwrap();
+    partial.push(&bytes).unwrap();
+    store.put(partial.finish().unwrap()).unwrap();
     assert!(store.complete(label));
 }
 
@@ -664,16 +664,16 @@
     assert!(relays.iter().all(from_origin));
     assert!(!boxes.iter().any(from_origin));
     let mut swarm = swarm_of(&boxes[0]);
-    let fellow = swarm.join(boxes[1].name.clone(), began);
-    let relay = swarm.join(names[0].clone(), began);
+    let fellow = swarm.add_peer(boxes[1].name.clone(), began);
+    let relay = swarm.add_peer(names[0].clone(), began);
     for peer in [fellow, relay] {
-        let notice = Notice {
+        let announcement = Announcement {
             gained: &[3],
             load: 1,
             drawing: &[],
             origin_age: None,
         };
-        swarm.notice(peer, notice, began);
+        swarm.update_peer(peer, announcement, began);
     }
     let actions = swarm.tick(began);
     assert!(
@@ -697,10 +697,10 @@
         let mut swarm = Swarm::new(version(), own.clone(), 1, setting, 1, Time::default());
         // Each of them takes itself for the only sponsor, as after a loss of power.
         swarm.set_members(vec![own]);
-        let peer = swarm.join("other".into(), Time::default());
+        let peer = swarm.add_peer("other".into(), Time::default());
         (swarm, peer)
     };
-    let claim = Notice {
+    let claim = Announcement {
         gained: &[],
         load: 0,
         drawing: &[0],
@@ -708,13 +708,13 @@
     };
     let start = Time::default();
     let (mut swarm, peer) = sponsor(true);
-    swarm.notice(peer, claim, start);
+    swarm.update_peer(peer, claim, start);
     assert_eq!(fetches(&swarm.tick(start)), []);
-    let late = start + Setting::for_few_halls().origin_stall;
-    swarm.notice(peer, claim, late);
+    let late = start + Setting::for_few_halls().origin_stall_timeout;
+    swarm.update_peer(peer, claim, late);
     assert_eq!(fetches(&swarm.tick(late)), [(0, Source::Origin)]);
     // Without claims both draw it.
     let (mut swarm, peer) = sponsor(false);
-    swarm.notice(peer, claim, start);
+    swarm.update_peer(peer, claim, start);
     assert_eq!(fetches(&swarm.tick(start)), [(0, Source::Origin)]);
 }
