--- a/src/agent.rs
+++ b/src/agent.rs
@@ -16,14 +16,14 @@
 use crate::auth::Keyring;
 use crate::http::{Server, Wrap};
 use crate::limit;
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::metric;
 use crate::node::{self, Node};
 use crate::placement::{self, Assignment};
 use crate::request::Ledger;
 use crate::spread;
 use crate::spread::swarm::Tally;
-use crate::stop::Porter;
+use crate::stop::Tracker;
 use crate::version::{EngineState, Fence};
 use crate::weight::{Digest, Store};
 
@@ -81,7 +81,7 @@
     bursts: RefCell<BTreeMap<Digest, Rc<Burst>>>,
     gate: RefCell<Gate>,
     leaving: Cell<bool>,
-    porter: Rc<Porter>,
+    tracker: Rc<Tracker>,
     in_flight: RefCell<limit::Target>,
     ledger: RefCell<Ledger>,
     keyring: Keyring,
@@ -146,7 +146,7 @@
             bursts: RefCell::default(),
             gate: RefCell::default(),
             leaving: Cell::new(false),
-            porter: Porter::new(node.clock, &node.metrics.meter()),
+            tracker: Tracker::new(node.clock, &node.metrics.meter()),
             in_flight: RefCell::default(),
             ledger: RefCell::new(Ledger::new(boot, KEYS_MAX, KEPT_ANSWER_MAX)),
             keyring: setting.keyring.clone(),
@@ -231,7 +231,7 @@
     fn reconcile_bursts(
         self: &Rc<Self>,
         assignment: &Assignment,
-        lookup: impl Fn(&str) -> Option<Listed>,
+        lookup: impl Fn(&str) -> Option<Descriptor>,
     ) {
         let own = &self.node.setting.name;
         let carried = assignment
@@ -246,7 +246,7 @@
                 favour: carry.favour,
                 holders: Holders::Nobody,
             };
-            let members: Vec<Listed> = assignment
+            let members: Vec<Descriptor> = assignment
                 .carriers(carry.digest)
                 .filter_map(|name| lookup(name))
                 .collect();
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -34,8 +34,8 @@
 use crate::exchange::{self, path::Paths};
 use crate::http::{self, ClientSetting, Server, Timing};
 use crate::knowledge;
-use crate::knowledge::halls::Halls;
 use crate::knowledge::hub::Hub;
+use crate::knowledge::polls::Polls;
 use crate::knowledge::{Identity, Knowledge, gossip, store, traffic};
 use crate::limit::returning::{Refusals, Refused};
 use crate::member::Role;
@@ -47,7 +47,7 @@
 use crate::route::replica::Due;
 use crate::source::{Source, Topic};
 use crate::spread;
-use crate::stop::{self, Porter};
+use crate::stop::{self, Tracker};
 use crate::version::rollout;
 use crate::weight::Store;
 use crate::wire::sync::Brief;
@@ -148,13 +148,13 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Lets requests in.
-    pub porter: Rc<Porter>,
+    pub tracker: Rc<Tracker>,
     pool_at: Cell<u64>,
     budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
     began: Time,
     instruments: status::Instruments,
     bursts: Manager,
-    halls: RefCell<Halls>,
+    halls: RefCell<Polls>,
     hub: RefCell<Hub>,
     /// Requests that were refused lately, here or as others told.
     refusals: RefCell<Refusals>,
@@ -162,7 +162,7 @@
 }
 
 /// What a gateway works with.
-pub struct Edges {
+pub struct Dependencies {
     /// How callers and replicas speak.
     pub dialect: Rc<dyn Dialect>,
     /// The platform's store.
@@ -217,7 +217,7 @@
         let in_flight = self.gateway.in_flight();
         log::info!(in_flight; "planned stop begins");
         let setting = stop::Setting::within(grace);
-        self.gateway.porter.stop(setting, &self.front).await;
+        self.gateway.tracker.stop(setting, &self.front).await;
         Ok(())
     }
 }
@@ -243,10 +243,10 @@
     /// Starts a gateway on the present thread.
     pub fn start(
         setting: Setting,
-        edges: Edges,
+        edges: Dependencies,
         listeners: Listeners,
     ) -> Result<Running, metric::Error> {
-        let Edges {
+        let Dependencies {
             dialect,
             source,
             origins,
@@ -279,7 +279,7 @@
                 knowledge.now(),
             )),
             instruments: status::Instruments::new(&metrics.meter()),
-            porter: Porter::new(knowledge.clock, &metrics.meter()),
+            tracker: Tracker::new(knowledge.clock, &metrics.meter()),
             metrics,
             knowledge: knowledge.clone(),
             dialect,
@@ -293,7 +293,7 @@
                 Topic::Operator,
             )),
             actix_rt::spawn(store::follow(knowledge.clone(), source, Topic::Replicas)),
-            actix_rt::spawn(gossip::tell_news(knowledge.clone())),
+            actix_rt::spawn(gossip::announce_updates(knowledge.clone())),
             actix_rt::spawn(traffic::log(knowledge.clone())),
             actix_rt::spawn(knowledge::poison::run(knowledge.clone())),
             actix_rt::spawn(gossip::run(knowledge, move || others.sidecars())),
@@ -399,7 +399,7 @@
             return;
         }
         let knowledge = &self.knowledge;
-        let brief = knowledge.brief();
+        let brief = knowledge.summary();
         let origin_chunk_time = brief.as_ref().and_then(Brief::chunk);
         let origin = brief.and_then(|brief| brief.origin);
         let (Some(target), Some(origin)) = (manager::newest(knowledge), origin) else {
@@ -523,18 +523,18 @@
     /// Whether callers' requests can be served.
     pub fn ready(&self) -> bool {
         let belief = self.knowledge.belief.borrow();
-        !self.porter.stopping() && belief.routing().is_some() && belief.lists_replicas()
+        !self.tracker.is_stopping() && belief.routing().is_some() && belief.lists_replicas()
     }
 
     /// Announces that the process stops: the balancer hears that it is not ready, and every answer
     /// asks its caller to use another connection.
     pub fn drain(&self) {
-        self.porter.begin(stop::Setting::default());
+        self.tracker.begin(stop::Setting::default());
     }
 
     /// Requests in progress, of callers and of other processes that chunks are handed to.
     pub fn in_flight(&self) -> u64 {
-        self.porter.under_way()
+        self.tracker.in_flight()
     }
 
     fn count_request(&self, service: &Arc<str>) {
@@ -563,7 +563,7 @@
     /// A request was refused whose caller tried first at `first`. Only engines are short of places so
     /// often that it matters.
     fn note_refused(&self, job: &Job, first: Time) {
-        if job.ask.work.is_none() {
+        if job.ask.inference.is_none() {
             return;
         }
         let mut refusals = self.refusals.borrow_mut();
--- a/src/knowledge/readers.rs
+++ b/src/knowledge/readers.rs
@@ -47,7 +47,7 @@
 const STEPS_MAX: u32 = 12;
 
 /// Entries of a hall that are asked for news: its readers.
-pub const ASKED: usize = 2;
+pub const UPDATE_SOURCES: usize = 2;
 
 /// Highest-ranked entries of its hall that a sidecar receives. It reports to the first of them.
 const SIDECAR_RANKED_ENTRIES: usize = 4;
@@ -74,7 +74,7 @@
     }
 
     /// The store answered `entry` last at `at`.
-    pub fn told(&mut self, entry: SocketAddr, at: Time) {
+    pub fn record_answer(&mut self, entry: SocketAddr, at: Time) {
         let known = self.answered.entry(entry).or_default();
         *known = (*known).max(at);
     }
@@ -85,17 +85,25 @@
     }
 
     /// An entry does not answer.
-    pub fn lost(&mut self, entry: SocketAddr) {
+    pub fn remove(&mut self, entry: SocketAddr) {
         self.answered.remove(&entry);
     }
 
     /// Whether the entry at `own` reads `topic` itself, beside the other entries of its hall.
-    pub fn reads(&self, topic: Topic, own: SocketAddr, fellows: &[SocketAddr], now: Time) -> bool {
-        let rank = Self::place(own, fellows);
+    pub fn reads(
+        &self,
+        topic: Topic,
+        own: SocketAddr,
+        local_peers: &[SocketAddr],
+        now: Time,
+    ) -> bool {
+        let rank = Self::rank(own, local_peers);
         if rank < readers(topic) {
             return true;
         }
-        let answered = fellows.iter().filter_map(|entry| self.answered.get(entry));
+        let answered = local_peers
+            .iter()
+            .filter_map(|entry| self.answered.get(entry));
         let (last, missing) = match answered.max() {
             Some(at) => (*at, MISSING),
             None => (self.began, missing_at_start(topic)),
@@ -123,8 +131,8 @@
 
     /// The place of the entry at `own` among those of its hall: 0 for the one that reads everything
     /// from the store and tells the others.
-    pub fn place(own: SocketAddr, fellows: &[SocketAddr]) -> u32 {
-        rank(own, fellows.iter().copied(), SUBJECT)
+    pub fn rank(own: SocketAddr, local_peers: &[SocketAddr]) -> u32 {
+        rank(own, local_peers.iter().copied(), SUBJECT)
     }
 
     /// The `entries` of a hall, those first that read the store.
@@ -151,21 +159,21 @@
         others.sort_by_cached_key(|entry| std::cmp::Reverse(weight(*entry, &subject)));
         selected.extend(others.into_iter().take(SIDECAR_HASHED_ENTRIES));
         let (hash, _) = weight(sidecar, SUBJECT);
-        for entries in peers.elsewhere(hall, now).into_values() {
+        for entries in peers.by_other_hall(hall, now).into_values() {
             selected.push(entries[hash as usize % entries.len()]);
         }
         selected
     }
 
     /// Whether the entry at `own` is one of those whom the others ask.
-    pub fn is_reader(own: SocketAddr, fellows: &[SocketAddr]) -> bool {
-        Self::place(own, fellows) < ASKED as u32
+    pub fn is_reader(own: SocketAddr, local_peers: &[SocketAddr]) -> bool {
+        Self::rank(own, local_peers) < UPDATE_SOURCES as u32
     }
 
     /// The entries of the hall to ask for news.
-    pub fn asked(fellows: &[SocketAddr]) -> Vec<SocketAddr> {
-        let mut ranked = Self::ranked(fellows);
-        ranked.truncate(ASKED);
+    pub fn update_sources(local_peers: &[SocketAddr]) -> Vec<SocketAddr> {
+        let mut ranked = Self::ranked(local_peers);
+        ranked.truncate(UPDATE_SOURCES);
         ranked
     }
 }
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -26,10 +26,10 @@
 use crate::config::belief::first_lacking;
 use crate::daemon;
 use crate::exchange::{self, path::Paths};
-use crate::gateway::control::message;
+use crate::gateway::control::decode;
 use crate::http::{self, Answer, ClientSetting, Server};
 use crate::knowledge::{Identity, Knowledge, traffic};
-use crate::member::Listed;
+use crate::member::Descriptor;
 use crate::metric::{self, Metrics};
 use crate::place::{self, Ledger};
 use crate::policy::Policy;
@@ -37,7 +37,7 @@
 use crate::run::{Call, Shelf};
 use crate::source::Source;
 use crate::spread;
-use crate::stop::{self, Porter};
+use crate::stop::{self, Tracker};
 use crate::version::rollout;
 use crate::weight::{Digest, Store};
 use crate::wire::sync::{SYNC_PATH, Sync};
@@ -94,7 +94,7 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Lets requests in.
-    pub porter: Rc<Porter>,
+    pub tracker: Rc<Tracker>,
     engine: Rc<dyn Engine>,
     bursts: Manager,
     source: Rc<dyn Source>,
@@ -111,7 +111,7 @@
     /// The version that was complete last, and since when.
     complete: Cell<Option<(Digest, Time)>>,
     roll: RefCell<Option<reconcile::Roll>>,
-    joined_with: RefCell<Option<(Digest, Rc<[Listed]>)>>,
+    joined_with: RefCell<Option<(Digest, Rc<[Descriptor]>)>>,
     trips: RefCell<trip::Trips>,
     ledger: RefCell<Ledger>,
     told: Cell<u64>,
@@ -156,10 +156,10 @@
         daemon::stop_signal().await?;
         log::info!("planned stop begins");
         let setting = stop::Setting {
-            hear: Duration::ZERO,
+            announce_period: Duration::ZERO,
             ..stop::Setting::within(grace)
         };
-        self.sidecar.porter.stop(setting, &self.control).await;
+        self.sidecar.tracker.stop(setting, &self.control).await;
         Ok(())
     }
 }
@@ -260,7 +260,7 @@
             .with_description("Requests at the replica, running and waiting")
             .build();
         let sidecar = Rc::new(Self {
-            porter: Porter::new(knowledge.clock, &metrics.meter()),
+            tracker: Tracker::new(knowledge.clock, &metrics.meter()),
             knowledge,
             bursts: Manager::new(host.clone(), edges.origins, setting.first_start),
             host,
@@ -347,21 +347,21 @@
         return sidecar.answer_run(call, request).await;
     }
     if path == SYNC_PATH {
-        return match message::<Sync>(&mut request).await {
-            Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.news_for(&sync, false)),
+        return match decode::<Sync>(&mut request).await {
+            Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.update_for(&sync, false)),
             Err(answer) => answer,
         };
     }
     if path == place::PATH {
-        let ticket = sidecar.porter.enter(stop::Kind::Peer);
-        if ticket.refused() {
+        let permit = sidecar.tracker.admit(stop::Kind::Peer);
+        if permit.is_refused() {
             return http::status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let answer = match message::<place::Ask>(&mut request).await {
+        let answer = match decode::<place::Ask>(&mut request).await {
             Ok(ask) => http::pack(StatusCode::OK, &sidecar.place(&ask)),
             Err(answer) => answer,
         };
-        return ticket.hold(answer);
+        return permit.attach(answer);
     }
-    burst::serve::answer_path(&sidecar.bursts, &sidecar.porter, &path).await
+    burst::serve::answer_path(&sidecar.bursts, &sidecar.tracker, &path).await
 }
