--- a/src/burst.rs
+++ b/src/burst.rs
@@ -1,10 +1,11 @@
-//! Carries out the plan of one version's burst: follows peers, draws chunks, serves them.
+//! Burst of one version: follows peers, fetches chunks and serves them, as scheduled by
+//! [`crate::spread`].
 //!
-//! * [`host`] is what a burst needs of its process.
-//! * [`follow`] listens to peers.
-//! * [`fetch`] draws the manifest and the chunks.
-//! * [`manager`] keeps to the burst of one wanted version.
-//! * [`serve`] answers peers, [`upload`] gives them chunks, a few at a time.
+//! * [`host`] is the state that a process shares between its bursts.
+//! * [`follow`] exchanges announcements with peers.
+//! * [`fetch`] fetches the manifest and the chunks.
+//! * [`manager`] manages the bursts of the versions of a model.
+//! * [`serve`] handles the requests of peers, [`upload`] sends them chunks, a few at a time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -36,79 +37,79 @@
 
 use host::{Host, Origin};
 
-/// How often a plan is made without an event.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which the plan runs if no event triggers it.
+const PLAN_PERIOD: Duration = Duration::from_millis(50);
 
-/// How often the set of followed peers is looked over.
-const REVIEW: Duration = Duration::from_millis(500);
+/// Interval at which the set of followed peers is updated.
+const PEER_REVIEW_PERIOD: Duration = Duration::from_millis(500);
 
-/// How much longer a peer's word is awaited when the whole system begins.
-const BEGIN_FACTOR: u32 = 20;
+/// Factor by which the wait for announcements of peers is longer when the whole system starts.
+const COLD_START_FACTOR: u32 = 20;
 
-/// How long a version that finds no room waits before it asks again.
-const ROOM_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before a version that did not fit into the store is admitted again.
+const ADMIT_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A version that nobody asked for during so long may be let go once it is not wanted.
-const LINGER: Duration = Duration::from_secs(10);
+/// A version that is not wanted any more is released after no chunk was requested for this long.
+const RELEASE_DELAY: Duration = Duration::from_secs(10);
 
-/// What a burst is for.
+/// Options of a burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// What weighs more.
+    /// What to minimize.
     pub favour: Favour,
-    /// Who holds the version already, as far as is known.
+    /// Which peers probably hold the version already.
     pub holders: Holders,
-    /// Whether it comes from peers alone: the origin is left to a newer version.
+    /// Whether chunks are fetched from peers only, to leave the origin to a newer version.
     pub peers_only: bool,
-    /// How long a chunk takes over the origin's link, if that is known.
+    /// Time to transfer a chunk over the origin's link, if known.
     pub origin_chunk_time: Option<Duration>,
 }
 
-/// Who holds a version already.
+/// Which peers hold a version already.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Holders {
-    /// Nobody: it was named just now.
+    /// No peer, because the version was published just now.
     Nobody,
-    /// Perhaps some: their word is awaited for a moment before the origin is asked.
+    /// Possibly some. The box waits briefly for their announcements before it asks the origin.
     Some,
-    /// All whom it concerns: the whole system begins, and boxes come up with it one by one.
+    /// All members: the whole system starts, and its boxes come up one by one.
     All,
 }
 
-/// A peer that is being followed.
+/// A followed peer.
 #[derive(Debug)]
-struct Follow {
+struct FollowedPeer {
     key: Rc<Cell<Option<PeerKey>>>,
     task: JoinHandle<()>,
 }
 
-impl Drop for Follow {
+impl Drop for FollowedPeer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// One version at this box, from the moment it is wanted until it is let go.
+/// One version on this box, from the time it is wanted until it is released.
 #[derive(Debug)]
 pub struct Burst {
     version: Digest,
     origin: Rc<dyn Origin>,
     options: Options,
     wanted: Cell<bool>,
-    /// Whether nothing more is drawn or listened to: what is held is served.
-    at_rest: Cell<bool>,
-    began: Time,
+    /// Whether fetching and following have stopped. Held chunks are still served.
+    suspended: Cell<bool>,
+    started: Time,
     clock: Clock,
     members: RefCell<BTreeMap<Arc<str>, Descriptor>>,
     swarm: RefCell<Option<Swarm>>,
-    gained: RefCell<Vec<u32>>,
-    /// Counts what followers are to be told.
-    told: watch::Sender<u64>,
+    received: RefCell<Vec<u32>>,
+    /// Incremented with each change that followers should learn.
+    updates: watch::Sender<u64>,
     uploads: RefCell<Queue>,
     waiters: RefCell<HashMap<UploadKey, oneshot::Sender<()>>>,
-    follows: RefCell<BTreeMap<Arc<str>, Follow>>,
+    followed: RefCell<BTreeMap<Arc<str>, FollowedPeer>>,
     fetches: RefCell<HashMap<FetchKey, JoinHandle<()>>>,
-    served: Cell<Time>,
+    last_served: Cell<Time>,
     task: RefCell<Option<JoinHandle<()>>>,
 }
 
@@ -124,7 +125,7 @@
 }
 
 impl Burst {
-    /// Begins to receive a version.
+    /// Starts to receive a version.
     pub fn start(
         host: &Rc<Host>,
         origin: Rc<dyn Origin>,
@@ -137,49 +138,49 @@
             origin,
             options,
             wanted: Cell::new(true),
-            at_rest: Cell::new(false),
-            began: host.clock.now(),
+            suspended: Cell::new(false),
+            started: host.clock.now(),
             clock: host.clock,
             members: RefCell::default(),
             swarm: RefCell::default(),
-            gained: RefCell::default(),
-            told: watch::Sender::new(0),
+            received: RefCell::default(),
+            updates: watch::Sender::new(0),
             uploads: RefCell::new(Queue::new(spread.upload_slots, spread.upload_queue_max)),
             waiters: RefCell::default(),
-            follows: RefCell::default(),
+            followed: RefCell::default(),
             fetches: RefCell::default(),
-            served: Cell::new(host.clock.now()),
+            last_served: Cell::new(host.clock.now()),
             task: RefCell::default(),
         });
         host.audit(Deed::ReceiveBegan {
             version: version.short(),
         });
-        let task = actix_rt::spawn(receive(host.clone(), Rc::downgrade(&burst)));
+        let task = actix_rt::spawn(run(host.clone(), Rc::downgrade(&burst)));
         burst.task.replace(Some(task));
         burst
     }
 
-    /// The version.
+    /// Returns the version.
     pub fn version(&self) -> Digest {
         self.version
     }
 
-    /// Says whether the configuration wants the version here.
+    /// Sets whether the configuration assigns the version to this box.
     pub fn set_wanted(&self, wanted: bool) {
         self.wanted.set(wanted);
     }
 
-    /// Whether the configuration wants the version here.
+    /// Whether the configuration assigns the version to this box.
     pub fn wanted(&self) -> bool {
         self.wanted.get()
     }
 
-    /// Draws nothing more, and serves what is held.
-    pub fn rest(&self) {
-        if self.at_rest.replace(true) {
+    /// Stops fetching. Held chunks are still served.
+    pub fn suspend(&self) {
+        if self.suspended.replace(true) {
             return;
         }
-        self.follows.borrow_mut().clear();
+        self.followed.borrow_mut().clear();
         for (_, fetch) in self.fetches.borrow_mut().drain() {
             fetch.abort();
         }
@@ -188,21 +189,21 @@
         }
     }
 
-    /// Draws from peers again after a rest.
+    /// Resumes a suspended burst, from then on with fetches from peers only.
     pub fn resume(self: &Rc<Self>, host: &Rc<Host>) {
-        if self.at_rest.replace(false) {
+        if self.suspended.replace(false) {
             if let Some(swarm) = self.swarm.borrow_mut().as_mut() {
                 swarm.disable_origin();
             }
-            self.review(host);
+            self.update_peers(host);
         }
     }
 
-    /// What is known of the version's weights, here and at peers.
+    /// Returns how much of the version is available on this box and its peers.
     pub fn availability(&self, now: Time) -> Outlook {
         let swarm = self.swarm.borrow();
         let unknown = Outlook {
-            quiet: now.since(self.began),
+            quiet: now.since(self.started),
             ..Outlook::default()
         };
         swarm
@@ -210,25 +211,25 @@
             .map_or(unknown, |swarm| swarm.availability(now))
     }
 
-    /// Whether a peer is being served.
+    /// Whether any upload is waiting or running.
     pub fn uploading(&self) -> bool {
         self.uploads.borrow().load() > 0
     }
 
-    /// Whether everything is held and nobody is being served.
-    fn rests(&self) -> bool {
+    /// Whether all chunks are held and there are no uploads.
+    fn is_idle(&self) -> bool {
         let swarm = self.swarm.borrow();
         swarm.as_ref().is_some_and(Swarm::complete) && !self.uploading()
     }
 
-    /// Whether nothing needs the version here any more but, perhaps, the engine.
+    /// Whether the version is needed no more on this box, except possibly by the engine.
     pub fn releasable(&self, now: Time) -> bool {
         !self.wanted.get()
             && self.uploads.borrow().load() == 0
-            && now.since(self.served.get()) > LINGER
+            && now.since(self.last_served.get()) > RELEASE_DELAY
     }
 
-    /// Sets the boxes that carry the version.
+    /// Sets the boxes that participate in the burst.
     pub fn set_members(self: &Rc<Self>, host: &Rc<Host>, members: Vec<Descriptor>) {
         let members: BTreeMap<_, _> = members
             .into_iter()
@@ -238,10 +239,10 @@
             return;
         }
         self.members.replace(members);
-        self.review(host);
+        self.update_peers(host);
     }
 
-    fn ring(&self) -> Vec<Member> {
+    fn ring_members(&self) -> Vec<Member> {
         self.members
             .borrow()
             .values()
@@ -252,15 +253,15 @@
             .collect()
     }
 
-    /// The members that carry chunks for others and have no engine.
+    /// Returns the relays: members that only forward chunks and have no engine.
     fn relays(&self) -> Vec<Arc<str>> {
         let members = self.members.borrow();
         let relays = members.values().filter(|listed| listed.role == Role::Entry);
         relays.map(|listed| listed.name.clone()).collect()
     }
 
-    /// Begins the plan once the manifest is there.
-    fn begin(self: &Rc<Self>, host: &Rc<Host>, chunks: usize) {
+    /// Starts the downloads once the manifest is known.
+    fn start_swarm(self: &Rc<Self>, host: &Rc<Host>, chunks: usize) {
         let own = Member {
             name: host.name.clone(),
             hall: host.hall.clone(),
@@ -274,23 +275,23 @@
         setting.settle = match self.options.holders {
             Holders::Nobody => Duration::ZERO,
             Holders::Some => setting.settle,
-            Holders::All => setting.settle * BEGIN_FACTOR,
+            Holders::All => setting.settle * COLD_START_FACTOR,
         };
         let seed = rand::rng().random();
         let mut swarm = Swarm::new(self.version, own, chunks, setting, seed, now);
         if self.options.peers_only {
             swarm.disable_origin();
         }
-        for &chunk in self.gained.borrow().iter() {
+        for &chunk in self.received.borrow().iter() {
             swarm.mark_held(chunk, now);
         }
         self.swarm.replace(Some(swarm));
-        self.tell();
-        self.review(host);
+        self.notify_followers();
+        self.update_peers(host);
     }
 
-    /// Takes the chunks that lie in the box already, as far as they match the manifest.
-    async fn take_local(&self, host: &Host, chunks: usize) {
+    /// Loads chunks that the box already has outside its store, if they match the manifest.
+    async fn load_local_chunks(&self, host: &Host, chunks: usize) {
         let Some(local) = &host.local_chunks else {
             return;
         };
@@ -298,26 +299,27 @@
             let Some(bytes) = local.chunk(self.version, chunk).await else {
                 continue;
             };
-            if self.keep(host, chunk, &bytes).is_ok() {
-                self.gained.borrow_mut().push(chunk);
+            if self.store_chunk(host, chunk, &bytes).is_ok() {
+                self.received.borrow_mut().push(chunk);
             }
         }
         local.done();
     }
 
-    fn keep(&self, host: &Host, chunk: u32, bytes: &[u8]) -> Result<bool, weight::Error> {
+    fn store_chunk(&self, host: &Host, chunk: u32, bytes: &[u8]) -> Result<bool, weight::Error> {
         let mut partial = host.store.borrow().receive(self.version, chunk)?;
         partial.push(bytes)?;
         let chunk = partial.finish()?;
         host.store.borrow_mut().put(chunk)
     }
 
-    /// Follows the peers that the plan wants, and lets go of those that are no members any more.
-    fn review(self: &Rc<Self>, host: &Rc<Host>) {
-        if self.at_rest.get() {
+    /// Follows the peers that the plan wants, and stops following those that are no longer members
+    /// and unresponsive substitutes.
+    fn update_peers(self: &Rc<Self>, host: &Rc<Host>) {
+        if self.suspended.get() {
             return;
         }
-        let (ring, relays) = (self.ring(), self.relays());
+        let (ring, relays) = (self.ring_members(), self.relays());
         let mut guard = self.swarm.borrow_mut();
         let Some(swarm) = guard.as_mut() else {
             return;
@@ -325,41 +327,41 @@
         swarm.set_members_and_relays(ring, relays);
         if swarm.complete() {
             drop(guard);
-            self.follows.borrow_mut().clear();
+            self.followed.borrow_mut().clear();
             return;
         }
         let now = host.clock.now();
         let wanted = swarm.wanted_peers(now);
         let regular = swarm.regular_peers();
         let members = self.members.borrow();
-        let useless = |name: &Arc<str>| {
+        let obsolete = |name: &Arc<str>| {
             let substitute = !regular.contains(name);
             !members.contains_key(name) || (substitute && !swarm.is_responsive(name, now))
         };
-        let follows = self.follows.borrow();
-        let gone: Vec<Arc<str>> = follows
+        let followed = self.followed.borrow();
+        let removed: Vec<Arc<str>> = followed
             .keys()
-            .filter(|name| useless(name))
+            .filter(|name| obsolete(name))
             .cloned()
             .collect();
-        drop(follows);
+        drop(followed);
         drop(guard);
-        for name in gone {
+        for name in removed {
             self.unfollow(&name);
         }
         for name in wanted {
-            let room = self.follows.borrow().len() < host.spread.peers_max;
-            if room && !self.follows.borrow().contains_key(&name) {
+            let room = self.followed.borrow().len() < host.spread.peers_max;
+            if room && !self.followed.borrow().contains_key(&name) {
                 self.follow(host, &members[&name]);
             }
         }
     }
 
     fn unfollow(&self, name: &str) {
-        let Some(follow) = self.follows.borrow_mut().remove(name) else {
+        let Some(peer) = self.followed.borrow_mut().remove(name) else {
             return;
         };
-        if let (Some(key), Some(swarm)) = (follow.key.get(), self.swarm.borrow_mut().as_mut()) {
+        if let (Some(key), Some(swarm)) = (peer.key.get(), self.swarm.borrow_mut().as_mut()) {
             swarm.remove_peer(key);
         }
     }
@@ -372,14 +374,14 @@
             peer.clone(),
             key.clone(),
         ));
-        self.follows
+        self.followed
             .borrow_mut()
-            .insert(peer.name.clone(), Follow { key, task });
+            .insert(peer.name.clone(), FollowedPeer { key, task });
     }
 
-    /// Makes a plan and carries it out.
-    fn plan(self: &Rc<Self>, host: &Rc<Host>) {
-        if self.at_rest.get() {
+    /// Runs the plan and carries out its actions.
+    fn run_plan(self: &Rc<Self>, host: &Rc<Host>) {
+        if self.suspended.get() {
             return;
         }
         let now = host.clock.now();
@@ -390,7 +392,7 @@
         for action in actions {
             match action {
                 Action::Cancel { fetch } => {
-                    host.instruments.cancelled();
+                    host.instruments.fetch_cancelled();
                     if let Some(task) = self.fetches.borrow_mut().remove(&fetch) {
                         task.abort();
                     }
@@ -410,28 +412,29 @@
             Source::Peer(peer) => self.peer_url(peer, chunk),
         };
         let Some(url) = url else {
-            self.finish(host, key, chunk, Outcome::Failed);
+            self.finish_fetch(host, key, chunk, Outcome::Failed);
             return;
         };
-        let draw = fetch::Draw {
+        let request = fetch::ChunkRequest {
             key,
             chunk,
             source,
             url,
         };
         if source == Source::Origin {
-            // Followers are told what is being drawn, so that they draw something else.
-            self.tell();
+            // Followers learn what is being fetched from the origin, so that they fetch other
+            // chunks.
+            self.notify_followers();
         }
-        let task = actix_rt::spawn(fetch::fetch(host.clone(), Rc::downgrade(self), draw));
+        let task = actix_rt::spawn(fetch::fetch(host.clone(), Rc::downgrade(self), request));
         self.fetches.borrow_mut().insert(key, task);
     }
 
     fn peer_url(&self, peer: PeerKey, chunk: u32) -> Option<String> {
-        let follows = self.follows.borrow();
-        let name = follows
+        let followed = self.followed.borrow();
+        let name = followed
             .iter()
-            .find(|(_, follow)| follow.key.get() == Some(peer))
+            .find(|(_, followed)| followed.key.get() == Some(peer))
             .map(|(name, _)| name)?;
         let members = self.members.borrow();
         let address = members.get(name)?.address;
@@ -439,23 +442,23 @@
         Some(format!("{base}/chunks/{chunk}"))
     }
 
-    fn finish(self: &Rc<Self>, host: &Rc<Host>, key: FetchKey, chunk: u32, outcome: Outcome) {
+    fn finish_fetch(self: &Rc<Self>, host: &Rc<Host>, key: FetchKey, chunk: u32, outcome: Outcome) {
         let now = host.clock.now();
-        host.instruments.chunk(outcome);
+        host.instruments.fetch_finished(outcome);
         if let Some(swarm) = self.swarm.borrow_mut().as_mut() {
             swarm.finish(key, chunk, outcome, now);
         }
         if outcome == Outcome::Stored {
-            self.gain(host, chunk);
+            self.record_stored(host, chunk);
         }
     }
 
-    /// A chunk was verified and is held.
-    fn gain(self: &Rc<Self>, host: &Rc<Host>, chunk: u32) {
-        self.gained.borrow_mut().push(chunk);
-        self.tell();
+    /// Records a chunk that was verified and stored.
+    fn record_stored(self: &Rc<Self>, host: &Rc<Host>, chunk: u32) {
+        self.received.borrow_mut().push(chunk);
+        self.notify_followers();
         if host.store.borrow().complete(self.version) {
-            let chunks = self.gained.borrow().len();
+            let chunks = self.received.borrow().len();
             log::info!(version:? = self.version, chunks; "weights are complete");
             host.audit(Deed::ReceiveDone {
                 version: self.version.short(),
@@ -464,13 +467,13 @@
         }
     }
 
-    /// Wakes those who tell followers what is gained or drawn.
-    fn tell(&self) {
-        self.told.send_modify(|count| *count += 1);
+    /// Wakes the announcement streams of followers.
+    fn notify_followers(&self) {
+        self.updates.send_modify(|count| *count += 1);
     }
 
-    /// Chunks that are being drawn from the origin.
-    fn drawing(&self) -> Vec<u32> {
+    /// Returns the chunks that are being fetched from the origin.
+    fn origin_fetches(&self) -> Vec<u32> {
         let swarm = self.swarm.borrow();
         swarm
             .as_ref()
@@ -478,27 +481,28 @@
             .unwrap_or_default()
     }
 
-    /// Milliseconds since the origin brought a chunk to anyone, as far as is known.
+    /// Returns the milliseconds since any box fetched a chunk from the origin, as far as this box
+    /// knows.
     fn origin_age(&self) -> Option<u64> {
         let swarm = self.swarm.borrow();
-        let brought = swarm.as_ref()?.last_origin_chunk()?;
-        Some(self.clock.now().since(brought).as_millis() as u64)
+        let fetched = swarm.as_ref()?.last_origin_chunk()?;
+        Some(self.clock.now().since(fetched).as_millis() as u64)
     }
 
-    /// How fetches ended so far.
+    /// Returns the number of fetches by result.
     pub fn tally(&self) -> Tally {
         let swarm = self.swarm.borrow();
         swarm.as_ref().map(Swarm::tally).unwrap_or_default()
     }
 
-    /// Chunks held, and chunks in all.
+    /// Returns the number of chunks held, and the total.
     pub fn progress(&self) -> (usize, usize) {
         self.swarm.borrow().as_ref().map_or((0, 0), Swarm::progress)
     }
 }
 
-/// Gets the manifest, then plans until every chunk is held.
-async fn receive(host: Rc<Host>, burst: Weak<Burst>) {
+/// Fetches the manifest, then runs the plan for as long as the burst exists.
+async fn run(host: Rc<Host>, burst: Weak<Burst>) {
     let Some(manifest) = fetch::manifest(&host, &burst).await else {
         return;
     };
@@ -517,23 +521,27 @@
             Ok(()) => break,
             Err(error) => {
                 log::warn!("{error}");
-                sleep(ROOM_PAUSE).await;
+                sleep(ADMIT_RETRY_DELAY).await;
             }
         }
     }
-    strong.take_local(&host, chunks).await;
-    strong.begin(&host, chunks);
+    strong.load_local_chunks(&host, chunks).await;
+    strong.start_swarm(&host, chunks);
     drop(strong);
-    let mut reviewed = host.clock.now();
+    let mut last_review = host.clock.now();
     while let Some(strong) = burst.upgrade() {
-        strong.plan(&host);
+        strong.run_plan(&host);
         strong.wake_uploads(&host);
         let now = host.clock.now();
-        if now.since(reviewed) >= REVIEW {
-            reviewed = now;
-            strong.review(&host);
+        if now.since(last_review) >= PEER_REVIEW_PERIOD {
+            last_review = now;
+            strong.update_peers(&host);
         }
-        let pause = if strong.rests() { REVIEW } else { TICK };
+        let pause = if strong.is_idle() {
+            PEER_REVIEW_PERIOD
+        } else {
+            PLAN_PERIOD
+        };
         drop(strong);
         sleep(pause).await;
     }
--- a/src/burst/fetch.rs
+++ b/src/burst/fetch.rs
@@ -1,4 +1,4 @@
-//! Draws the manifest and the chunks of a version.
+//! Fetches the manifest and the chunks of a version.
 
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -16,40 +16,40 @@
 use crate::spread::swarm::{FetchKey, Outcome, Source};
 use crate::weight::Manifest;
 
-/// How long a manifest may take to begin to arrive.
+/// Timeout for the first byte of a manifest from the origin.
 const MANIFEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a peer may take for it: it holds it or does not.
+/// The same for a peer, which has the manifest in memory or rejects the request at once.
 const PEER_MANIFEST_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause between two rounds of asking for the manifest.
-const MANIFEST_PAUSE: Duration = Duration::from_millis(50);
+/// Delay between two rounds of requests for the manifest.
+const MANIFEST_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// First pause before the origin is asked for the manifest again, doubled up to
-/// [`ORIGIN_PAUSE_MAX`]. Peers are asked meanwhile.
-const ORIGIN_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the origin is first asked for the manifest again, doubled up to
+/// [`ORIGIN_RETRY_DELAY_MAX`]. Peers are asked in the meantime.
+const ORIGIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause, so that eighty processes reset by an origin without a free connection ask it 50
-/// times a second in all, instead of each 20 times.
-const ORIGIN_PAUSE_MAX: Duration = Duration::from_millis(1_600);
+/// Maximum of this delay. When the origin has no free connection and resets requests, 80 processes
+/// send 50 requests per second in total instead of 20 each.
+const ORIGIN_RETRY_DELAY_MAX: Duration = Duration::from_millis(1_600);
 
-/// Rounds after which a box that is no sponsor asks the origin for the manifest itself.
-const MANIFEST_ROUNDS: u32 = 40;
+/// Rounds after which a box that is not a sponsor also asks the origin for the manifest.
+const ORIGIN_FALLBACK_ROUNDS: u32 = 40;
 
-/// Rounds of which one asks any peer for the manifest, and the others a relay of the hall.
-const ANY_PEER_ROUNDS: u32 = 4;
+/// Every this many rounds any peer is asked for the manifest; in the others, a relay of the hall.
+const ANY_PEER_INTERVAL: u32 = 4;
 
-/// Longest manifest.
-const MANIFEST_MAX: usize = 8 << 20;
+/// Maximum size of an encoded manifest.
+const MANIFEST_BYTES_MAX: usize = 8 << 20;
 
-/// Asks the origin or peers until a manifest holds.
+/// Asks the origin or peers until one returns a valid manifest.
 pub(super) async fn manifest(host: &Rc<Host>, burst: &Weak<Burst>) -> Option<Manifest> {
     let mut round = 0;
-    let mut backoff = Backoff::new(ORIGIN_PAUSE, ORIGIN_PAUSE_MAX);
-    let mut origin_due = host.clock.now();
+    let mut backoff = Backoff::new(ORIGIN_RETRY_DELAY, ORIGIN_RETRY_DELAY_MAX);
+    let mut origin_retry_at = host.clock.now();
     loop {
         let strong = burst.upgrade()?;
-        if strong.at_rest.get() {
+        if strong.suspended.get() {
             return None;
         }
         let (version, origin) = (strong.version, strong.origin.clone());
@@ -57,12 +57,12 @@
         drop(strong);
         for source in sources {
             let now = host.clock.now();
-            if source.is_origin() && now < origin_due {
+            if source.is_origin() && now < origin_retry_at {
                 continue;
             }
             if source.is_origin() {
                 let jitter = rand::rng().random_range(0.7..1.3);
-                origin_due = now + backoff.failed().mul_f64(jitter);
+                origin_retry_at = now + backoff.failed().mul_f64(jitter);
             }
             match source.get(host, &*origin).await {
                 Ok(manifest) => match origin.check(version, &manifest) {
@@ -70,15 +70,17 @@
                     Err(error) => log::warn!(source = source.url(); "{error}"),
                 },
                 Err(reason) if source.is_origin() => host.instruments.origin_failed(&reason),
-                Err(reason) => log::debug!(source = source.url(); "manifest: {reason}"),
+                Err(reason) => {
+                    log::debug!(source = source.url(); "manifest request failed: {reason}")
+                }
             }
         }
         round += 1;
-        sleep(MANIFEST_PAUSE).await;
+        sleep(MANIFEST_RETRY_DELAY).await;
     }
 }
 
-/// Where a manifest may come from.
+/// Source of a manifest.
 enum ManifestSource {
     Origin(String),
     Peer(String),
@@ -96,12 +98,12 @@
     }
 
     async fn get(&self, host: &Host, origin: &dyn Origin) -> Result<Manifest, String> {
-        let first = match self {
+        let timeout = match self {
             Self::Origin(_) => MANIFEST_TIMEOUT,
             Self::Peer(_) => PEER_MANIFEST_TIMEOUT,
         };
-        let request = prepare(host, self.url(), self.is_origin());
-        let body = http::receive(request, MANIFEST_MAX, first);
+        let request = build_request(host, self.url(), self.is_origin());
+        let body = http::receive(request, MANIFEST_BYTES_MAX, timeout);
         let body = body.await.map_err(|error| error.to_string())?;
         let manifest = match self {
             Self::Origin(_) => origin.decode(&body),
@@ -113,25 +115,27 @@
 
 impl Burst {
     fn manifest_sources(&self, host: &Host, round: u32) -> Vec<ManifestSource> {
-        let members = self.ring();
+        let members = self.ring_members();
         let relays = self.relays();
         let fetchers = ring::origin_fetchers(&members, &relays);
         let sponsors = ring::sponsors(self.version, &fetchers, host.spread.sponsors);
         let mut sources = Vec::new();
-        let asks_origin = sponsors.contains(&host.name) || round >= MANIFEST_ROUNDS;
+        let asks_origin = sponsors.contains(&host.name) || round >= ORIGIN_FALLBACK_ROUNDS;
         if asks_origin && !self.options.peers_only {
             let url = self.origin.manifest_url(self.version);
             sources.push(ManifestSource::Origin(url));
         }
-        let near = |member: &&Member| member.hall == host.hall && relays.contains(&member.name);
+        let local_relay =
+            |member: &&Member| member.hall == host.hall && relays.contains(&member.name);
         let mut others: Vec<&Member> = members
             .iter()
             .filter(|member| member.name != host.name)
             .collect();
-        // Relays have it first, and those of the own hall are near; another may be asked in between.
-        let nearest: Vec<&Member> = others.iter().copied().filter(near).collect();
-        if !nearest.is_empty() && !round.is_multiple_of(ANY_PEER_ROUNDS) {
-            others = nearest;
+        // Relays are the first to have the manifest, so those of the own hall are preferred. Other
+        // peers are asked in between.
+        let local_relays: Vec<&Member> = others.iter().copied().filter(local_relay).collect();
+        if !local_relays.is_empty() && !round.is_multiple_of(ANY_PEER_INTERVAL) {
+            others = local_relays;
         }
         if !others.is_empty() {
             let index = rand::rng().random_range(0..others.len());
@@ -143,11 +147,13 @@
     }
 }
 
-/// A request for weights. A connection to the origin ends with its exchange: the origin accepts few
-/// from all callers together, and one that rests when its machine loses power counts there for as
-/// long as the origin does not notice. Two such losses within 5 s locked everyone out for good. A new
+/// Builds a request for weights.
+///
+/// Connections to the origin are closed after each request. The origin accepts only a few
+/// connections from all clients together, and an idle one whose machine loses power stays occupied
+/// until the origin notices. Two such losses within 5 s locked out all clients permanently. A new
 /// connection costs about 10 ms between regions, where a chunk takes 27 ms on the origin's link.
-fn prepare(host: &Host, url: &str, origin: bool) -> awc::ClientRequest {
+fn build_request(host: &Host, url: &str, origin: bool) -> awc::ClientRequest {
     let request = host.connections.get(url);
     if origin {
         request.force_close()
@@ -156,38 +162,38 @@
     }
 }
 
-/// One chunk to draw.
-pub(super) struct Draw {
-    /// The fetch that reports back.
+/// A request for a chunk.
+pub(super) struct ChunkRequest {
+    /// Key under which the result is reported.
     pub key: FetchKey,
-    /// The chunk's place in the manifest.
+    /// Index of the chunk in the manifest.
     pub chunk: u32,
-    /// Whom to ask.
+    /// Source to fetch from.
     pub source: Source,
-    /// Where exactly.
+    /// URL of the chunk at this source.
     pub url: String,
 }
 
-/// Draws one chunk and reports how that ended.
-pub(super) async fn fetch(host: Rc<Host>, burst: Weak<Burst>, draw: Draw) {
-    let outcome = draw.run(&host, &burst).await;
+/// Fetches a chunk and reports the result.
+pub(super) async fn fetch(host: Rc<Host>, burst: Weak<Burst>, request: ChunkRequest) {
+    let outcome = request.run(&host, &burst).await;
     if let Some(strong) = burst.upgrade() {
-        strong.fetches.borrow_mut().remove(&draw.key);
-        strong.finish(&host, draw.key, draw.chunk, outcome);
-        strong.plan(&host);
+        strong.fetches.borrow_mut().remove(&request.key);
+        strong.finish_fetch(&host, request.key, request.chunk, outcome);
+        strong.run_plan(&host);
     }
 }
 
-impl Draw {
+impl ChunkRequest {
     async fn run(&self, host: &Rc<Host>, burst: &Weak<Burst>) -> Outcome {
         let Some(version) = burst.upgrade().map(|burst| burst.version) else {
             return Outcome::Failed;
         };
-        let request = prepare(host, &self.url, self.source == Source::Origin);
+        let request = build_request(host, &self.url, self.source == Source::Origin);
         let mut response = match request.send().await {
             Ok(response) => response,
             Err(error) => {
-                self.note_failure(host, &error.to_string());
+                self.record_failure(host, &error.to_string());
                 return Outcome::Failed;
             }
         };
@@ -195,7 +201,7 @@
             StatusCode::OK => {}
             StatusCode::SERVICE_UNAVAILABLE => return Outcome::Busy,
             status => {
-                self.note_failure(host, &format!("answered {status}"));
+                self.record_failure(host, &format!("answered {status}"));
                 return Outcome::Failed;
             }
         }
@@ -206,7 +212,7 @@
             let part = match part {
                 Ok(part) => part,
                 Err(error) => {
-                    self.note_failure(host, &error.to_string());
+                    self.record_failure(host, &error.to_string());
                     return Outcome::Failed;
                 }
             };
@@ -223,12 +229,12 @@
             return Outcome::Failed;
         }
         let Ok(chunk) = partial.finish() else {
-            log::warn!(source = self.url.as_str(); "chunk failed verification");
+            log::warn!(source = self.url.as_str(); "chunk does not match its manifest");
             return Outcome::Corrupt;
         };
         if self.source == Source::Origin {
-            host.instruments.drew(chunk.len() as u64);
-            log::info!(chunk = self.chunk, version:? = version; "chunk drawn from the origin");
+            host.instruments.origin_bytes_received(chunk.len() as u64);
+            log::info!(chunk = self.chunk, version:? = version; "chunk fetched from origin");
         }
         match host.store.borrow_mut().put(chunk) {
             Ok(true) => Outcome::Stored,
@@ -236,7 +242,7 @@
         }
     }
 
-    fn note_failure(&self, host: &Host, reason: &str) {
+    fn record_failure(&self, host: &Host, reason: &str) {
         if self.source == Source::Origin {
             host.instruments.origin_failed(reason);
         }
--- a/src/burst/follow.rs
+++ b/src/burst/follow.rs
@@ -1,4 +1,5 @@
-//! Tells peers what this box gains, and listens to what they tell.
+//! Announces the chunks of this box to its followers, and applies the announcements of the peers
+//! that it follows.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -17,67 +18,71 @@
 use crate::spread::swarm::{Announcement, PeerKey};
 use crate::wire::{self, Have};
 
-/// Chunks gained within so long are told in one frame.
-const COALESCE: Duration = Duration::from_millis(10);
+/// Chunks received within this time are announced in one frame.
+const COALESCE_DELAY: Duration = Duration::from_millis(10);
 
-/// How often a peer tells that it lives, with or without news.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+/// Maximum time between two frames, also if nothing has changed.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
 
-/// First pause before a peer is followed again, doubled up to [`FOLLOW_PAUSE_MAX`].
-const FOLLOW_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a peer is first followed again, doubled up to [`RECONNECT_DELAY_MAX`].
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause before a peer is followed again.
-const FOLLOW_PAUSE_MAX: Duration = Duration::from_secs(1);
+/// Maximum of this delay.
+const RECONNECT_DELAY_MAX: Duration = Duration::from_secs(1);
 
-/// A peer that does not answer for so long is asked anew.
-const FOLLOW_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for the response of a peer, and for each further part of it.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Burst {
-    /// The stream of what this box gains, for one follower.
+    /// Returns the announcements of this box for one follower, as a stream of encoded [`Have`]
+    /// frames. The first frame lists all chunks held.
     pub fn have_stream(
         self: &Rc<Self>,
     ) -> impl Stream<Item = Result<Bytes, std::io::Error>> + 'static {
-        let told = self.told.subscribe();
+        let updates = self.updates.subscribe();
         let burst = Rc::downgrade(self);
-        stream::unfold((burst, told, None), |(burst, mut told, sent)| async move {
-            if sent.is_some() {
-                let news = async {
-                    if told.changed().await.is_ok() {
-                        sleep(COALESCE).await;
-                    }
+        stream::unfold(
+            (burst, updates, None),
+            |(burst, mut updates, sent)| async move {
+                if sent.is_some() {
+                    let update = async {
+                        if updates.changed().await.is_ok() {
+                            sleep(COALESCE_DELAY).await;
+                        }
+                    };
+                    let _ = actix_rt::time::timeout(HEARTBEAT_PERIOD, update).await;
+                }
+                updates.mark_unchanged();
+                let strong = burst.upgrade()?;
+                let from = sent.unwrap_or(0);
+                let have = Have {
+                    gained: strong.received.borrow()[from..].to_vec(),
+                    load: strong.uploads.borrow().load() as u32,
+                    manifest: strong.swarm.borrow().is_some(),
+                    drawing: strong.origin_fetches(),
+                    origin_age_ms: strong.origin_age(),
                 };
-                let _ = actix_rt::time::timeout(HEARTBEAT, news).await;
-            }
-            told.mark_unchanged();
-            let strong = burst.upgrade()?;
-            let from = sent.unwrap_or(0);
-            let have = Have {
-                gained: strong.gained.borrow()[from..].to_vec(),
-                load: strong.uploads.borrow().load() as u32,
-                manifest: strong.swarm.borrow().is_some(),
-                drawing: strong.drawing(),
-                origin_age_ms: strong.origin_age(),
-            };
-            let sent = Some(from + have.gained.len());
-            let frame = wire::encode(&have).map_err(std::io::Error::other);
-            Some((frame, (burst, told, sent)))
-        })
+                let sent = Some(from + have.gained.len());
+                let frame = wire::encode(&have).map_err(std::io::Error::other);
+                Some((frame, (burst, updates, sent)))
+            },
+        )
     }
 }
 
-/// Follows one peer until dropped.
+/// Follows a peer until the task is aborted or the burst dropped.
 pub(super) async fn follow(
     host: Rc<Host>,
     burst: Weak<Burst>,
     peer: Descriptor,
     key: Rc<Cell<Option<PeerKey>>>,
 ) {
-    let mut pause = FOLLOW_PAUSE;
+    let mut pause = RECONNECT_DELAY;
     loop {
-        let heard = {
+        let received = {
             let followed = pin!(follow_once(&host, &burst, &peer, &key));
             match select(followed, pin!(host.connections.reconnected())).await {
-                Either::Left((heard, _)) => heard,
+                Either::Left((received, _)) => received,
                 Either::Right(_) => true,
             }
         };
@@ -88,17 +93,17 @@
             swarm.remove_peer(key);
         }
         drop(strong);
-        pause = if heard {
-            FOLLOW_PAUSE
+        pause = if received {
+            RECONNECT_DELAY
         } else {
-            (pause * 2).min(FOLLOW_PAUSE_MAX)
+            (pause * 2).min(RECONNECT_DELAY_MAX)
         };
         let jitter = rand::rng().random_range(0.5..1.0);
         sleep(pause.mul_f64(jitter)).await;
     }
 }
 
-/// Reads one peer's frames until they end. Returns whether any came.
+/// Reads the frames of a peer until the stream ends. Returns whether there were any.
 async fn follow_once(
     host: &Rc<Host>,
     burst: &Weak<Burst>,
@@ -110,15 +115,16 @@
     };
     let url = format!("{}/have", swarm_url(peer.address, version));
     let request = host.connections.get(&url).send();
-    let Ok(Ok(mut response)) = actix_rt::time::timeout(FOLLOW_TIMEOUT, request).await else {
+    let Ok(Ok(mut response)) = actix_rt::time::timeout(RESPONSE_TIMEOUT, request).await else {
         return false;
     };
     if !response.status().is_success() {
         return false;
     }
     let mut decoder = wire::Decoder::default();
-    let mut heard = false;
-    while let Ok(Some(Ok(part))) = actix_rt::time::timeout(FOLLOW_TIMEOUT, response.next()).await {
+    let mut received = false;
+    while let Ok(Some(Ok(part))) = actix_rt::time::timeout(RESPONSE_TIMEOUT, response.next()).await
+    {
         decoder.push(&part);
         loop {
             let have: Have = match decoder.take() {
@@ -126,21 +132,21 @@
                 Ok(None) => break,
                 Err(error) => {
                     log::warn!(peer = &*peer.name; "{error}");
-                    return heard;
+                    return received;
                 }
             };
             let Some(strong) = burst.upgrade() else {
-                return heard;
+                return received;
             };
-            heard = true;
-            strong.hear(host, peer, key, &have);
+            received = true;
+            strong.apply_announcement(host, peer, key, &have);
         }
     }
-    heard
+    received
 }
 
 impl Burst {
-    fn hear(
+    fn apply_announcement(
         self: &Rc<Self>,
         host: &Rc<Host>,
         peer: &Descriptor,
@@ -163,7 +169,7 @@
             swarm.update_peer(known, announcement, now);
         }
         if !have.gained.is_empty() {
-            self.plan(host);
+            self.run_plan(host);
         }
     }
 }
--- a/src/burst/host.rs
+++ b/src/burst/host.rs
@@ -1,4 +1,4 @@
-//! What a burst needs of the process that it runs in.
+//! State and interfaces that a process provides to its bursts.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -20,37 +20,38 @@
 use crate::spread::swarm::Outcome;
 use crate::weight::{Digest, Error, Hash, Manifest, Store};
 
-/// Where weights come from in the first place: how it names what it has, and how it writes it.
+/// The origin of weights: the URLs of its content and the format of its manifests.
 pub trait Origin: fmt::Debug {
-    /// Where a version's manifest is to be had.
+    /// Returns the URL of the manifest of a version.
     fn manifest_url(&self, version: Digest) -> String;
 
-    /// Where one chunk is to be had.
+    /// Returns the URL of a chunk.
     fn chunk_url(&self, version: Digest, chunk: u32) -> String;
 
-    /// Reads a manifest as the origin writes it.
+    /// Decodes a manifest in the origin's format.
     fn decode(&self, body: &[u8]) -> Result<Manifest, Error>;
 
-    /// Whether `manifest` may be the one of `version`, from wherever it came.
+    /// Checks that `manifest` may belong to `version`, regardless of its source.
     fn check(&self, version: Digest, manifest: &Manifest) -> Result<(), Error>;
 
-    /// How the manifest's digests of chunks are computed.
+    /// Returns the hash function of the chunk digests in the manifest.
     fn hash(&self) -> Hash;
 }
 
-/// Chunks that a box holds already outside its store, unverified.
+/// Unverified chunks that a box already has outside its store.
 pub trait LocalChunks {
-    /// A chunk, if it is there.
+    /// Returns a chunk, if present.
     fn chunk(&self, version: Digest, chunk: u32) -> LocalBoxFuture<'_, Option<Bytes>>;
 
-    /// All chunks of a version were asked for.
+    /// Called after all chunks of a version have been requested.
     fn done(&self);
 }
 
-/// The origin of the product's own interface: versions are named by their manifest's digest.
+/// An origin with the product's own interface, which identifies versions by the digest of their
+/// manifest.
 #[derive(Debug, Clone)]
 pub struct ContentOrigin {
-    /// The origin's address, such as `http://10.0.0.1:8000`.
+    /// Base URL of the origin, such as `http://10.0.0.1:8000`.
     pub url: String,
 }
 
@@ -76,14 +77,14 @@
     }
 }
 
-/// Reads a manifest as peers write it.
+/// Decodes a manifest in the format used between peers.
 pub fn decode_manifest(body: &[u8]) -> Result<Manifest, Error> {
     rmp_serde::from_slice(body).map_err(|error| Error::ManifestText {
         reason: error.to_string(),
     })
 }
 
-/// Counters of a box's bursts.
+/// Metrics of the bursts of a box.
 #[derive(Debug)]
 pub struct Instruments {
     chunks: Counter<u64>,
@@ -93,7 +94,7 @@
 }
 
 impl Instruments {
-    /// Registers them.
+    /// Registers the instruments with `meter`.
     pub fn new(meter: &Meter) -> Self {
         Self {
             chunks: meter
@@ -113,8 +114,8 @@
         }
     }
 
-    /// A fetch ended.
-    pub fn chunk(&self, outcome: Outcome) {
+    /// Counts a finished fetch.
+    pub fn fetch_finished(&self, outcome: Outcome) {
         let name = match outcome {
             Outcome::Stored => "stored",
             Outcome::Corrupt => "corrupt",
@@ -124,29 +125,30 @@
         self.chunks.add(1, &[KeyValue::new("outcome", name)]);
     }
 
-    /// A stalled fetch was dropped.
-    pub fn cancelled(&self) {
+    /// Counts a cancelled fetch.
+    pub fn fetch_cancelled(&self) {
         self.chunks.add(1, &[KeyValue::new("outcome", "cancelled")]);
     }
 
-    /// Bytes came from the origin.
-    pub fn drew(&self, bytes: u64) {
+    /// Counts bytes fetched from the origin.
+    pub fn origin_bytes_received(&self, bytes: u64) {
         self.origin.add(bytes, &[]);
         if let Some(failures) = self.failures.end() {
-            log::info!(failures; "the origin answers again");
+            log::info!(failures; "origin requests succeed again");
         }
     }
 
-    /// An exchange with the origin brought nothing. An origin that stays away costs few lines.
+    /// Counts a failed request to the origin. While the origin stays unavailable, only a few of the
+    /// failures are logged.
     pub fn origin_failed(&self, reason: &str) {
         self.origin_failures.add(1, &[]);
         if let Some(failures) = self.failures.count() {
-            log::warn!(failures; "the origin brought nothing: {reason}");
+            log::warn!(failures; "origin request failed: {reason}");
         }
     }
 }
 
-/// Client to the origin and to peers, over connections that can be given up all at once.
+/// HTTP connections to the origin and to peers, which can be replaced all at once.
 pub struct Connections {
     setting: ClientSetting,
     client: RefCell<awc::Client>,
@@ -154,7 +156,7 @@
 }
 
 impl Connections {
-    /// Client over connections as `setting` says.
+    /// Creates connections with the settings `setting`.
     pub fn new(setting: ClientSetting) -> Self {
         Self {
             setting,
@@ -163,54 +165,55 @@
         }
     }
 
-    /// A request that asks for `url`.
+    /// Returns a GET request for `url`.
     pub fn get(&self, url: &str) -> awc::ClientRequest {
         self.client.borrow().get(url)
     }
 
-    /// Takes new connections from now on: nothing comes over the open ones any more.
+    /// Uses new connections from now on, because the open ones no longer deliver anything.
     pub fn reconnect(&self) {
         self.client.replace(http::client(self.setting));
         self.renewed.send_modify(|count| *count += 1);
     }
 
-    /// Ends when the connections that are open now are given up.
+    /// Waits for the next [`reconnect`](Self::reconnect).
     pub async fn reconnected(&self) {
-        // The sender lives as long as `self` does.
+        // The sender lives as long as `self`, so this cannot fail.
         drop(self.renewed.subscribe().changed().await);
     }
 }
 
-/// Has `host` give its connections up whenever all open ones of its process are found silent.
+/// Replaces the connections of `host` whenever all open connections of its process are found to be
+/// silent.
 pub async fn reconnect_when_silent(host: Rc<Host>, mut all_silent: watch::Receiver<u64>) {
     while all_silent.changed().await.is_ok() {
         host.connections.reconnect();
     }
 }
 
-/// The process's side of all its bursts.
+/// State that a process shares between its bursts.
 pub struct Host {
-    /// The box's name.
+    /// Name of the box.
     pub name: Arc<str>,
-    /// The data hall that it stands in.
+    /// Data hall of the box.
     pub hall: Arc<str>,
-    /// Monotonic time.
+    /// Monotonic clock.
     pub clock: Clock,
-    /// Client to the origin and to peers.
+    /// Connections to the origin and to peers.
     pub connections: Connections,
-    /// Settings of the burst.
+    /// Settings of the bursts.
     pub spread: spread::Setting,
     /// Verified chunks.
     pub store: RefCell<Store>,
-    /// Counters.
+    /// Metrics.
     pub instruments: Instruments,
-    /// Bytes of chunks that were sent to other boxes.
+    /// Bytes of chunks sent to other boxes.
     pub bytes_sent: Cell<u64>,
-    /// Woken when a version is complete.
+    /// Notified when a version is complete.
     pub wake: Notify,
-    /// Takes what belongs into the audit trail.
+    /// Appends an event to the audit trail.
     pub trail: Rc<dyn Fn(Deed)>,
-    /// Where chunks may lie before a burst begins.
+    /// Chunks that may exist outside the store when a burst starts.
     pub local_chunks: Option<Rc<dyn LocalChunks>>,
 }
 
@@ -221,13 +224,13 @@
 }
 
 impl Host {
-    /// Adds to the audit trail.
+    /// Appends an event to the audit trail.
     pub fn audit(&self, deed: Deed) {
         (self.trail)(deed);
     }
 }
 
-/// Where a peer serves a version.
+/// Returns the URL under which a peer serves a version.
 pub fn swarm_url(address: SocketAddr, version: Digest) -> String {
     format!("http://{address}/v1/swarm/{version}")
 }
--- a/src/burst/manager.rs
+++ b/src/burst/manager.rs
@@ -1,5 +1,6 @@
-//! A process's part in bursts: it draws the newest version, and serves on what it holds of older ones while
-//! requests may still start on them, for replicas that come up empty.
+//! The bursts that a process participates in. It fetches the newest version, and keeps serving the
+//! chunks that it holds of older versions as long as requests may still start on them, so that
+//! replicas that start empty can load one of them.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,47 +17,47 @@
 use crate::spread::Favour;
 use crate::weight::Digest;
 
-/// The version that replicas hold before any was named.
+/// Version that replicas hold before any version was published.
 pub const FIRST_VERSION: u64 = 1;
 
-/// A version that was named less than this ago is with nobody yet.
-const FRESH: Duration = Duration::from_millis(1_500);
+/// No peer is assumed to hold a version that was published less than this ago.
+const NEW_VERSION_MAX_AGE: Duration = Duration::from_millis(1_500);
 
-/// Names the origin of one version of a model.
+/// Creates the origin for a version of a model.
 pub trait Origins {
-    /// The origin at `address`, as far as `version` of `model` is concerned.
+    /// Returns the origin at `address` for `version` of `model`.
     fn of(&self, address: SocketAddr, model: &str, version: u64) -> Rc<dyn Origin>;
 }
 
-/// A version of a model, and the name that it has in bursts.
+/// A version of a model that the process should hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// The model.
+    /// Name of the model.
     pub model: Arc<str>,
-    /// The version.
+    /// Version number.
     pub version: u64,
-    /// When the oldest version was named that is lacked.
+    /// When the oldest version that the replica lacks was published.
     pub published: Time,
 }
 
 impl Target {
-    /// Its name in bursts.
+    /// Returns the digest that identifies this version in bursts.
     pub fn label(&self) -> Digest {
         label(&self.model, self.version)
     }
 }
 
-/// The name of a model's version in bursts.
+/// Returns the digest that identifies `version` of `model` in bursts.
 pub fn label(model: &str, version: u64) -> Digest {
     Digest::of(format!("{model}\n{version}").as_bytes())
 }
 
-/// The newest version that was named for the model that is served; `None` while nothing is known.
+/// Returns the newest published version of the served model, or `None` while the model is unknown.
 pub fn newest(knowledge: &Knowledge) -> Option<Target> {
-    let brief = knowledge.summary()?;
-    let figures = brief.engine.as_ref();
-    let told = figures.and_then(|engine| engine.models.first().cloned());
-    let model = told.or_else(|| knowledge.belief.borrow().held_model(None))?;
+    let summary = knowledge.summary()?;
+    let engine = summary.engine.as_ref();
+    let declared = engine.and_then(|engine| engine.models.first().cloned());
+    let model = declared.or_else(|| knowledge.belief.borrow().held_model(None))?;
     let wanted = knowledge.belief.borrow().wanted(&model);
     Some(Target {
         version: wanted.map_or(FIRST_VERSION, |wanted| wanted.version),
@@ -65,20 +66,20 @@
     })
 }
 
-/// The oldest version that is served on to peers while `target` is the newest, where a version is due
-/// `bound` after it was named.
+/// Returns the oldest version that is still served to peers while `target` is the newest, if
+/// replicas must hold a version `bound` after it was published.
 pub fn oldest(knowledge: &Knowledge, target: &Target, bound: Duration) -> u64 {
     let belief = knowledge.belief.borrow();
     belief.oldest_allowed(&target.model, bound, knowledge.now())
 }
 
-/// The members of the burst around the replicas of `service`: the processes beside them, which
-/// listen at `port`, and the entries as relays.
+/// Returns the members of a burst for `service`: the agents beside its replicas, which listen on
+/// `port`, and the live entries as relays.
 pub fn members(knowledge: &Knowledge, service: Option<&str>, port: u16) -> Vec<Descriptor> {
     let belief = knowledge.belief.borrow();
     let records = belief.replicas().values().map(|listed| &listed.record);
-    let fellows = records.filter(|record| Some(&*record.service) == service);
-    let mut members: Vec<Descriptor> = fellows
+    let matching = records.filter(|record| Some(&*record.service) == service);
+    let mut members: Vec<Descriptor> = matching
         .map(|record| {
             let address = SocketAddr::new(record.address.ip(), port);
             let name = address.ip().to_string();
@@ -98,7 +99,7 @@
     members
 }
 
-/// One member.
+/// Builds the descriptor of a member.
 pub fn member(name: String, hall: Arc<str>, address: SocketAddr, role: Role) -> Descriptor {
     Descriptor {
         name: name.into(),
@@ -111,30 +112,30 @@
     }
 }
 
-/// Older versions that a process keeps for replicas that start meanwhile: the one that most serve, and
-/// one that was just being passed on.
-const KEPT_MAX: usize = 2;
+/// Number of older versions that a process retains for replicas that start meanwhile: the one that
+/// most replicas serve, and one whose distribution was still in progress.
+const RETAINED_VERSIONS_MAX: usize = 2;
 
-/// A version of which the process has a part.
-struct Part {
+/// The burst of one version.
+struct VersionBurst {
     target: Target,
     burst: Rc<Burst>,
 }
 
-/// Who takes part in a burst, and where weights come from.
+/// The members of a burst and the origin of the weights.
 pub struct Topology {
-    /// The origin.
+    /// Address of the origin.
     pub origin: SocketAddr,
-    /// How long a chunk takes over its link, if that is known.
+    /// Time to transfer a chunk over the origin's link, if known.
     pub origin_chunk_time: Option<Duration>,
-    /// The members, this process included or not.
+    /// The members. This process may be missing.
     pub members: Vec<Descriptor>,
-    /// This process.
+    /// Descriptor of this process.
     pub own: Descriptor,
 }
 
 impl Topology {
-    fn all(mut self) -> Vec<Descriptor> {
+    fn into_members(mut self) -> Vec<Descriptor> {
         let own = self.own;
         self.members.retain(|listed| listed.name != own.name);
         self.members.push(own);
@@ -142,53 +143,55 @@
     }
 }
 
-/// The bursts that a process takes part in: that of the newest version, and those of older ones that it
-/// serves to others yet.
+/// The bursts that a process participates in: that of the newest version, and those of older ones
+/// that it still serves.
 pub struct Manager {
-    /// The process's side of them.
+    /// State shared by all bursts of the process.
     pub host: Rc<Host>,
     origins: Rc<dyn Origins>,
     first_start: bool,
-    /// The newest version first.
-    parts: RefCell<Vec<Part>>,
+    /// In descending order of versions.
+    bursts: RefCell<Vec<VersionBurst>>,
 }
 
 impl Manager {
-    /// None yet. `first_start` tells that the whole system begins now for the first time.
+    /// Creates a manager without bursts. `first_start` means that the whole system is starting for
+    /// the first time.
     pub fn new(host: Rc<Host>, origins: Rc<dyn Origins>, first_start: bool) -> Self {
         Self {
             host,
             origins,
             first_start,
-            parts: RefCell::default(),
+            bursts: RefCell::default(),
         }
     }
 
-    /// Takes part in the burst of `target`. Of older versions, from `oldest` on, it serves what it holds.
+    /// Joins the burst of `target`. Held chunks of older versions, down to `oldest`, stay available
+    /// to peers; versions before `oldest` are released.
     pub fn join(&self, target: &Target, oldest: u64, topology: Topology) {
         let label = target.label();
         let burst = self.get(label).unwrap_or_else(|| {
-            self.rest_others();
-            self.make_room();
+            self.suspend_all();
+            self.free_capacity();
             log::info!(model = &*target.model, version = target.version; "burst joined");
-            self.begin(target, &topology, false)
+            self.start(target, &topology, false)
         });
-        self.let_go(|place, part| place > 0 && part.target.version < oldest);
-        burst.set_members(&self.host, topology.all());
+        self.release_if(|index, joined| index > 0 && joined.target.version < oldest);
+        burst.set_members(&self.host, topology.into_members());
     }
 
-    /// Takes `target`, an older version than the newest, from peers that hold it.
+    /// Fetches `target`, which is older than the newest version, from peers that hold it.
     pub fn join_older(&self, target: &Target, topology: Topology) {
         let known = self.get(target.label());
         let burst = known.unwrap_or_else(|| {
             log::info!(model = &*target.model, version = target.version; "older version joined");
-            self.begin(target, &topology, true)
+            self.start(target, &topology, true)
         });
         burst.resume(&self.host);
-        burst.set_members(&self.host, topology.all());
+        burst.set_members(&self.host, topology.into_members());
     }
 
-    fn begin(&self, target: &Target, topology: &Topology, peers_only: bool) -> Rc<Burst> {
+    fn start(&self, target: &Target, topology: &Topology, peers_only: bool) -> Rc<Burst> {
         let origin = self
             .origins
             .of(topology.origin, &target.model, target.version);
@@ -199,86 +202,90 @@
             origin_chunk_time: topology.origin_chunk_time,
         };
         let burst = Burst::start(&self.host, origin, target.label(), options);
-        let part = Part {
+        let joined = VersionBurst {
             target: target.clone(),
             burst: burst.clone(),
         };
-        let mut parts = self.parts.borrow_mut();
-        let place = parts.partition_point(|known| known.target.version > target.version);
-        parts.insert(place, part);
+        let mut bursts = self.bursts.borrow_mut();
+        let index = bursts.partition_point(|known| known.target.version > target.version);
+        bursts.insert(index, joined);
         burst
     }
 
-    /// Nothing more of the versions so far is drawn.
-    fn rest_others(&self) {
-        for part in &*self.parts.borrow() {
-            part.burst.rest();
+    /// Stops all fetches, and releases versions of which no chunk is held or that exceed
+    /// [`RETAINED_VERSIONS_MAX`].
+    fn suspend_all(&self) {
+        for joined in &*self.bursts.borrow() {
+            joined.burst.suspend();
         }
-        self.let_go(|place, part| place >= KEPT_MAX || part.burst.progress().0 == 0);
+        self.release_if(|index, joined| {
+            index >= RETAINED_VERSIONS_MAX || joined.burst.progress().0 == 0
+        });
     }
 
-    /// Lets the oldest versions go until another of their size finds room.
-    fn make_room(&self) {
+    /// Releases the oldest versions until there is capacity for another one as large as the newest.
+    fn free_capacity(&self) {
         loop {
             let size = {
-                let parts = self.parts.borrow();
+                let bursts = self.bursts.borrow();
                 let store = self.host.store.borrow();
-                let newest = parts.first();
+                let newest = bursts.first();
                 newest
-                    .and_then(|part| store.manifest(part.burst.version()))
+                    .and_then(|joined| store.manifest(joined.burst.version()))
                     .map_or(0, |manifest| manifest.model_bytes)
             };
             let (used, capacity) = self.host.store.borrow().usage();
-            let last = self.parts.borrow().len();
+            let last = self.bursts.borrow().len();
             if last == 0 || used + size <= capacity {
                 return;
             }
-            self.let_go(|place, _| place + 1 == last);
+            self.release_if(|index, _| index + 1 == last);
         }
     }
 
     fn holders(&self, target: &Target) -> Holders {
-        let named = self.host.clock.now().since(target.published);
+        let age = self.host.clock.now().since(target.published);
         match target.version {
             FIRST_VERSION if self.first_start => Holders::All,
             FIRST_VERSION => Holders::Some,
-            _ if named < FRESH => Holders::Nobody,
+            _ if age < NEW_VERSION_MAX_AGE => Holders::Nobody,
             _ => Holders::Some,
         }
     }
 
-    /// Takes part in none.
+    /// Leaves all bursts and releases their versions.
     pub fn leave(&self) {
-        self.let_go(|_, _| true);
+        self.release_if(|_, _| true);
     }
 
-    /// Lets those parts go that `goes` names by their places and themselves.
-    fn let_go(&self, goes: impl Fn(usize, &Part) -> bool) {
-        let mut place = 0;
-        self.parts.borrow_mut().retain(|part| {
-            let gone = goes(place, part);
-            place += 1;
-            if gone {
-                part.burst.rest();
-                let version = part.burst.version();
+    /// Releases the bursts for which `obsolete` returns true. It is called with the index and the
+    /// burst.
+    fn release_if(&self, obsolete: impl Fn(usize, &VersionBurst) -> bool) {
+        let mut index = 0;
+        self.bursts.borrow_mut().retain(|joined| {
+            let released = obsolete(index, joined);
+            index += 1;
+            if released {
+                joined.burst.suspend();
+                let version = joined.burst.version();
                 self.host.store.borrow_mut().release(version);
                 let version = version.short();
                 self.host.audit(Deed::Released { version });
             }
-            !gone
+            !released
         });
     }
 
-    /// The burst of `version`, if the process takes part in it.
+    /// Returns the burst of `version`, if the process participates in it.
     pub fn get(&self, version: Digest) -> Option<Rc<Burst>> {
-        let parts = self.parts.borrow();
-        let mut parts = parts.iter();
-        let part = parts.find(|part| part.burst.version() == version);
-        part.map(|part| part.burst.clone())
+        let bursts = self.bursts.borrow();
+        let mut bursts = bursts.iter();
+        let joined = bursts.find(|joined| joined.burst.version() == version);
+        joined.map(|joined| joined.burst.clone())
     }
 
-    /// Whether it takes part in any.
+    /// Whether the process participates in any burst.
     pub fn any(&self) -> bool {
-        !self.parts.borrow().is_empty()
+        !self.bursts.borrow().is_empty()
     }
 }
--- a/src/burst/serve.rs
+++ b/src/burst/serve.rs
@@ -1,4 +1,4 @@
-//! Answers peers that take part in a burst.
+//! Handles the requests of peers in a burst.
 
 use std::rc::Rc;
 
@@ -10,10 +10,11 @@
 use crate::http::{self, Answer};
 use crate::stop::{Kind, Tracker};
 
-/// Answers a peer that asks for `path`, if it is of a burst that the process takes part in.
+/// Handles a request for `path` under `/v1/swarm/`. Answers 404 if the process does not participate
+/// in that burst.
 pub async fn answer_path(bursts: &Manager, tracker: &Rc<Tracker>, path: &str) -> Answer {
-    let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-    let ["v1", "swarm", label, rest @ ..] = parts.as_slice() else {
+    let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
+    let ["v1", "swarm", label, rest @ ..] = segments.as_slice() else {
         return http::status(StatusCode::NOT_FOUND);
     };
     let burst = label.parse().ok().and_then(|label| bursts.get(label));
@@ -23,7 +24,7 @@
     }
 }
 
-/// Answers a peer; `rest` is the path after the version's name.
+/// Handles a request for a burst. `rest` is the path after the version.
 pub async fn answer(
     host: &Rc<Host>,
     tracker: &Rc<Tracker>,
--- a/src/burst/upload.rs
+++ b/src/burst/upload.rs
@@ -1,4 +1,4 @@
-//! Serves chunks to peers, a few at a time.
+//! Uploads chunks to peers, a few at a time.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -15,39 +15,39 @@
 use crate::http::{self, Answer};
 use crate::spread::upload::{Admission, UploadKey};
 
-/// Bytes of a chunk that are handed to a connection at a time.
-const SLICE: usize = 16 * 1024;
+/// Bytes of a chunk that are passed to a connection at a time.
+const SLICE_BYTES: usize = 16 * 1024;
 
-/// Header that tells how many uploads a box has.
+/// Response header with the number of uploads of a box.
 const LOAD_HEADER: &str = "x-load";
 
 impl Burst {
-    /// Serves a chunk to a peer, now or when its turn comes.
+    /// Uploads a chunk to a peer, at once or when the queue starts it.
     pub async fn upload(self: Rc<Self>, host: Rc<Host>, chunk: u32) -> Answer {
         let Some(bytes) = host.store.borrow().get(self.version, chunk) else {
             return http::status(StatusCode::NOT_FOUND);
         };
         let now = host.clock.now();
-        self.served.set(now);
+        self.last_served.set(now);
         let admission = self.uploads.borrow_mut().request(chunk, now);
-        let turn = match admission {
+        let guard = match admission {
             Admission::Busy => return self.busy(),
-            Admission::Start(key) => Turn::new(&host, &self, key),
+            Admission::Start(key) => UploadGuard::new(&host, &self, key),
             Admission::Wait(key) => {
-                let turn = Turn::new(&host, &self, key);
+                let guard = UploadGuard::new(&host, &self, key);
                 let (sender, receiver) = oneshot::channel();
                 self.waiters.borrow_mut().insert(key, sender);
                 if receiver.await.is_err() {
                     return http::status(StatusCode::SERVICE_UNAVAILABLE);
                 }
-                turn
+                guard
             }
         };
         let load = self.uploads.borrow().load();
         let body = UploadBody {
             bytes,
             offset: 0,
-            turn,
+            guard,
         };
         let mut answer = Response::with_body(StatusCode::OK, body.boxed());
         set_load(&mut answer, load);
@@ -60,7 +60,7 @@
         answer
     }
 
-    /// Wakes the uploads whose turn has come.
+    /// Starts the waiting uploads for which a slot is free.
     pub(super) fn wake_uploads(&self, host: &Host) {
         let now = host.clock.now();
         loop {
@@ -83,25 +83,25 @@
     }
 }
 
-/// An upload's place in the queue, given back when dropped.
-struct Turn {
+/// An upload in the queue. Dropping it removes the upload.
+struct UploadGuard {
     host: Rc<Host>,
     burst: Rc<Burst>,
     key: UploadKey,
-    whole: bool,
+    completed: bool,
 }
 
-impl Turn {
+impl UploadGuard {
     fn new(host: &Rc<Host>, burst: &Rc<Burst>, key: UploadKey) -> Self {
         Self {
             host: host.clone(),
             burst: burst.clone(),
             key,
-            whole: false,
+            completed: false,
         }
     }
 
-    fn progress(&self) {
+    fn record_progress(&self) {
         let now = self.host.clock.now();
         self.burst
             .uploads
@@ -110,19 +110,22 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for UploadGuard {
     fn drop(&mut self) {
         self.burst.waiters.borrow_mut().remove(&self.key);
-        self.burst.uploads.borrow_mut().finish(self.key, self.whole);
+        self.burst
+            .uploads
+            .borrow_mut()
+            .finish(self.key, self.completed);
         self.burst.wake_uploads(&self.host);
     }
 }
 
-/// A chunk on its way out, handed over slice by slice so that its pace is known.
+/// Body of an upload, passed on in slices so that the progress of the reader can be observed.
 struct UploadBody {
     bytes: Bytes,
     offset: usize,
-    turn: Turn,
+    guard: UploadGuard,
 }
 
 impl MessageBody for UploadBody {
@@ -139,12 +142,12 @@
         if self.offset == self.bytes.len() {
             return Poll::Ready(None);
         }
-        let end = self.bytes.len().min(self.offset + SLICE);
+        let end = self.bytes.len().min(self.offset + SLICE_BYTES);
         let slice = self.bytes.slice(self.offset..end);
         self.offset = end;
-        self.turn.progress();
-        self.turn.whole = end == self.bytes.len();
-        let host = &self.turn.host;
+        self.guard.record_progress();
+        self.guard.completed = end == self.bytes.len();
+        let host = &self.guard.host;
         let sent = host.bytes_sent.get() + slice.len() as u64;
         host.bytes_sent.set(sent);
         Poll::Ready(Some(Ok(slice)))
