--- a/src/burst.rs
+++ b/src/burst.rs
@@ -25,7 +25,7 @@
 use crate::spread::ring::Member;
 use crate::spread::swarm::{Action, FetchKey, Outcome, PeerKey, Source, Swarm, Tally};
 use crate::spread::upload::{Queue, UploadKey};
-use crate::version::stopgap::Outlook;
+use crate::version::fallback::Availability;
 use crate::weight::{self, Digest};
 
 pub mod fetch;
@@ -200,11 +200,11 @@
     }
 
     /// Returns how much of the version is available on this box and its peers.
-    pub fn availability(&self, now: Time) -> Outlook {
+    pub fn availability(&self, now: Time) -> Availability {
         let swarm = self.swarm.borrow();
-        let unknown = Outlook {
-            quiet: now.since(self.started),
-            ..Outlook::default()
+        let unknown = Availability {
+            since_progress: now.since(self.started),
+            ..Availability::default()
         };
         swarm
             .as_ref()
--- a/src/burst/follow.rs
+++ b/src/burst/follow.rs
@@ -59,7 +59,7 @@
                     gained: strong.received.borrow()[from..].to_vec(),
                     load: strong.uploads.borrow().load() as u32,
                     manifest: strong.swarm.borrow().is_some(),
-                    drawing: strong.origin_fetches(),
+                    fetching: strong.origin_fetches(),
                     origin_age_ms: strong.origin_age(),
                 };
                 let sent = Some(from + have.gained.len());
@@ -127,7 +127,7 @@
     {
         decoder.push(&part);
         loop {
-            let have: Have = match decoder.take() {
+            let have: Have = match decoder.next_frame() {
                 Ok(Some(have)) => have,
                 Ok(None) => break,
                 Err(error) => {
@@ -163,7 +163,7 @@
             let announcement = Announcement {
                 gained: &have.gained,
                 load: have.load,
-                drawing: &have.drawing,
+                fetching: &have.fetching,
                 origin_age: have.origin_age_ms.map(Duration::from_millis),
             };
             swarm.update_peer(known, announcement, now);
--- a/src/burst/manager.rs
+++ b/src/burst/manager.rs
@@ -57,8 +57,8 @@
     let summary = knowledge.summary()?;
     let engine = summary.engine.as_ref();
     let declared = engine.and_then(|engine| engine.models.first().cloned());
-    let model = declared.or_else(|| knowledge.belief.borrow().held_model(None))?;
-    let wanted = knowledge.belief.borrow().wanted(&model);
+    let model = declared.or_else(|| knowledge.catalog.borrow().loaded_model(None))?;
+    let wanted = knowledge.catalog.borrow().wanted(&model);
     Some(Target {
         version: wanted.map_or(FIRST_VERSION, |wanted| wanted.version),
         published: wanted.map_or(Time::default(), |wanted| wanted.since),
@@ -69,15 +69,15 @@
 /// Returns the oldest version that is still served to peers while `target` is the newest, if
 /// replicas must hold a version `bound` after it was published.
 pub fn oldest(knowledge: &Knowledge, target: &Target, bound: Duration) -> u64 {
-    let belief = knowledge.belief.borrow();
-    belief.oldest_allowed(&target.model, bound, knowledge.now())
+    let catalog = knowledge.catalog.borrow();
+    catalog.oldest_allowed(&target.model, bound, knowledge.now())
 }
 
 /// Returns the members of a burst for `service`: the agents beside its replicas, which listen on
 /// `port`, and the live entries as relays.
 pub fn members(knowledge: &Knowledge, service: Option<&str>, port: u16) -> Vec<Descriptor> {
-    let belief = knowledge.belief.borrow();
-    let records = belief.replicas().values().map(|listed| &listed.record);
+    let catalog = knowledge.catalog.borrow();
+    let records = catalog.replicas().values().map(|listed| &listed.record);
     let matching = records.filter(|record| Some(&*record.service) == service);
     let mut members: Vec<Descriptor> = matching
         .map(|record| {
--- a/src/config/belief.rs
+++ b/src/config/catalog.rs
@@ -17,7 +17,7 @@
 
 /// How long a removal is doubted that comes just after the store was out of reach: leases run out
 /// while it is, and a live replica writes itself again with its next heartbeat.
-pub const DOUBT: Duration = Duration::from_millis(1_250);
+pub const REMOVAL_GRACE: Duration = Duration::from_millis(1_250);
 
 /// A version whose bound turns out to end so much earlier is news: less is the way of a message.
 const DATED_BACK_MIN: Duration = Duration::from_millis(50);
@@ -52,13 +52,14 @@
         /// The hall.
         hall: Arc<str>,
         /// Whether that is asked; else it is over.
-        asked: bool,
+        #[serde(rename = "asked")]
+        active: bool,
     },
 }
 
 /// A fact and the revision that set it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Dated {
+pub struct Revisioned {
     /// The revision.
     pub revision: u64,
     /// The fact.
@@ -67,7 +68,7 @@
 
 /// A version that was named for a model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredVersion {
     /// The version.
     pub version: u64,
     /// The revision that named it.
@@ -77,21 +78,21 @@
 }
 
 /// The oldest of `named` that a replica lacks which holds `held`: its bound comes first.
-pub fn first_lacking(named: &[Wanted], held: u64) -> Option<Wanted> {
+pub fn first_missing(named: &[DesiredVersion], held: u64) -> Option<DesiredVersion> {
     named.iter().find(|wanted| wanted.version > held).copied()
 }
 
 /// A listed replica.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct ListedReplica {
     /// What it says of itself.
     pub record: Record,
     /// The revision of that.
     pub revision: u64,
     /// When its entry went, unless it is there.
-    pub gone: Option<Time>,
+    pub removed_at: Option<Time>,
     /// Whether the removal is doubted, because the store was out of reach shortly before.
-    pub doubted: bool,
+    pub provisional: bool,
 }
 
 /// What changed with a fact.
@@ -111,7 +112,7 @@
 
 /// How fresh a process's facts are, for comparing with another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Marks {
+pub struct Revisions {
     /// Revision of the routing configuration, 0 if none is known.
     pub routing: u64,
     /// Highest revision of the wanted versions.
@@ -123,7 +124,7 @@
     pub evacuations: u64,
 }
 
-impl Marks {
+impl Revisions {
     /// Whether at least one of these revisions is higher than its counterpart in `other`.
     pub fn any_newer_than(&self, other: Self) -> bool {
         self.routing > other.routing
@@ -140,7 +141,7 @@
 
 /// A replica's entry and its revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DatedRecord {
+pub struct RevisionedRecord {
     /// The revision.
     pub revision: u64,
     /// The entry.
@@ -162,16 +163,19 @@
     /// The revision after which the changes came.
     pub since: u64,
     /// The revision of the newest of them.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub revision: u64,
     /// Whether the store was out of reach shortly before.
     #[serde(default)]
-    pub shaky: bool,
+    #[serde(rename = "shaky")]
+    pub store_unstable: bool,
     /// Entries that were written.
     #[serde(default)]
-    pub records: Vec<DatedRecord>,
+    pub records: Vec<RevisionedRecord>,
     /// Entries that went.
     #[serde(default)]
-    pub gone: Vec<Removal>,
+    #[serde(rename = "gone")]
+    pub removals: Vec<Removal>,
 }
 
 fn evacuated(changed: bool) -> Effect {
@@ -184,11 +188,11 @@
 
 /// Beliefs.
 #[derive(Debug, Default)]
-pub struct Belief {
+pub struct Catalog {
     routing: Option<(u64, Rc<Routing>)>,
-    versions: BTreeMap<Arc<str>, Vec<Wanted>>,
+    versions: BTreeMap<Arc<str>, Vec<DesiredVersion>>,
     evacuations: Evacuations,
-    replicas: BTreeMap<Arc<str>, Listed>,
+    replicas: BTreeMap<Arc<str>, ListedReplica>,
     replicas_at: u64,
     replicas_changed: u64,
     removals: BTreeMap<Arc<str>, u64>,
@@ -197,7 +201,7 @@
     trusts_removals: bool,
 }
 
-impl Belief {
+impl Catalog {
     /// Nothing is believed yet; with `trusts_removals` no removal is ever doubted.
     pub fn new(trusts_removals: bool) -> Self {
         Self {
@@ -212,17 +216,17 @@
     }
 
     /// The newest version that was named for a model.
-    pub fn wanted(&self, model: &str) -> Option<Wanted> {
+    pub fn wanted(&self, model: &str) -> Option<DesiredVersion> {
         self.versions.get(model)?.last().copied()
     }
 
     /// The versions that were named for a model, oldest first.
-    pub fn named(&self, model: &str) -> &[Wanted] {
+    pub fn desired_versions(&self, model: &str) -> &[DesiredVersion] {
         self.versions.get(model).map_or(&[], Vec::as_slice)
     }
 
     /// All named versions, the oldest of each model first.
-    pub fn versions(&self) -> impl Iterator<Item = (&Arc<str>, Wanted)> {
+    pub fn versions(&self) -> impl Iterator<Item = (&Arc<str>, DesiredVersion)> {
         let models = self.versions.iter();
         models.flat_map(|(model, named)| named.iter().map(move |wanted| (model, *wanted)))
     }
@@ -241,12 +245,12 @@
     }
 
     /// All replicas that are listed, and those whose removal is young.
-    pub fn replicas(&self) -> &BTreeMap<Arc<str>, Listed> {
+    pub fn replicas(&self) -> &BTreeMap<Arc<str>, ListedReplica> {
         &self.replicas
     }
 
     /// A model that replicas hold, those of `service` if one is given.
-    pub fn held_model(&self, service: Option<&str>) -> Option<Arc<str>> {
+    pub fn loaded_model(&self, service: Option<&str>) -> Option<Arc<str>> {
         let records = self.replicas.values().map(|listed| &listed.record);
         let mut fellows =
             records.filter(|record| service.is_none_or(|service| &*record.service == service));
@@ -254,27 +258,27 @@
     }
 
     /// Versions of `model` that listed replicas hold.
-    pub fn held_versions(&self, model: &str) -> BTreeSet<u64> {
+    pub fn loaded_versions(&self, model: &str) -> BTreeSet<u64> {
         let present = self.replicas.values();
-        let present = present.filter(|listed| listed.gone.is_none());
+        let present = present.filter(|listed| listed.removed_at.is_none());
         present
             .filter_map(|listed| listed.record.version(model))
             .collect()
     }
 
     /// The revision up to which the list of replicas is known.
-    pub fn listed_at(&self) -> u64 {
+    pub fn list_revision(&self) -> u64 {
         self.replicas_at
     }
 
     /// Whether the list of replicas was ever read.
-    pub fn lists_replicas(&self) -> bool {
+    pub fn has_replica_list(&self) -> bool {
         self.replicas_at > 0
     }
 
     /// How fresh everything is.
-    pub fn marks(&self) -> Marks {
-        Marks {
+    pub fn revisions(&self) -> Revisions {
+        Revisions {
             routing: self.routing.as_ref().map_or(0, |(revision, _)| *revision),
             versions: self
                 .versions()
@@ -292,21 +296,24 @@
     }
 
     /// All evacuations that were asked for at `revision` were those of `halls`.
-    pub fn learn_evacuations(&mut self, halls: &[Arc<str>], revision: u64) -> Effect {
-        evacuated(self.evacuations.learn_all(halls, revision))
+    pub fn apply_evacuations(&mut self, halls: &[Arc<str>], revision: u64) -> Effect {
+        evacuated(self.evacuations.apply_list(halls, revision))
     }
 
     /// Takes one fact. `shaky` tells that the store was out of reach shortly before.
-    pub fn learn(&mut self, dated: Dated, now: Time, shaky: bool) -> Effect {
+    pub fn apply(&mut self, dated: Revisioned, now: Time, shaky: bool) -> Effect {
         let revision = dated.revision;
         match dated.fact {
             Fact::Routing(document) => self.learn_routing(revision, document),
             Fact::Version { model, version } => self.learn_version(revision, model, version, now),
             Fact::Replica(record) => self.learn_replica(revision, record),
             Fact::ReplicaGone(id) => self.forget_replica(revision, &id, now, shaky),
-            Fact::Evacuation { hall, asked } => evacuated(self.evacuations.learn(Evacuation {
+            Fact::Evacuation {
+                hall,
+                active: asked,
+            } => evacuated(self.evacuations.apply(Evacuation {
                 hall,
-                asked,
+                active: asked,
                 revision,
             })),
         }
@@ -339,7 +346,7 @@
         {
             return Effect::None;
         }
-        let wanted = Wanted {
+        let wanted = DesiredVersion {
             version,
             revision,
             since,
@@ -370,17 +377,18 @@
         }
         // That late heartbeat may be known already.
         let revision = known.map_or(revision, |known| known.revision.max(revision));
-        let unchanged = known.is_some_and(|known| known.record == record && known.gone.is_none());
+        let unchanged =
+            known.is_some_and(|known| known.record == record && known.removed_at.is_none());
         if !unchanged {
             self.replicas_changed = self.replicas_changed.max(revision);
         }
         self.replicas.insert(
             record.id.clone(),
-            Listed {
+            ListedReplica {
                 record,
                 revision,
-                gone: None,
-                doubted: false,
+                removed_at: None,
+                provisional: false,
             },
         );
         if unchanged {
@@ -394,12 +402,12 @@
         let Some(known) = self.replicas.get_mut(id) else {
             return Effect::None;
         };
-        if known.revision > revision || known.gone.is_some() {
+        if known.revision > revision || known.removed_at.is_some() {
             return Effect::None;
         }
-        known.gone = Some(now);
+        known.removed_at = Some(now);
         let service = known.record.service.clone();
-        known.doubted = shaky && !self.trusts_removals;
+        known.provisional = shaky && !self.trusts_removals;
         if !self.trusts_removals && self.vanishing(&service, now) {
             self.doubt_all(&service, now);
         }
@@ -416,20 +424,26 @@
             all.filter(|listed| &*listed.record.service == service && !listed.record.leaving)
         };
         let vanished = replicas()
-            .filter(|listed| listed.gone.is_some_and(|gone| now.since(gone) < DOUBT))
+            .filter(|listed| {
+                listed
+                    .removed_at
+                    .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE)
+            })
             .count();
         vanished >= VANISHED_MIN && vanished * 3 >= replicas().count()
     }
 
     fn doubt_all(&mut self, service: &str, now: Time) {
         for listed in self.replicas.values_mut() {
-            let young = listed.gone.is_some_and(|gone| now.since(gone) < DOUBT);
-            listed.doubted |= young && &*listed.record.service == service;
+            let young = listed
+                .removed_at
+                .is_some_and(|gone| now.since(gone) < REMOVAL_GRACE);
+            listed.provisional |= young && &*listed.record.service == service;
         }
     }
 
     /// Takes a whole list as of `revision`: what is known and not in it has gone.
-    pub fn learn_list(
+    pub fn apply_list(
         &mut self,
         records: Vec<(u64, Record)>,
         revision: u64,
@@ -439,7 +453,7 @@
         if revision < self.replicas_at {
             return Effect::None;
         }
-        if !self.lists_replicas() {
+        if !self.has_replica_list() {
             self.removals_from = revision;
         }
         let mut effect = Effect::None;
@@ -459,30 +473,31 @@
                 effect = Effect::Replicas;
             }
         }
-        self.reached(revision);
+        self.advance_list(revision);
         effect
     }
 
     /// What changed in the list after `since`, unless removals of that time are forgotten.
     pub fn changes_since(&self, since: u64) -> Option<Changes> {
-        if !self.lists_replicas() || since < self.removals_from {
+        if !self.has_replica_list() || since < self.removals_from {
             return None;
         }
         let present = self.replicas.values();
-        let present = present.filter(|listed| listed.gone.is_none() && listed.revision > since);
+        let present =
+            present.filter(|listed| listed.removed_at.is_none() && listed.revision > since);
         let removals = self.removals.iter();
         let removals = removals.filter(|(_, revision)| **revision > since);
         Some(Changes {
             since,
-            at: self.replicas_changed,
-            shaky: false,
+            revision: self.replicas_changed,
+            store_unstable: false,
             records: present
-                .map(|listed| DatedRecord {
+                .map(|listed| RevisionedRecord {
                     revision: listed.revision,
                     record: listed.record.clone(),
                 })
                 .collect(),
-            gone: removals
+            removals: removals
                 .map(|(id, revision)| Removal {
                     revision: *revision,
                     id: id.clone(),
@@ -492,36 +507,36 @@
     }
 
     /// Takes what changed in the list, if all before that is known.
-    pub fn learn_changes(&mut self, changes: Changes, now: Time, shaky: bool) -> Effect {
-        if !self.lists_replicas() || self.replicas_changed.max(self.replicas_at) < changes.since {
+    pub fn apply_changes(&mut self, changes: Changes, now: Time, shaky: bool) -> Effect {
+        if !self.has_replica_list() || self.replicas_changed.max(self.replicas_at) < changes.since {
             return Effect::None;
         }
-        let shaky = shaky || changes.shaky;
+        let shaky = shaky || changes.store_unstable;
         let mut effect = Effect::None;
-        for DatedRecord { revision, record } in changes.records {
+        for RevisionedRecord { revision, record } in changes.records {
             if self.learn_replica(revision, record) != Effect::None {
                 effect = Effect::Replicas;
             }
         }
-        for Removal { revision, id } in changes.gone {
+        for Removal { revision, id } in changes.removals {
             if self.forget_replica(revision, &id, now, shaky) != Effect::None {
                 effect = Effect::Replicas;
             }
         }
-        self.reached(changes.at);
+        self.advance_list(changes.revision);
         effect
     }
 
     /// The list of replicas is known up to `revision`.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn advance_list(&mut self, revision: u64) {
         self.replicas_at = self.replicas_at.max(revision);
     }
 
     /// Takes a wanted version that another process has known for `age`.
-    pub fn learn_aged(
+    pub fn apply_aged(
         &mut self,
         model: Arc<str>,
-        wanted: Wanted,
+        wanted: DesiredVersion,
         age: Duration,
         now: Time,
     ) -> Effect {
@@ -540,11 +555,11 @@
     }
 
     /// Drops replicas that went long enough ago. Returns whether any was dropped.
-    pub fn sweep(&mut self, now: Time) -> bool {
+    pub fn remove_expired(&mut self, now: Time) -> bool {
         let before = self.replicas.len();
-        self.replicas.retain(|_, listed| match listed.gone {
+        self.replicas.retain(|_, listed| match listed.removed_at {
             None => true,
-            Some(gone) => listed.doubted && now.since(gone) < DOUBT,
+            Some(gone) => listed.provisional && now.since(gone) < REMOVAL_GRACE,
         });
         while self.removals.len() > REMOVALS_MAX {
             let oldest = self.removals.iter().min_by_key(|(_, revision)| **revision);
--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -142,9 +142,11 @@
     /// Steps between two looks at the queue.
     pub stride: u32,
     /// Mean tokens of a prompt.
-    pub usual_prompt: f64,
+    #[serde(rename = "usual_prompt")]
+    pub mean_prompt_tokens: f64,
     /// Mean tokens of an answer.
-    pub usual_answer: f64,
+    #[serde(rename = "usual_answer")]
+    pub mean_answer_tokens: f64,
     /// The models that it serves.
     pub models: Vec<Arc<str>>,
     /// Chunks of a model's weights; 0 if untold.
@@ -153,11 +155,12 @@
     pub chunk_bytes: u32,
     /// Whether a figure that estimates need was missing, so that they have to be corrected by what
     /// is observed.
-    pub guessed: bool,
+    #[serde(rename = "guessed")]
+    pub incomplete: bool,
 }
 
 /// Time that `bytes` take over a link of so many megabits a second.
-pub fn over_link(bytes: u64, mbps: f64) -> Duration {
+pub fn transfer_time(bytes: u64, mbps: f64) -> Duration {
     Duration::from_secs_f64((bytes as f64 * 8.0 / (mbps * 1e6)).clamp(0.0, 3_600.0))
 }
 
@@ -181,12 +184,12 @@
             read_per_s: 20_000.0,
             pairs_ms_per_million: 0.0,
             stride: 5,
-            usual_prompt: 1_000.0,
-            usual_answer: 100.0,
+            mean_prompt_tokens: 1_000.0,
+            mean_answer_tokens: 100.0,
             models: Vec::new(),
             chunks: 0,
             chunk_bytes: 0,
-            guessed: true,
+            incomplete: true,
         }
     }
 }
@@ -309,7 +312,7 @@
     hosts: HashMap<String, Vec<usize>>,
     keys: HashMap<String, usize>,
     services: BTreeMap<Arc<str>, usize>,
-    tightest_ms: BTreeMap<Arc<str>, u64>,
+    min_objective_ms: BTreeMap<Arc<str>, u64>,
 }
 
 impl Routing {
@@ -334,10 +337,10 @@
             .enumerate()
             .map(|(index, service)| (service.name.clone(), index))
             .collect();
-        let mut tightest_ms: BTreeMap<Arc<str>, u64> = BTreeMap::new();
+        let mut min_objective_ms: BTreeMap<Arc<str>, u64> = BTreeMap::new();
         for route in &document.routes {
             for share in &route.shares {
-                let known = tightest_ms.entry(share.service.clone());
+                let known = min_objective_ms.entry(share.service.clone());
                 let known = known.or_insert(route.objective_ms);
                 *known = route.objective_ms.min(*known);
             }
@@ -347,13 +350,13 @@
             hosts,
             keys,
             services,
-            tightest_ms,
+            min_objective_ms,
         }
     }
 
     /// The tightest objective of all routes to a service, in milliseconds.
-    pub fn tightest_ms(&self, service: &str) -> Option<u64> {
-        self.tightest_ms.get(service).copied()
+    pub fn min_objective_ms(&self, service: &str) -> Option<u64> {
+        self.min_objective_ms.get(service).copied()
     }
 
     /// The route of `path` at `host`: the one with the longest prefix.
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -25,7 +25,7 @@
     /// Its id.
     pub id: String,
     /// What stays the same of it whenever it comes, once that is known.
-    pub name: Option<poison::Name>,
+    pub name: Option<poison::RequestHash>,
     /// Its route.
     pub route: Arc<str>,
     /// The replica that answers, or the last that was tried.
@@ -93,8 +93,8 @@
         let gateway = &self.gateway;
         let took = self.elapsed();
         gateway.instruments.request(self.outcome, took);
-        let belief = gateway.knowledge.belief.borrow();
-        let version = belief
+        let catalog = gateway.knowledge.catalog.borrow();
+        let version = catalog
             .routing()
             .map_or(0, |routing| routing.document.version);
         log::info!(
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -16,7 +16,7 @@
 use super::readers::Readers;
 use crate::exchange::Note;
 use crate::member::rank::{rank, weight};
-use crate::request::poison::{Name, Told};
+use crate::request::poison::{CaseReport, RequestHash};
 
 /// Path of a [`Notice`].
 pub const PATH: &str = "/v1/poison";
@@ -41,7 +41,7 @@
     pub hall: Arc<str>,
     /// The requests.
     #[serde(default)]
-    pub cases: Vec<Told>,
+    pub cases: Vec<CaseReport>,
     /// Whether it wants to be told what the other knows.
     #[serde(default)]
     pub asks: bool,
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
     /// What is known of the request.
-    pub case: Told,
+    pub case: CaseReport,
 }
 
 /// The answer to an [`Ask`].
@@ -66,7 +66,7 @@
     loop {
         knowledge.poison_changed.notified().await;
         sleep(GATHERED).await;
-        let cases = knowledge.poison.borrow_mut().take_news(knowledge.now());
+        let cases = knowledge.poison.borrow_mut().take_changes(knowledge.now());
         if cases.is_empty() {
             continue;
         }
@@ -86,7 +86,7 @@
         .collect()
 }
 
-fn send(knowledge: &Rc<Knowledge>, entries: Vec<SocketAddr>, cases: Vec<Told>) {
+fn send(knowledge: &Rc<Knowledge>, entries: Vec<SocketAddr>, cases: Vec<CaseReport>) {
     let notice = Rc::new(Notice {
         hall: knowledge.identity.hall.clone(),
         cases,
@@ -106,12 +106,12 @@
 /// Takes what another entry tells. Returns what it is told in turn.
 pub fn apply_notice(knowledge: &Rc<Knowledge>, notice: &Notice) -> Notice {
     let now = knowledge.now();
-    let news = knowledge.poison.borrow_mut().hear(&notice.cases, now);
+    let news = knowledge.poison.borrow_mut().merge(&notice.cases, now);
     // Whoever learned of it in this hall has told all of it.
     if !news.is_empty() && notice.hall != knowledge.identity.hall {
         send(knowledge, knowledge.local_peers(), news);
     }
-    let known = || knowledge.poison.borrow().tell(now);
+    let known = || knowledge.poison.borrow().reports(now);
     Notice {
         hall: knowledge.identity.hall.clone(),
         cases: if notice.asks { known() } else { Vec::new() },
@@ -126,7 +126,7 @@
     }
     let notice = Notice {
         hall: knowledge.identity.hall.clone(),
-        cases: knowledge.poison.borrow().tell(knowledge.now()),
+        cases: knowledge.poison.borrow().reports(knowledge.now()),
         asks: true,
     };
     match gossip::call::<_, Notice>(&knowledge, peer, PATH, &notice).await {
@@ -139,7 +139,7 @@
 }
 
 /// Asks for the single try of `name`: one entry deals it out for all that know each other.
-pub async fn take_try(knowledge: &Knowledge, name: Name) -> bool {
+pub async fn take_try(knowledge: &Knowledge, name: RequestHash) -> bool {
     let now = knowledge.now();
     let own = knowledge.identity.address;
     let others: Vec<SocketAddr> = {
@@ -171,19 +171,19 @@
 
 /// Answers an entry that asks for a single try.
 pub fn answer_try(knowledge: &Knowledge, ask: &Ask) -> Answer {
-    let (name, now) = (ask.case.name, knowledge.now());
+    let (name, now) = (ask.case.request, knowledge.now());
     let told = std::slice::from_ref(&ask.case);
-    knowledge.poison.borrow_mut().hear(told, now);
+    knowledge.poison.borrow_mut().merge(told, now);
     Answer {
         given: give_try(knowledge, name),
     }
 }
 
-fn give_try(knowledge: &Knowledge, name: Name) -> bool {
+fn give_try(knowledge: &Knowledge, name: RequestHash) -> bool {
     let given = knowledge
         .poison
         .borrow_mut()
-        .take_try(name, knowledge.now());
+        .claim_trial(name, knowledge.now());
     if given {
         log::info!(name:% = name; "a barred request is tried once");
         knowledge.poison_changed.notify_one();
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -13,11 +13,11 @@
 use crate::audit::Deed;
 use crate::burst::manager::{self, Target};
 use crate::clock::Time;
-use crate::config::belief::first_lacking;
-use crate::config::routing::over_link;
+use crate::config::catalog::first_missing;
+use crate::config::routing::transfer_time;
 use crate::member::{Descriptor, Role};
+use crate::version::fallback;
 use crate::version::rollout::{self, Step};
-use crate::version::stopgap;
 use crate::weight::Digest;
 
 /// How often the replica is looked over.
@@ -154,27 +154,27 @@
         let now = self.knowledge.now();
         let outlook = self.bursts.get(label)?.availability(now);
         let times = self.times()?;
-        let belief = self.knowledge.belief.borrow();
-        let named = belief.named(&newest.model);
+        let catalog = self.knowledge.catalog.borrow();
+        let named = catalog.desired_versions(&newest.model);
         let known = self.stopgap.borrow().as_ref().map(|target| target.version);
-        let hold = belief.held_versions(&newest.model);
+        let hold = catalog.loaded_versions(&newest.model);
         // One that is coming already is not left for another.
         let chosen = known.filter(|version| {
-            let lacking = first_lacking(named, *version);
+            let lacking = first_missing(named, *version);
             let ends = lacking.map_or(now, |lacking| lacking.since + times.bound);
             ends > now + SERVES_AFTER
         });
-        chosen.or_else(|| stopgap::choose(named, &hold, outlook, times, now))
+        chosen.or_else(|| fallback::select(named, &hold, outlook, times, now))
     }
 
-    fn times(&self) -> Option<stopgap::Times> {
+    fn times(&self) -> Option<fallback::TransferTimes> {
         let brief = self.knowledge.summary()?;
         let bytes = brief.engine.as_ref()?.weight_bytes();
         let rollout = self.setting.rollout;
-        let own = over_link(bytes, self.setting.link_mbps);
-        Some(stopgap::Times {
+        let own = transfer_time(bytes, self.setting.link_mbps);
+        Some(fallback::TransferTimes {
             origin: brief.copy().unwrap_or(own),
-            own,
+            local: own,
             bound: rollout.bound.saturating_sub(rollout.margin),
         })
     }
@@ -201,8 +201,8 @@
     /// The processes beside the replicas of the own service, and the entries.
     fn members(&self) -> Vec<Descriptor> {
         let service = {
-            let belief = self.knowledge.belief.borrow();
-            let mut records = belief.replicas().values().map(|listed| &listed.record);
+            let catalog = self.knowledge.catalog.borrow();
+            let mut records = catalog.replicas().values().map(|listed| &listed.record);
             let own = records.find(|record| record.address == self.setting.replica);
             own.map(|record| record.service.clone())
         };
@@ -241,29 +241,29 @@
                 return;
             };
             rollout::State {
-                wanted: target.version,
-                named: target.published,
-                held: known.held(&target.model),
+                desired: target.version,
+                published_at: target.published,
+                loaded: known.held(&target.model),
                 busy: known.busy,
-                complete: self.complete_since(label),
+                complete_since: self.complete_since(label),
                 wave: self.wave(label, rollout.waves),
-                noticed: self.noticed.get(),
+                notice_since: self.noticed.get(),
             }
         };
         // What a replica is taking in is left as it lies.
-        if state.held != Some(target.version) && !state.busy {
+        if state.loaded != Some(target.version) && !state.busy {
             self.stage(target, label).await;
         }
         let now = self.knowledge.now();
         match rollout::step(state, rollout, now) {
-            Step::Rest => {
-                if state.held == Some(target.version) {
+            Step::Idle => {
+                if state.loaded == Some(target.version) {
                     self.set_noticed(None);
                     self.staged.borrow_mut().ordered = None;
                 }
             }
-            Step::Receive | Step::Await | Step::Noticed => {}
-            Step::Notice => self.set_noticed(Some(now)),
+            Step::Receive | Step::AwaitWave | Step::AwaitNotice => {}
+            Step::BeginNotice => self.set_noticed(Some(now)),
             Step::Order => self.order(target, label).await,
         }
     }
--- a/src/spread/swarm.rs
+++ b/src/spread/swarm.rs
@@ -14,7 +14,7 @@
 use super::ring::{self, Member};
 use crate::backoff::Backoff;
 use crate::clock::Time;
-use crate::version::stopgap::Outlook;
+use crate::version::fallback::Availability;
 use crate::weight::Digest;
 
 mod holder;
@@ -119,7 +119,7 @@
     /// Number of its uploads, waiting or running.
     pub load: u32,
     /// Chunks that it is fetching from the origin.
-    pub drawing: &'a [u32],
+    pub fetching: &'a [u32],
     /// Time since any box fetched a chunk from the origin, as far as the peer knows.
     pub origin_age: Option<Duration>,
 }
@@ -374,7 +374,7 @@
         peer.load = announcement.load;
         let fetched = announcement.origin_age.map(|age| now - age);
         self.last_origin_chunk = self.last_origin_chunk.max(fetched);
-        let claims = announcement.drawing.iter().map(|&chunk| {
+        let claims = announcement.fetching.iter().map(|&chunk| {
             let mut known = peer.claims.iter();
             let known = known.find(|claim| claim.chunk == chunk).copied();
             known.unwrap_or(Claim { chunk, since: now })
@@ -461,17 +461,17 @@
     }
 
     /// Returns how much of the version is available on this box and its peers.
-    pub fn availability(&self, now: Time) -> Outlook {
+    pub fn availability(&self, now: Time) -> Availability {
         let missing = |chunk: &usize| !self.have.get(*chunk);
-        let unseen = |chunk: &usize| missing(chunk) && self.rarity[*chunk] == 0;
+        let unavailable = |chunk: &usize| missing(chunk) && self.rarity[*chunk] == 0;
         let chunks = 0..self.have.len();
-        Outlook {
+        Availability {
             missing: chunks.clone().filter(missing).count() as u32,
-            unseen: chunks.clone().filter(unseen).count() as u32,
+            unavailable: chunks.clone().filter(unavailable).count() as u32,
             chunks: chunks.len() as u32,
             // A joining box sees chunks as new that others have held for long, so the time of the
             // last fetch from the origin takes precedence.
-            quiet: now.since(self.last_origin_chunk.unwrap_or(self.last_new_chunk)),
+            since_progress: now.since(self.last_origin_chunk.unwrap_or(self.last_new_chunk)),
         }
     }
 
--- a/tests/burst_plan.rs
+++ b/tests/burst_plan.rs
@@ -129,7 +129,7 @@
     let announcement = Announcement {
         gained: &[90, 91, 92, 93],
         load: 0,
-        drawing: &[],
+        fetching: &[],
         origin_age: None,
     };
     swarm.update_peer(peer, announcement, start);
@@ -227,7 +227,7 @@
             Announcement {
                 gained: &[0, 1],
                 load: 0,
-                drawing: &[],
+                fetching: &[],
                 origin_age: None,
             },
             now,
@@ -238,7 +238,7 @@
         Announcement {
             gained: &[2],
             load: 0,
-            drawing: &[],
+            fetching: &[],
             origin_age: None,
         },
         now,
@@ -258,7 +258,7 @@
         Announcement {
             gained: &[0],
             load: 0,
-            drawing: &[],
+            fetching: &[],
             origin_age: None,
         },
         start,
@@ -271,7 +271,7 @@
         Announcement {
             gained: &[0],
             load: 0,
-            drawing: &[],
+            fetching: &[],
             origin_age: None,
         },
         later,
@@ -295,7 +295,7 @@
                 Announcement {
                     gained: &[0],
                     load: 0,
-                    drawing: &[],
+                    fetching: &[],
                     origin_age: None,
                 },
                 now,
@@ -561,7 +561,7 @@
             let announcement = Announcement {
                 gained: &[chunk],
                 load: 0,
-                drawing: &[],
+                fetching: &[],
                 origin_age: None,
             };
             swarm.update_peer(peer, announcement, began);
@@ -670,7 +670,7 @@
         let announcement = Announcement {
             gained: &[3],
             load: 1,
-            drawing: &[],
+            fetching: &[],
             origin_age: None,
         };
         swarm.update_peer(peer, announcement, began);
@@ -703,7 +703,7 @@
     let claim = Announcement {
         gained: &[],
         load: 0,
-        drawing: &[0],
+        fetching: &[0],
         origin_age: None,
     };
     let start = Time::default();
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::{Listed, Wanted};
+use pumicelatch::config::catalog::{DesiredVersion, ListedReplica};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::gateway::event::Cutter;
@@ -39,12 +39,12 @@
         read_per_s: 20_700.0,
         pairs_ms_per_million: 0.0,
         stride: 5,
-        usual_prompt: 979.0,
-        usual_answer: 92.0,
+        mean_prompt_tokens: 979.0,
+        mean_answer_tokens: 92.0,
         models: vec![MODEL.into()],
         chunks: 96,
         chunk_bytes: 24_576,
-        guessed: false,
+        incomplete: false,
     }
 }
 
@@ -69,18 +69,18 @@
     }
 }
 
-fn listed(record: Record) -> Listed {
-    Listed {
+fn listed(record: Record) -> ListedReplica {
+    ListedReplica {
         record,
         revision: 1,
-        gone: None,
-        doubted: false,
+        removed_at: None,
+        provisional: false,
     }
 }
 
 fn pool_of(records: Vec<Record>, due: Option<Due>) -> Pool {
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = records
+    let list: BTreeMap<Arc<str>, ListedReplica> = records
         .into_iter()
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
@@ -326,7 +326,7 @@
 #[test]
 fn nothing_is_sent_that_would_start_on_an_old_version_after_its_bound() {
     let due = Due {
-        named: vec![Wanted {
+        named: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -352,7 +352,7 @@
 #[test]
 fn a_request_that_outlasts_a_change_of_version_goes_to_a_replica_that_changes_later() {
     let due = |begins| Due {
-        named: vec![Wanted {
+        named: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -361,7 +361,7 @@
         bound: Duration::from_millis(7_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = [record(1, 1), record(2, 1)]
+    let list: BTreeMap<Arc<str>, ListedReplica> = [record(1, 1), record(2, 1)]
         .into_iter()
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
@@ -379,7 +379,7 @@
 #[test]
 fn replicas_whose_change_is_late_are_not_left_to_those_that_change_last() {
     let named = |begins_ms| Due {
-        named: vec![Wanted {
+        named: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -388,7 +388,7 @@
         bound: Duration::from_millis(9_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = (1..=5)
+    let list: BTreeMap<Arc<str>, ListedReplica> = (1..=5)
         .map(|host| record(host, 1))
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
@@ -425,7 +425,7 @@
 /// A replica that has version 2 before it, named now, with its bound after 7.4 s.
 fn due_in_seven_seconds() -> Due {
     Due {
-        named: vec![Wanted {
+        named: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -559,7 +559,7 @@
         tainted: false,
         sent: 1,
         sent_max: 2,
-        unreached: 0,
+        connect_failures: 0,
         time_left: true,
     }
 }
@@ -604,7 +604,7 @@
             tainted,
             sent: u32::from(sent % 4),
             sent_max: 2,
-            unreached: 0,
+            connect_failures: 0,
             time_left: left,
         };
         let may_have_run = tainted || matches!(ended, Ended::Failed | Ended::Broken);
@@ -637,7 +637,7 @@
             let budget = &mut budgets[usize::from(*pick) % entries];
             budget.request(setting, now);
             requests.push(now);
-            let spent = repeat.then(|| budget.spend(setting, entries, now));
+            let spent = repeat.then(|| budget.reserve(setting, entries, now));
             if let Some(repeat) = spent.flatten() {
                 budget.arrived(repeat, now);
                 repeats.push(now);
@@ -662,7 +662,7 @@
     let mut sizes = BTreeMap::new();
     for name in &fellows {
         let wave = rollout::wave(version, name, &fellows, setting.waves);
-        assert!(rollout::begins(setting, wave) < setting.bound);
+        assert!(rollout::wave_start(setting, wave) < setting.bound);
         *sizes.entry(wave).or_insert(0) += 1;
     }
     assert_eq!(sizes.len(), setting.waves as usize);
@@ -673,9 +673,9 @@
 fn a_longer_bound_gives_more_waves_and_each_has_its_time() {
     let waves = |bound_ms| {
         let bound = Duration::from_millis(bound_ms);
-        let setting = rollout::Setting::due_within(bound, Policy::default());
+        let setting = rollout::Setting::for_bound(bound, Policy::default());
         let begins: Vec<Duration> = (0..setting.waves)
-            .map(|wave| rollout::begins(setting, wave))
+            .map(|wave| rollout::wave_start(setting, wave))
             .collect();
         assert_eq!(*begins.last().unwrap(), bound - setting.margin);
         let first = Duration::from_millis(3_400);
@@ -686,7 +686,7 @@
     };
     assert_eq!([8_000, 10_000, 13_400].map(waves), [4, 5, 8]);
     let forced = Policy::with(["waves=3"]).unwrap();
-    let setting = rollout::Setting::due_within(Duration::from_secs(10), forced);
+    let setting = rollout::Setting::for_bound(Duration::from_secs(10), forced);
     assert_eq!(setting.waves, 3);
 }
 
@@ -695,7 +695,7 @@
     let version = Digest::of(b"v2");
     let names: Vec<String> = (0..41).map(|index| format!("10.0.0.{index}")).collect();
     let fellows: Vec<&str> = names.iter().map(String::as_str).collect();
-    let all = rollout::waves_of(version, fellows.iter().copied(), 5);
+    let all = rollout::assign_waves(version, fellows.iter().copied(), 5);
     for name in &fellows {
         assert_eq!(all[*name], rollout::wave(version, name, &fellows, 5));
     }
@@ -706,10 +706,10 @@
 #[test]
 fn waves_that_are_behind_their_time_share_what_is_left_of_it() {
     let bound = Duration::from_millis(13_400);
-    let setting = rollout::Setting::due_within(bound, Policy::default());
+    let setting = rollout::Setting::for_bound(bound, Policy::default());
     let last = bound - setting.margin;
-    let complete = rollout::begins(setting, 0) + Duration::from_secs(3);
-    let begins = |wave| rollout::begins_with(setting, wave, complete);
+    let complete = rollout::wave_start(setting, 0) + Duration::from_secs(3);
+    let begins = |wave| rollout::wave_start_after(setting, wave, complete);
     let waves: Vec<Duration> = (0..setting.waves).map(begins).collect();
     assert_eq!((waves[0], waves[waves.len() - 1]), (complete, last));
     let gaps = waves.windows(2).map(|pair| pair[1] - pair[0]);
@@ -718,46 +718,52 @@
     // In time, the plan holds; past the last wave's time nothing is left to share.
     for complete in [Duration::ZERO, last] {
         let wave = setting.waves - 1;
-        assert_eq!(rollout::begins_with(setting, wave, complete), last);
+        assert_eq!(rollout::wave_start_after(setting, wave, complete), last);
     }
 }
 
 #[test]
 fn no_wave_is_planned_for_before_a_narrow_origin_can_have_sent_the_weights() {
     let bound = Duration::from_millis(13_400);
-    let setting = rollout::Setting::due_within(bound, Policy::default());
+    let setting = rollout::Setting::for_bound(bound, Policy::default());
     let copy = |millis| Some(Duration::from_millis(millis));
-    let narrow = setting.with_copy(copy(4_300), Policy::default());
-    assert!(rollout::begins(narrow, 0) >= Duration::from_millis(5_100));
+    let narrow = setting.with_transfer_time(copy(4_300), Policy::default());
+    assert!(rollout::wave_start(narrow, 0) >= Duration::from_millis(5_100));
     assert_eq!(
-        rollout::begins(narrow, narrow.waves - 1),
+        rollout::wave_start(narrow, narrow.waves - 1),
         bound - narrow.margin
     );
     // A copy over a box's own link takes its time however wide the origin's is.
-    assert_eq!(setting.with_copy(copy(1_300), Policy::default()), setting);
-    assert_eq!(setting.with_copy(None, Policy::default()), setting);
+    assert_eq!(
+        setting.with_transfer_time(copy(1_300), Policy::default()),
+        setting
+    );
+    assert_eq!(setting.with_transfer_time(None, Policy::default()), setting);
 }
 
 #[test]
 fn a_change_is_ordered_only_when_everything_is_here_and_told() {
     let setting = rollout::Setting::default();
     let state = rollout::State {
-        wanted: 2,
-        named: NOW,
-        held: Some(1),
+        desired: 2,
+        published_at: NOW,
+        loaded: Some(1),
         busy: false,
-        complete: None,
+        complete_since: None,
         wave: 0,
-        noticed: None,
+        notice_since: None,
     };
-    let last = rollout::begins(setting, setting.waves - 1);
+    let last = rollout::wave_start(setting, setting.waves - 1);
     let late = NOW + last - setting.notice;
     assert_eq!(rollout::step(state, setting, late), rollout::Step::Receive);
     let complete = rollout::State {
-        complete: Some(NOW),
+        complete_since: Some(NOW),
         ..state
     };
-    assert_eq!(rollout::step(complete, setting, NOW), rollout::Step::Await);
+    assert_eq!(
+        rollout::step(complete, setting, NOW),
+        rollout::Step::AwaitWave
+    );
     assert_eq!(
         rollout::step(
             rollout::State {
@@ -767,15 +773,15 @@
             setting,
             late
         ),
-        rollout::Step::Notice
+        rollout::Step::BeginNotice
     );
     let noticed = rollout::State {
-        noticed: Some(late),
+        notice_since: Some(late),
         ..complete
     };
     assert_eq!(
         rollout::step(noticed, setting, late),
-        rollout::Step::Noticed
+        rollout::Step::AwaitNotice
     );
     let told = late + setting.notice;
     assert_eq!(rollout::step(noticed, setting, told), rollout::Step::Order);
@@ -786,15 +792,15 @@
         rollout::Step::Order
     );
     let empty = rollout::State {
-        held: None,
+        loaded: None,
         ..complete
     };
     assert_eq!(rollout::step(empty, setting, NOW), rollout::Step::Order);
     let held = rollout::State {
-        held: Some(2),
+        loaded: Some(2),
         ..complete
     };
-    assert_eq!(rollout::step(held, setting, late), rollout::Step::Rest);
+    assert_eq!(rollout::step(held, setting, late), rollout::Step::Idle);
 }
 
 fn events(count: u64) -> Vec<u8> {
