--- a/tests/burst_plan.rs
+++ b/tests/burst_plan.rs
@@ -1,4 +1,5 @@
-//! The pure plan of a burst: rings, sponsors, swarms, uploads, and the store behind them.
+//! Tests of burst scheduling without I/O: peer selection, sponsors, swarms, upload queues, and the
+//! chunk store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn everyone_is_followed_as_often_as_it_follows() {
+fn each_box_has_as_many_followers_as_peers() {
     let members = members(90, 3);
     let mut followed: BTreeMap<_, usize> = BTreeMap::new();
     for own in &members {
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn sponsors_are_the_same_for_everyone_and_one_that_goes_changes_one() {
+fn removing_a_sponsor_changes_only_one_sponsor() {
     let all = members(50, 3);
     let before = ring::sponsors(version(), &all, 6);
     let rest: Vec<Member> = all
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_version_has_one_first_substitute_in_each_hall_and_relays_before_others() {
+fn substitute_ranks_are_distinct_per_hall_and_relays_come_first() {
     let all = members(30, 3);
     let relays: Vec<Arc<str>> = ["box-003", "box-006", "box-009"].map(Arc::from).into();
     for label in 0..20u8 {
@@ -68,14 +69,14 @@
         assert_eq!(
             ranks.values().filter(|rank| **rank == 0).count(),
             1,
-            "one box first of all"
+            "exactly one box has rank 0"
         );
         for hall in ["hall-0", "hall-1", "hall-2"] {
             let in_hall = all.iter().filter(|member| &*member.hall == hall);
             let distinct: BTreeSet<usize> = in_hall.map(|member| ranks[&member.name]).collect();
-            assert_eq!(distinct.len(), 10, "no two of a hall step in together");
+            assert_eq!(distinct.len(), 10, "two boxes of a hall have the same rank");
         }
-        // All three relays stand in the first hall, and no other box of it comes before one.
+        // All three relays are in the first hall, and rank before all other boxes of it.
         let first_hall = all.iter().filter(|member| &*member.hall == "hall-0");
         let best = first_hall.clone().map(|member| ranks[&member.name]).min();
         for member in first_hall {
@@ -86,15 +87,16 @@
 }
 
 #[test]
-fn an_origin_that_is_away_is_asked_by_a_few_and_not_by_the_whole_fleet() {
-    // 40 relays and 45 boxes in three halls; the origin fails for 6 s, and then brings chunks again.
+fn unavailable_origin_is_retried_by_few_boxes() {
+    // 40 relays and 45 other boxes in three halls, with an origin that fails for 6 s. If boxes had
+    // another rank for each chunk, all of them would send requests to it.
     let all = members(85, 3);
     let relays: Vec<Arc<str>> = all[..40].iter().map(|member| member.name.clone()).collect();
     let setting = Setting {
         settle: Duration::ZERO,
         ..Setting::for_few_halls()
     };
-    let mut drawing = BTreeSet::new();
+    let mut fetching = BTreeSet::new();
     for own in &all {
         let mut swarm = Swarm::new(version(), own.clone(), 96, setting, 1, Time::default());
         swarm.set_members_and_relays(all.clone(), relays.clone());
@@ -102,19 +104,20 @@
             let now = Time::default() + Duration::from_millis(10 * step);
             for action in swarm.tick(now) {
                 if let Action::Fetch { fetch, chunk, .. } = action {
-                    drawing.insert(own.name.clone());
+                    fetching.insert(own.name.clone());
                     swarm.finish(fetch, chunk, Outcome::Failed, now);
                 }
             }
         }
     }
-    // Eight sponsors and two that stand by, and of three halls four, three and two.
-    assert!(drawing.len() <= 19, "{} boxes draw", drawing.len());
+    // Eight sponsors, two standbys, and four, three and two substitutes in the three halls.
+    assert!(fetching.len() <= 19, "{} boxes fetch", fetching.len());
 }
 
 #[test]
-fn a_chunk_that_still_comes_over_a_crowded_link_is_not_begun_anew() {
-    // 40 draws share 4.4 Mbit/s: each takes 1.8 s, and gets some bytes every 0.3 s; chunks from peers take 50 ms.
+fn slow_fetch_over_congested_origin_link_is_not_restarted() {
+    // 40 fetches share 4.4 Mbit/s: each takes 1.8 s and receives some bytes every 0.3 s. Chunks from
+    // peers take 50 ms.
     let all = members(30, 3);
     let sponsor = ring::sponsors(version(), &all, 1)[0].clone();
     let own = all.iter().find(|member| member.name == sponsor).unwrap();
@@ -133,7 +136,7 @@
         origin_age: None,
     };
     swarm.update_peer(peer, announcement, start);
-    let mut drawn = None;
+    let mut fetched = None;
     for step in 0..180 {
         let now = start + Duration::from_millis(10 * step);
         swarm.update_peer(
@@ -144,7 +147,7 @@
             },
             now,
         );
-        if let Some(fetch) = drawn
+        if let Some(fetch) = fetched
             && step % 30 == 0
         {
             swarm.record_progress(fetch, now);
@@ -156,26 +159,26 @@
                     source: Source::Origin,
                     ..
                 } => {
-                    assert_eq!(drawn.replace(fetch), None, "after {} ms", 10 * step);
+                    assert_eq!(fetched.replace(fetch), None, "after {} ms", 10 * step);
                 }
                 Action::Fetch { fetch, chunk, .. } => {
                     let later = now + Duration::from_millis(50);
                     swarm.finish(fetch, chunk, Outcome::Stored, later);
                 }
                 Action::Cancel { fetch } => {
-                    assert_ne!(Some(fetch), drawn, "after {} ms", 10 * step);
+                    assert_ne!(Some(fetch), fetched, "after {} ms", 10 * step);
                 }
             }
         }
     }
-    assert!(drawn.is_some());
-    // One that says nothing at all is given up.
+    assert!(fetched.is_some());
+    // A fetch that receives nothing at all is cancelled.
     let late = start + Duration::from_millis(1_740) + setting.origin_stall_timeout;
     let actions = swarm.tick(late);
-    let given_up = actions
+    let cancelled = actions
         .iter()
-        .any(|action| matches!(action, Action::Cancel { fetch } if Some(*fetch) == drawn));
-    assert!(given_up, "{actions:?}");
+        .any(|action| matches!(action, Action::Cancel { fetch } if Some(*fetch) == fetched));
+    assert!(cancelled, "{actions:?}");
 }
 
 fn swarm(own: &str, chunks: usize) -> Swarm {
@@ -197,8 +200,8 @@
     swarm
 }
 
-/// A box that is no sponsor.
-fn ordinary() -> String {
+/// Returns the name of a box that is not a sponsor.
+fn non_sponsor() -> String {
     let all = members(30, 3);
     let setting = Setting::default();
     let sponsors = ring::sponsors(version(), &all, setting.sponsors + setting.standbys);
@@ -215,8 +218,8 @@
 }
 
 #[test]
-fn the_rarest_chunk_is_drawn_first() {
-    let mut swarm = swarm(&ordinary(), 3);
+fn rarest_chunk_is_fetched_first() {
+    let mut swarm = swarm(&non_sponsor(), 3);
     let now = Time::default();
     let peers: Vec<_> = (0..3)
         .map(|index| swarm.add_peer(format!("peer-{index}").into(), now))
@@ -243,14 +246,14 @@
         },
         now,
     );
-    let drawn = fetches(&swarm.tick(now));
-    assert_eq!(drawn[0], (2, Source::Peer(peers[2])));
-    assert_eq!(drawn.len(), 3, "one from each peer");
+    let fetched = fetches(&swarm.tick(now));
+    assert_eq!(fetched[0], (2, Source::Peer(peers[2])));
+    assert_eq!(fetched.len(), 3, "fetches one chunk from each peer");
 }
 
 #[test]
-fn a_silent_peer_is_given_up_and_its_chunk_is_drawn_elsewhere() {
-    let mut swarm = swarm(&ordinary(), 1);
+fn chunk_of_unresponsive_peer_is_fetched_elsewhere() {
+    let mut swarm = swarm(&non_sponsor(), 1);
     let start = Time::default();
     let first = swarm.add_peer("first".into(), start);
     swarm.update_peer(
@@ -282,13 +285,13 @@
 }
 
 #[test]
-fn a_peer_that_sent_a_bad_chunk_is_passed_over_for_longer_each_time() {
-    let mut swarm = swarm(&ordinary(), 1);
+fn penalty_for_corrupt_chunks_grows() {
+    let mut swarm = swarm(&non_sponsor(), 1);
     let mut now = Time::default();
     let peer = swarm.add_peer("bad".into(), now);
-    let mut pauses = Vec::new();
+    let mut penalties = Vec::new();
     for _ in 0..4 {
-        let began = now;
+        let started = now;
         loop {
             swarm.update_peer(
                 peer,
@@ -306,14 +309,17 @@
             }
             now = now + Duration::from_millis(10);
         }
-        pauses.push(now.since(began));
+        penalties.push(now.since(started));
         now = now + Duration::from_millis(10);
     }
-    assert!(pauses[1] < pauses[2] && pauses[2] < pauses[3], "{pauses:?}");
+    assert!(
+        penalties[1] < penalties[2] && penalties[2] < penalties[3],
+        "{penalties:?}"
+    );
 }
 
 #[test]
-fn sponsors_share_the_chunks_and_nobody_else_asks_the_origin() {
+fn only_sponsors_fetch_from_origin_and_each_chunk_once() {
     let all = members(30, 3);
     let mut owners = [0; 40];
     for own in &all {
@@ -335,12 +341,12 @@
             now = now + Duration::from_millis(10);
         }
     }
-    assert_eq!(owners, [1; 40], "each chunk is drawn once");
+    assert_eq!(owners, [1; 40], "each chunk is fetched once");
 }
 
 #[test]
-fn sponsors_that_do_not_know_each_other_yet_begin_with_different_chunks() {
-    let mut drawn = BTreeSet::new();
+fn isolated_sponsors_start_with_different_chunks() {
+    let mut fetched = BTreeSet::new();
     for own in members(6, 3) {
         let mut swarm = Swarm::new(
             version(),
@@ -355,25 +361,29 @@
         for _ in 0..4 {
             for action in swarm.tick(now) {
                 if let Action::Fetch { fetch, chunk, .. } = action {
-                    drawn.insert(chunk);
+                    fetched.insert(chunk);
                     swarm.finish(fetch, chunk, Outcome::Stored, now);
                 }
             }
             now = now + Duration::from_millis(10);
         }
     }
-    assert!(drawn.len() >= 18, "{} chunks of 24 draws", drawn.len());
+    assert!(
+        fetched.len() >= 18,
+        "{} distinct chunks in 24 fetches",
+        fetched.len()
+    );
 }
 
 #[test]
-fn boxes_that_see_no_sponsor_draw_each_chunk_by_themselves_in_the_end() {
-    let mut swarm = swarm(&ordinary(), 5);
+fn box_without_sponsors_eventually_fetches_all_chunks() {
+    let mut swarm = swarm(&non_sponsor(), 5);
     let mut now = Time::default();
-    let mut drawn = BTreeSet::new();
-    while drawn.len() < 5 && now.since(Time::default()) < Duration::from_secs(600) {
+    let mut fetched = BTreeSet::new();
+    while fetched.len() < 5 && now.since(Time::default()) < Duration::from_secs(600) {
         for action in swarm.tick(now) {
             if let Action::Fetch { fetch, chunk, .. } = action {
-                drawn.insert(chunk);
+                fetched.insert(chunk);
                 swarm.finish(fetch, chunk, Outcome::Stored, now);
             }
         }
@@ -383,34 +393,34 @@
 }
 
 #[test]
-fn an_origin_that_fails_is_asked_less_and_less_and_never_given_up() {
+fn failing_origin_is_retried_with_backoff_indefinitely() {
     let all = members(30, 3);
     let sponsor = ring::sponsors(version(), &all, 1)[0].clone();
     let mut swarm = swarm(&sponsor, 40);
     let mut now = Time::default();
-    let mut tries = Vec::new();
+    let mut attempts = Vec::new();
     while now.since(Time::default()) < Duration::from_secs(30) {
         for action in swarm.tick(now) {
             if let Action::Fetch { fetch, chunk, .. } = action {
-                tries.push(now);
+                attempts.push(now);
                 swarm.finish(fetch, chunk, Outcome::Failed, now);
             }
         }
         now = now + Duration::from_millis(10);
     }
     assert!(
-        (12..80).contains(&tries.len()),
-        "{} tries in 30 s",
-        tries.len()
+        (12..80).contains(&attempts.len()),
+        "{} attempts in 30 s",
+        attempts.len()
     );
     assert!(
-        now.since(*tries.last().unwrap()) < Duration::from_secs(3),
-        "it still tries"
+        now.since(*attempts.last().unwrap()) < Duration::from_secs(3),
+        "stopped retrying"
     );
 }
 
 #[test]
-fn a_slow_reader_does_not_hold_a_slot() {
+fn slow_reader_loses_its_slot() {
     let mut queue = Queue::new(1, 4);
     let start = Time::default();
     let Admission::Start(slow) = queue.request(0, start) else {
@@ -419,7 +429,7 @@
     let Admission::Wait(next) = queue.request(1, start) else {
         panic!()
     };
-    assert_eq!(queue.next(start), None, "the slot is taken");
+    assert_eq!(queue.next(start), None, "the only slot is occupied");
     let later = start + Duration::from_secs(1);
     assert_eq!(
         queue.next(later),
@@ -432,7 +442,7 @@
 }
 
 #[test]
-fn waiting_uploads_are_bounded_and_the_first_copy_of_a_chunk_goes_first() {
+fn upload_queue_is_bounded_and_prefers_unserved_chunks() {
     let mut queue = Queue::new(1, 2);
     let now = Time::default();
     let Admission::Start(first) = queue.request(0, now) else {
@@ -458,7 +468,7 @@
 }
 
 #[test]
-fn the_store_holds_only_what_the_manifest_lists() {
+fn store_accepts_only_verified_chunks() {
     let (manifest, chunks) = manifest_and_chunks();
     let version = manifest.digest();
     let mut store = Store::new(10_000);
@@ -472,7 +482,7 @@
     let mut long = store.receive(version, 2).unwrap();
     assert!(
         long.push(&chunks[0]).is_err(),
-        "longer than the manifest says"
+        "longer than the manifest allows"
     );
     for index in [2, 0, 1] {
         assert!(!store.complete(version));
@@ -489,7 +499,7 @@
 }
 
 #[test]
-fn a_manifest_under_a_wrong_name_or_too_large_is_refused() {
+fn store_rejects_mismatched_and_oversized_manifests() {
     let (manifest, _) = manifest_and_chunks();
     let mut store = Store::new(2_499);
     let other = Digest::of(b"other");
@@ -506,26 +516,26 @@
             ..
         })
     ));
-    let lying = Manifest {
+    let inconsistent = Manifest {
         model_bytes: 9_999,
         ..manifest
     };
     assert!(matches!(
-        lying.verify(lying.digest()),
+        inconsistent.verify(inconsistent.digest()),
         Err(Error::ManifestShape { .. })
     ));
 }
 
 #[test]
-fn sponsors_draw_equally_many_chunks_and_step_in_for_each_other() {
+fn sponsors_get_equal_shares_and_replace_each_other() {
     let all = members(20, 3);
     let sponsors = ring::sponsors(version(), &all, 8);
     let active: Vec<&str> = sponsors.iter().map(|name| &**name).collect();
-    let mut drawn: BTreeMap<&str, u32> = BTreeMap::new();
+    let mut fetched: BTreeMap<&str, u32> = BTreeMap::new();
     for chunk in 0..96 {
         let order = ring::fetch_order(version(), chunk, &sponsors, &active);
         assert_eq!(order.len(), 8);
-        *drawn.entry(order[0]).or_default() += 1;
+        *fetched.entry(order[0]).or_default() += 1;
         let without: Vec<&str> = active
             .iter()
             .copied()
@@ -534,11 +544,11 @@
         let second = ring::fetch_order(version(), chunk, &sponsors, &without);
         assert_eq!(second[0], order[1]);
     }
-    assert!(drawn.values().all(|count| *count == 12), "{drawn:?}");
+    assert!(fetched.values().all(|count| *count == 12), "{fetched:?}");
 }
 
 #[test]
-fn a_chunk_enters_a_hall_through_one_box_at_first_and_through_more_with_time() {
+fn chunk_enters_hall_through_one_box_and_later_through_more() {
     let all = members(20, 3);
     let setting = Setting::for_few_halls();
     let sponsor = ring::sponsors(version(), &all, 1)[0].clone();
@@ -549,23 +559,23 @@
             .hall
             .clone()
     };
-    let far = hall(&sponsor);
+    let sponsor_hall = hall(&sponsor);
     let chunk = 5;
-    let draws = |after: Duration| {
-        let boxes = all.iter().filter(|member| member.hall != far);
-        let drawing = boxes.filter(|own| {
-            let began = Time::from_millis(1_000);
-            let mut swarm = Swarm::new(version(), (*own).clone(), 96, setting, 1, began);
+    let importing_boxes = |after: Duration| {
+        let boxes = all.iter().filter(|member| member.hall != sponsor_hall);
+        let importing = boxes.filter(|own| {
+            let started = Time::from_millis(1_000);
+            let mut swarm = Swarm::new(version(), (*own).clone(), 96, setting, 1, started);
             swarm.set_members(all.clone());
-            let peer = swarm.add_peer(sponsor.clone(), began);
+            let peer = swarm.add_peer(sponsor.clone(), started);
             let announcement = Announcement {
                 gained: &[chunk],
                 load: 0,
                 fetching: &[],
                 origin_age: None,
             };
-            swarm.update_peer(peer, announcement, began);
-            let actions = swarm.tick(began + after);
+            swarm.update_peer(peer, announcement, started);
+            let actions = swarm.tick(started + after);
             actions.iter().any(|action| {
                 matches!(
                     action,
@@ -577,19 +587,19 @@
                 )
             })
         });
-        drawing.count()
+        importing.count()
     };
     // One box in each of the two other halls.
-    assert_eq!(draws(Duration::ZERO), 2);
-    assert_eq!(draws(setting.sponsor_wait), 4);
+    assert_eq!(importing_boxes(Duration::ZERO), 2);
+    assert_eq!(importing_boxes(setting.sponsor_wait), 4);
 }
 
 #[test]
-fn a_box_that_joins_late_waits_for_its_peers_before_it_asks_the_origin() {
+fn joining_box_waits_for_peers_before_asking_origin() {
     let all = members(6, 1);
     let setting = Setting::for_few_halls();
-    let began = Time::from_millis(1_000);
-    let mut swarm = Swarm::new(version(), all[0].clone(), 96, setting, 1, began);
+    let started = Time::from_millis(1_000);
+    let mut swarm = Swarm::new(version(), all[0].clone(), 96, setting, 1, started);
     swarm.set_members(all.clone());
     let origin = |actions: Vec<Action>| {
         actions.iter().any(|action| {
@@ -602,12 +612,12 @@
             )
         })
     };
-    assert!(!origin(swarm.tick(began)));
-    assert!(origin(swarm.tick(began + setting.settle)));
+    assert!(!origin(swarm.tick(started)));
+    assert!(origin(swarm.tick(started + setting.settle)));
 }
 
 #[test]
-fn chunks_are_verified_by_the_hash_that_their_origin_uses() {
+fn chunks_are_verified_with_the_hash_of_their_origin() {
     use pumicelatch::weight::Hash;
 
     let bytes = Bytes::from_static(b"some weights");
@@ -619,9 +629,9 @@
     let mut store = Store::new(1_000);
     let label = Digest::of(b"model 2");
     store.admit_checked(label, manifest, Hash::Sha256).unwrap();
-    let mut spoilt = store.receive(label, 0).unwrap();
-    spoilt.push(b"some weightz").unwrap();
-    assert!(matches!(spoilt.finish(), Err(Error::ChunkDigest { .. })));
+    let mut corrupt = store.receive(label, 0).unwrap();
+    corrupt.push(b"some weightz").unwrap();
+    assert!(matches!(corrupt.finish(), Err(Error::ChunkDigest { .. })));
     let mut partial = store.receive(label, 0).unwrap();
     partial.push(&bytes).unwrap();
     store.put(partial.finish().unwrap()).unwrap();
@@ -629,7 +639,7 @@
 }
 
 #[test]
-fn relays_draw_from_the_origin_and_boxes_draw_from_relays() {
+fn relays_fetch_from_origin_and_boxes_fetch_from_relays() {
     let boxes = members(6, 1);
     let relays: Vec<Member> = ["relay-1", "relay-2"]
         .map(|name| Member {
@@ -643,14 +653,14 @@
         settle: Duration::ZERO,
         ..Setting::for_few_halls()
     };
-    let began = Time::from_millis(1_000);
+    let started = Time::from_millis(1_000);
     let swarm_of = |own: &Member| {
-        let mut swarm = Swarm::new(version(), own.clone(), 8, setting, 1, began);
+        let mut swarm = Swarm::new(version(), own.clone(), 8, setting, 1, started);
         swarm.set_members_and_relays(all.clone(), names.clone());
         swarm
     };
     let from_origin = |own: &Member| {
-        let actions = swarm_of(own).tick(began);
+        let actions = swarm_of(own).tick(started);
         actions.iter().any(|action| {
             matches!(
                 action,
@@ -664,18 +674,18 @@
     assert!(relays.iter().all(from_origin));
     assert!(!boxes.iter().any(from_origin));
     let mut swarm = swarm_of(&boxes[0]);
-    let fellow = swarm.add_peer(boxes[1].name.clone(), began);
-    let relay = swarm.add_peer(names[0].clone(), began);
-    for peer in [fellow, relay] {
+    let ordinary = swarm.add_peer(boxes[1].name.clone(), started);
+    let relay = swarm.add_peer(names[0].clone(), started);
+    for peer in [ordinary, relay] {
         let announcement = Announcement {
             gained: &[3],
             load: 1,
             fetching: &[],
             origin_age: None,
         };
-        swarm.update_peer(peer, announcement, began);
+        swarm.update_peer(peer, announcement, started);
     }
-    let actions = swarm.tick(began);
+    let actions = swarm.tick(started);
     assert!(
         matches!(actions[..], [Action::Fetch { source: Source::Peer(peer), .. }] if peer == relay),
         "{actions:?}"
@@ -683,7 +693,7 @@
 }
 
 #[test]
-fn what_a_peer_is_drawing_from_the_origin_is_left_to_it_until_it_takes_too_long() {
+fn chunk_claimed_by_peer_is_left_to_it_until_timeout() {
     let sponsor = |claims: bool| {
         let setting = Setting {
             settle: Duration::ZERO,
@@ -695,7 +705,7 @@
             hall: "hall-0".into(),
         };
         let mut swarm = Swarm::new(version(), own.clone(), 1, setting, 1, Time::default());
-        // Each of them takes itself for the only sponsor, as after a loss of power.
+        // Each box considers itself the only sponsor, as after a power loss.
         swarm.set_members(vec![own]);
         let peer = swarm.add_peer("other".into(), Time::default());
         (swarm, peer)
@@ -713,7 +723,7 @@
     let late = start + Setting::for_few_halls().origin_stall_timeout;
     swarm.update_peer(peer, claim, late);
     assert_eq!(fetches(&swarm.tick(late)), [(0, Source::Origin)]);
-    // Without claims both draw it.
+    // Without claims both boxes fetch it.
     let (mut swarm, peer) = sponsor(false);
     swarm.update_peer(peer, claim, start);
     assert_eq!(fetches(&swarm.tick(start)), [(0, Source::Origin)]);
