--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -1,5 +1,5 @@
-//! Transfers that take long or fail: how they are waited for and tried again, what is written of it, and
-//! how documents are packed.
+//! Tests of transfer timeouts, retry backoff, logging of repeated failures, and the packing of
+//! documents.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use pumicelatch::wire::pack;
 use quickcheck::quickcheck;
 
-/// Shorter than the transfers of these tests.
+/// Timeouts that are shorter than the transfers in these tests.
 const SHORT: Setting = Setting {
     first: Duration::from_millis(400),
     pause: Duration::from_millis(400),
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn a_transfer_that_moves_is_waited_for_beyond_the_time_of_a_silent_one() {
-    let moves = Cell::new(0);
+fn transfer_with_progress_is_not_timed_out() {
+    let progress_calls = Cell::new(0);
     let ended = run(async {
         let progress = Progress::default();
         let transfer = async {
@@ -38,45 +38,48 @@
                 sleep(Duration::from_millis(50)).await;
                 progress.came();
             }
-            "whole"
+            "complete"
         };
-        let moved = || moves.set(moves.get() + 1);
+        let on_progress = || progress_calls.set(progress_calls.get() + 1);
         let waits = Setting {
             pause: Duration::from_millis(2_000),
             ..SHORT
         };
-        patience::wait_while(transfer, &progress, waits, moved, || true).await
+        patience::wait_while(transfer, &progress, waits, on_progress, || true).await
     });
-    assert_eq!(ended, Ok("whole"));
-    assert!(moves.get() > 1, "whoever waits is told that it moves");
+    assert_eq!(ended, Ok("complete"));
+    assert!(
+        progress_calls.get() > 1,
+        "progress is not reported to the caller"
+    );
 }
 
 #[test]
-fn a_transfer_that_never_begins_or_stops_or_is_not_needed_is_given_up() {
+fn wait_ends_for_silent_stalled_unneeded_and_overlong_transfers() {
     let forever = std::future::pending::<()>;
-    let (silent, stopped, needless, endless) = run(async {
+    let (silent, stalled, unneeded, overlong) = run(async {
         let none = Progress::default();
         let silent = patience::wait_while(forever(), &none, SHORT, || {}, || true).await;
         let progress = Progress::default();
         progress.came();
-        let stopped = patience::wait_while(forever(), &progress, SHORT, || {}, || true).await;
-        let needless = patience::wait_while(forever(), &none, SHORT, || {}, || false).await;
+        let stalled = patience::wait_while(forever(), &progress, SHORT, || {}, || true).await;
+        let unneeded = patience::wait_while(forever(), &none, SHORT, || {}, || false).await;
         let brief = Setting {
             whole: Duration::from_millis(300),
             ..SHORT
         };
-        let endless = patience::wait_while(forever(), &none, brief, || {}, || true).await;
-        (silent, stopped, needless, endless)
+        let overlong = patience::wait_while(forever(), &none, brief, || {}, || true).await;
+        (silent, stalled, unneeded, overlong)
     });
     assert!(matches!(silent, Err(Error::NoAnswer { .. })));
-    assert!(matches!(stopped, Err(Error::Stopped { .. })));
-    assert_eq!(needless, Err(Error::NotNeeded));
-    assert!(matches!(endless, Err(Error::TooLong { .. })));
+    assert!(matches!(stalled, Err(Error::Stopped { .. })));
+    assert_eq!(unneeded, Err(Error::NotNeeded));
+    assert!(matches!(overlong, Err(Error::TooLong { .. })));
 }
 
 #[test]
-fn a_long_answer_is_read_to_its_end_however_soon_it_has_to_begin() {
-    /// Parts of the answer, which come one after the other.
+fn long_response_is_read_completely_despite_short_first_byte_timeout() {
+    /// Parts of the response, sent one after another.
     const PARTS: usize = 30;
     run(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -90,8 +93,8 @@
             http::stream(StatusCode::OK, "application/octet-stream", Box::pin(parts))
         });
         let client = http::client(ClientSetting::default());
-        let answer = http::get(&client, &url, 1 << 20, Duration::from_millis(1_000)).await;
-        assert_eq!(answer.unwrap().len(), 100 * PARTS);
+        let response = http::get(&client, &url, 1 << 20, Duration::from_millis(1_000)).await;
+        assert_eq!(response.unwrap().len(), 100 * PARTS);
     });
 }
 
@@ -109,7 +112,7 @@
 }
 
 #[test]
-fn documents_come_out_of_their_packing_as_they_went_in() {
+fn packed_documents_round_trip() {
     fn property(names: Vec<String>) -> bool {
         let document = document(&names);
         let packed = pack::pack(&document).unwrap();
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_packed_document_are_an_error() {
+fn unpacking_invalid_bytes_fails() {
     fn property(mut bytes: Vec<u8>, cut: usize) -> bool {
         let packed = pack::pack(&document(&["a".to_owned(), "b".to_owned()])).unwrap();
         let part = &packed[..cut % packed.len()];
@@ -130,9 +133,9 @@
 }
 
 #[test]
-fn a_packed_document_ends_where_its_bytes_end() {
-    // A stream that refers to bytes before its beginning: they are read as zeros, and what they
-    // say ends before they do.
+fn unpacking_rejects_trailing_bytes() {
+    // A compressed stream that refers to bytes before its start. They are read as zeros, and the
+    // document that these encode ends before the bytes do.
     assert!(pack::unpack::<Document>(&[59, 130, 1, 3, 0]).is_err());
     let mut packed = pack::pack(&document(&["a".to_owned()])).unwrap();
     packed.push(0);
@@ -140,7 +143,7 @@
 }
 
 #[test]
-fn many_routes_take_a_tenth_of_their_length() {
+fn packing_many_routes_saves_nine_tenths() {
     let names: Vec<String> = (0..1_500)
         .map(|index| format!("route-{index}.example"))
         .collect();
@@ -156,32 +159,32 @@
 }
 
 #[test]
-fn pauses_double_up_to_their_bound_and_begin_anew_after_a_success() {
+fn backoff_doubles_up_to_limit_and_resets_after_success() {
     fn property(first: u8, longest: u16, failures: u8) -> bool {
         let first = Duration::from_millis(u64::from(first));
         let longest = first + Duration::from_millis(u64::from(longest));
         let mut backoff = Backoff::new(first, longest);
         let mut before = backoff.failed();
-        let begins = before == first;
+        let starts = before == first;
         let doubles = (0..failures).all(|_| {
             let pause = backoff.failed();
-            let right = pause == (before * 2).min(longest);
+            let correct = pause == (before * 2).min(longest);
             before = pause;
-            right
+            correct
         });
         let counts = backoff.failures() == u32::from(failures) + 1;
         backoff.succeeded();
-        begins && doubles && counts && backoff.failures() == 0 && backoff.failed() == first
+        starts && doubles && counts && backoff.failures() == 0 && backoff.failed() == first
     }
     quickcheck(property as fn(u8, u16, u8) -> bool);
 }
 
 #[test]
-fn repeats_are_written_at_first_and_when_their_number_has_doubled() {
+fn repeats_are_logged_at_powers_of_two() {
     let repeats = Repeats::default();
     assert_eq!(repeats.end(), None);
-    let written: Vec<u64> = (0..20).filter_map(|_| repeats.count()).collect();
-    assert_eq!(written, [1, 2, 4, 8, 16]);
+    let logged: Vec<u64> = (0..20).filter_map(|_| repeats.count()).collect();
+    assert_eq!(logged, [1, 2, 4, 8, 16]);
     assert_eq!(repeats.end(), Some(20));
     assert_eq!(repeats.count(), Some(1));
 }
