--- a/src/burst/fetch.rs
+++ b/src/burst/fetch.rs
@@ -70,9 +70,7 @@
                     Err(error) => log::warn!(source = source.url(); "{error}"),
                 },
                 Err(reason) if source.is_origin() => host.instruments.origin_failed(&reason),
-                Err(reason) => {
-                    log::debug!(source = source.url(); "manifest request failed: {reason}")
-                }
+                Err(reason) => log::debug!(source = source.url(); "no manifest: {reason}"),
             }
         }
         round += 1;
