--- a/src/spread.rs
+++ b/src/spread.rs
@@ -78,7 +78,7 @@
     /// the third, and so on.
     pub takeover_interval: Duration,
     /// Maximum delay between two attempts to fetch from a failing origin.
-    pub origin_pause_max: Duration,
+    pub origin_backoff_max: Duration,
     /// How long a joining box waits for its peers to announce their chunks before it fetches from
     /// the origin.
     pub settle: Duration,
@@ -116,7 +116,7 @@
             penalty: Duration::from_millis(500),
             sponsor_wait_fetches: 10,
             takeover_interval: Duration::from_millis(500),
-            origin_pause_max: Duration::from_secs(2),
+            origin_backoff_max: Duration::from_secs(2),
             settle: Duration::ZERO,
             settle_fully: false,
             import_once: false,
@@ -139,7 +139,7 @@
             sponsor_wait_fetches: 3,
             takeover_interval: Duration::from_millis(200),
             fetches_max: 2,
-            origin_pause_max: Duration::from_millis(400),
+            origin_backoff_max: Duration::from_millis(400),
             settle: Duration::from_millis(300),
             ..Self::default()
         }
--- a/src/spread/swarm.rs
+++ b/src/spread/swarm.rs
@@ -39,7 +39,7 @@
 /// How long a peer without a free upload slot is not asked again.
 const BUSY_DELAY: Duration = Duration::from_millis(40);
 
-/// Delay after the first failure of the origin, doubled up to [`Setting::origin_pause_max`].
+/// Delay after the first failure of the origin, doubled up to [`Setting::origin_backoff_max`].
 const ORIGIN_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Maximum number of times that the penalty of a peer doubles.
@@ -216,7 +216,7 @@
             import_ranks: Vec::new(),
             first_seen: vec![now; chunks],
             share_fetched_at: None,
-            origin_backoff: Backoff::new(ORIGIN_BACKOFF, setting.origin_pause_max),
+            origin_backoff: Backoff::new(ORIGIN_BACKOFF, setting.origin_backoff_max),
             origin_retry_at: now,
             tally: Tally::default(),
         }
