--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -12,15 +12,15 @@
 use pumicelatch::config::routing::{Document, Route};
 use pumicelatch::http::{self, ClientSetting, Server};
 use pumicelatch::log::Repeats;
-use pumicelatch::patience::{self, Error, Progress, Setting};
+use pumicelatch::timeout::{self, Config, Error, Progress};
 use pumicelatch::wire::pack;
 use quickcheck::quickcheck;
 
 /// Timeouts that are shorter than the transfers in these tests.
-const SHORT: Setting = Setting {
-    first: Duration::from_millis(400),
-    pause: Duration::from_millis(400),
-    whole: Duration::from_secs(60),
+const SHORT: Config = Config {
+    first_byte: Duration::from_millis(400),
+    idle: Duration::from_millis(400),
+    total: Duration::from_secs(60),
 };
 
 fn run<F: Future>(body: F) -> F::Output {
@@ -33,19 +33,19 @@
     let ended = run(async {
         let progress = Progress::default();
         let transfer = async {
-            progress.came();
+            progress.touch();
             for _ in 0..50 {
                 sleep(Duration::from_millis(50)).await;
-                progress.came();
+                progress.touch();
             }
             "complete"
         };
         let on_progress = || progress_calls.set(progress_calls.get() + 1);
-        let waits = Setting {
-            pause: Duration::from_millis(2_000),
+        let config = Config {
+            idle: Duration::from_millis(2_000),
             ..SHORT
         };
-        patience::wait_while(transfer, &progress, waits, on_progress, || true).await
+        timeout::wait_while(transfer, &progress, config, on_progress, || true).await
     });
     assert_eq!(ended, Ok("complete"));
     assert!(
@@ -55,25 +55,25 @@
 }
 
 #[test]
-fn wait_ends_for_silent_stalled_unneeded_and_overlong_transfers() {
+fn wait_ends_for_silent_stalled_cancelled_and_overlong_transfers() {
     let forever = std::future::pending::<()>;
-    let (silent, stalled, unneeded, overlong) = run(async {
+    let (silent, stalled, cancelled, overlong) = run(async {
         let none = Progress::default();
-        let silent = patience::wait_while(forever(), &none, SHORT, || {}, || true).await;
+        let silent = timeout::wait_while(forever(), &none, SHORT, || {}, || true).await;
         let progress = Progress::default();
-        progress.came();
-        let stalled = patience::wait_while(forever(), &progress, SHORT, || {}, || true).await;
-        let unneeded = patience::wait_while(forever(), &none, SHORT, || {}, || false).await;
-        let brief = Setting {
-            whole: Duration::from_millis(300),
+        progress.touch();
+        let stalled = timeout::wait_while(forever(), &progress, SHORT, || {}, || true).await;
+        let cancelled = timeout::wait_while(forever(), &none, SHORT, || {}, || false).await;
+        let brief = Config {
+            total: Duration::from_millis(300),
             ..SHORT
         };
-        let overlong = patience::wait_while(forever(), &none, brief, || {}, || true).await;
-        (silent, stalled, unneeded, overlong)
+        let overlong = timeout::wait_while(forever(), &none, brief, || {}, || true).await;
+        (silent, stalled, cancelled, overlong)
     });
     assert!(matches!(silent, Err(Error::NoAnswer { .. })));
-    assert!(matches!(stalled, Err(Error::Stopped { .. })));
-    assert_eq!(unneeded, Err(Error::NotNeeded));
+    assert!(matches!(stalled, Err(Error::Stalled { .. })));
+    assert_eq!(cancelled, Err(Error::Cancelled));
     assert!(matches!(overlong, Err(Error::TooLong { .. })));
 }
 
