--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -20,7 +20,7 @@
 use crate::clock::Time;
 use crate::config::residency::{Regions, Residency};
 use crate::config::routing::Engine;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 use crate::policy::Policy;
 use crate::wire::sync::ReplicaStatus;
 
@@ -302,16 +302,16 @@
     pub fn apply_notice(
         &mut self,
         key: Key,
-        life: &Incarnation,
+        instance: &Instance,
         notice: Notice,
         now: Time,
     ) -> bool {
         if notice.is_empty() {
             return false;
         }
-        let mut wish = self.wishes.of(life);
+        let mut wish = self.wishes.of(instance);
         let news = wish.apply(notice, now);
-        self.wishes.remember(life.clone(), wish, now);
+        self.wishes.remember(instance.clone(), wish, now);
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.wish.apply(notice, now);
         }
