--- a/tests/burst_plan.rs
+++ b/tests/burst_plan.rs
@@ -116,8 +116,8 @@
 
 #[test]
 fn slow_fetch_over_congested_origin_link_is_not_restarted() {
-    // 40 fetches share 4.4 Mbit/s: each takes 1.8 s and receives some bytes every 0.3 s. Chunks from
-    // peers take 50 ms.
+    // 40 fetches share 4.4 Mbit/s: each takes 1.8 s and receives some bytes every 0.3 s. Chunks
+    // from peers take 50 ms.
     let all = members(30, 3);
     let sponsor = ring::sponsors(version(), &all, 1)[0].clone();
     let own = all.iter().find(|member| member.name == sponsor).unwrap();
