--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -1,7 +1,8 @@
-//! Entries tell each other under which requests replicas ended.
+//! Distributes poison requests, under which replicas crashed, among entries.
 //!
-//! Whoever learns of an end tells the entries of its hall and two of each other hall at once, and those tell theirs: all know
-//! within a fraction of a second. What was lost on the way is found by heartbeats, which carry a digest.
+//! An entry that detects a crash immediately notifies the entries of its hall and two entries of each
+//! other hall, which notify those of theirs, so all know of it within a fraction of a second. Lost
+//! notices are detected by means of heartbeats, which carry a digest.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,68 +22,69 @@
 /// Path of a [`Notice`].
 pub const PATH: &str = "/v1/poison";
 
-/// Path of an [`Ask`].
+/// Path of a [`Claim`].
 pub const TRIAL_PATH: &str = "/v1/poison/try";
 
-/// What is learned within so long is told together: the runs of a replica that ended break at the same moment.
-const GATHERED: Duration = Duration::from_millis(30);
+/// Delay before a notice is sent, so that it includes all cases found within this time: the requests in
+/// progress at a replica that crashes all fail at the same moment.
+const BATCH_DELAY: Duration = Duration::from_millis(30);
 
-/// Entries of another hall that are told: one may have gone without its noticing.
-const FAR: usize = 2;
+/// Number of entries of each other hall that are notified: one may have left without this entry noticing.
+const REMOTE_RECEIVERS: usize = 2;
 
-/// How long the entry that deals out single tries may take to answer, over a used connection and after that over a new one.
-const ANSWERS_WITHIN: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(60));
+/// Timeouts for the answer of the entry that grants trials: over a used connection, and then over a new one.
+const TRIAL_TIMEOUTS: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(60));
 
-/// What an entry knows of requests under which replicas ended.
+/// The poison requests that an entry knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Notice {
-    /// The hall of the entry that tells.
+    /// The hall of the sender.
     #[serde(default)]
     pub hall: Arc<str>,
     /// The requests.
     #[serde(default)]
     pub cases: Vec<CaseReport>,
-    /// Whether it wants to be told what the other knows.
+    /// Whether the sender requests the cases that the receiver knows.
     #[serde(default)]
     pub asks: bool,
 }
 
-/// Asks for the single try of a request that is barred.
+/// Claims the single trial of a blocked request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// What is known of the request.
+    /// The request and what the sender knows about it.
     pub case: CaseReport,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to a [`Claim`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// Whether it may be tried now.
+    /// Whether the trial is granted.
     pub given: bool,
 }
 
-/// Tells the others what is learned here, until dropped.
+/// Notifies other entries of the cases found by this one, until dropped.
 pub async fn run(knowledge: Rc<Knowledge>) {
     loop {
         knowledge.poison_changed.notified().await;
-        sleep(GATHERED).await;
+        sleep(BATCH_DELAY).await;
         let cases = knowledge.poison.borrow_mut().take_changes(knowledge.now());
         if cases.is_empty() {
             continue;
         }
-        let mut told = knowledge.local_peers();
-        told.extend(far(&knowledge));
-        send(&knowledge, told, cases);
+        let mut receivers = knowledge.local_peers();
+        receivers.extend(remote_receivers(&knowledge));
+        send(&knowledge, receivers, cases);
     }
 }
 
-/// The entries of other halls to tell.
-fn far(knowledge: &Knowledge) -> Vec<SocketAddr> {
+/// The entries of other halls to notify.
+fn remote_receivers(knowledge: &Knowledge) -> Vec<SocketAddr> {
     let peers = knowledge.peers.borrow();
     let halls = peers.by_other_hall(&knowledge.identity.hall, knowledge.now());
     let ranked = halls.into_values().map(|entries| Readers::ranked(&entries));
     ranked
-        .flat_map(|entries| entries.into_iter().take(FAR))
+        .flat_map(|entries| entries.into_iter().take(REMOTE_RECEIVERS))
         .collect()
 }
 
@@ -95,21 +97,21 @@
     for entry in entries {
         let (knowledge, notice) = (knowledge.clone(), notice.clone());
         actix_rt::spawn(async move {
-            let told = gossip::call::<_, Notice>(&knowledge, entry, PATH, &*notice).await;
-            if let Err(error) = told {
-                log::info!(entry:% = entry; "poison requests not told: {error}");
+            let result = gossip::call::<_, Notice>(&knowledge, entry, PATH, &*notice).await;
+            if let Err(error) = result {
+                log::info!(entry:% = entry; "failed to send poison requests: {error}");
             }
         });
     }
 }
 
-/// Takes what another entry tells. Returns what it is told in turn.
+/// Applies the notice of another entry. Returns the notice to answer with.
 pub fn apply_notice(knowledge: &Rc<Knowledge>, notice: &Notice) -> Notice {
     let now = knowledge.now();
-    let news = knowledge.poison.borrow_mut().merge(&notice.cases, now);
-    // Whoever learned of it in this hall has told all of it.
-    if !news.is_empty() && notice.hall != knowledge.identity.hall {
-        send(knowledge, knowledge.local_peers(), news);
+    let changes = knowledge.poison.borrow_mut().merge(&notice.cases, now);
+    // A sender in the same hall has already notified all of its entries.
+    if !changes.is_empty() && notice.hall != knowledge.identity.hall {
+        send(knowledge, knowledge.local_peers(), changes);
     }
     let known = || knowledge.poison.borrow().reports(now);
     Notice {
@@ -119,7 +121,7 @@
     }
 }
 
-/// Puts together what this entry and `peer` know, whose heartbeat shows that it is not the same.
+/// Exchanges all known cases with `peer`, whose heartbeat has shown that it knows different ones.
 pub async fn compare(knowledge: Rc<Knowledge>, peer: SocketAddr) {
     if knowledge.poison_comparing.replace(true) {
         return;
@@ -133,60 +135,66 @@
         Ok(answer) => {
             apply_notice(&knowledge, &answer);
         }
-        Err(error) => log::info!(peer:% = peer; "poison requests not compared: {error}"),
+        Err(error) => log::info!(peer:% = peer; "failed to compare poison requests: {error}"),
     }
     knowledge.poison_comparing.set(false);
 }
 
-/// Asks for the single try of `name`: one entry deals it out for all that know each other.
-pub async fn claim_trial(knowledge: &Knowledge, name: RequestHash) -> bool {
+/// Claims the single trial of `request`. One entry grants it on behalf of all entries that know each other.
+pub async fn claim_trial(knowledge: &Knowledge, request: RequestHash) -> bool {
     let now = knowledge.now();
     let own = knowledge.identity.address;
     let others: Vec<SocketAddr> = {
         let peers = knowledge.peers.borrow();
         peers.alive(now).map(|(address, _)| address).collect()
     };
-    let subject = name.to_string();
+    let subject = request.to_string();
     if rank(own, others.iter().copied(), &subject) == 0 {
-        return give_try(knowledge, name);
+        return grant_trial(knowledge, request);
     }
     let first = others
         .into_iter()
         .max_by_key(|entry| weight(*entry, &subject));
-    let case = knowledge.poison.borrow().case(name, now);
+    let case = knowledge.poison.borrow().case(request, now);
     let (Some(first), Some(case)) = (first, case) else {
         return false;
     };
-    let (ask, note) = (Claim { case }, Note::default());
-    let answer =
-        gossip::call_within::<_, Answer>(knowledge, first, TRIAL_PATH, &ask, ANSWERS_WITHIN, &note);
+    let (claim, note) = (Claim { case }, Note::default());
+    let answer = gossip::call_within::<_, Answer>(
+        knowledge,
+        first,
+        TRIAL_PATH,
+        &claim,
+        TRIAL_TIMEOUTS,
+        &note,
+    );
     match answer.await {
         Ok(answer) => answer.given,
         Err(error) => {
-            log::info!(name:% = name, entry:% = first; "no try of a barred request: {error}");
+            log::info!(name:% = request, entry:% = first; "failed to claim the trial of a blocked request: {error}");
             false
         }
     }
 }
 
-/// Answers an entry that asks for a single try.
-pub fn answer_trial(knowledge: &Knowledge, ask: &Claim) -> Answer {
-    let (name, now) = (ask.case.request, knowledge.now());
-    let told = std::slice::from_ref(&ask.case);
-    knowledge.poison.borrow_mut().merge(told, now);
+/// Answers an entry that claims a trial.
+pub fn answer_trial(knowledge: &Knowledge, claim: &Claim) -> Answer {
+    let (request, now) = (claim.case.request, knowledge.now());
+    let cases = std::slice::from_ref(&claim.case);
+    knowledge.poison.borrow_mut().merge(cases, now);
     Answer {
-        given: give_try(knowledge, name),
+        given: grant_trial(knowledge, request),
     }
 }
 
-fn give_try(knowledge: &Knowledge, name: RequestHash) -> bool {
-    let given = knowledge
+fn grant_trial(knowledge: &Knowledge, request: RequestHash) -> bool {
+    let granted = knowledge
         .poison
         .borrow_mut()
-        .claim_trial(name, knowledge.now());
-    if given {
-        log::info!(name:% = name; "a barred request is tried once");
+        .claim_trial(request, knowledge.now());
+    if granted {
+        log::info!(name:% = request; "granted the trial of a blocked request");
         knowledge.poison_changed.notify_one();
     }
-    given
+    granted
 }
