--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -1,4 +1,5 @@
-//! Who asks and reads for a whole data hall, and that others step in.
+//! Tests for the roles of entries in a data hall (hub, readers of the store, fetches) and for the updates
+//! that processes exchange.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,7 +39,7 @@
     format!("hall-{number}").into()
 }
 
-/// The entries of three halls, `each` in each, as the one at `own` knows them at `at`.
+/// The entries of three halls, `each` per hall, as known by the one at `own`; all were last seen at `at`.
 fn peers(own: SocketAddr, each: u8, at: Time) -> Peers {
     let mut peers = Peers::new(Some(own));
     for number in 1..=3 {
@@ -49,13 +50,13 @@
     peers
 }
 
-fn asked(halls: &mut Polls, peers: &Peers, now: Time) -> Vec<Poll> {
+fn due(polls: &mut Polls, peers: &Peers, now: Time) -> Vec<Poll> {
     let mut rng = SmallRng::seed_from_u64(3);
-    halls.due("hall-1", peers, now, &mut rng)
+    polls.due("hall-1", peers, now, &mut rng)
 }
 
 #[test]
-fn one_entry_of_a_hall_is_first_and_the_next_one_when_it_goes() {
+fn ranks_are_distinct_and_the_second_entry_becomes_first_when_the_first_leaves() {
     fn property(count: u8, subject: u8) -> bool {
         let entries: Vec<SocketAddr> = (0..count % 20 + 2).map(|index| entry(1, index)).collect();
         let subject = subject.to_string();
@@ -81,8 +82,8 @@
 }
 
 #[test]
-fn only_one_entry_of_a_hall_tells_it_and_asks_the_others() {
-    let mut asking = 0;
+fn only_the_hub_of_a_hall_sends_frames_and_polls_other_halls() {
+    let mut poll_count = 0;
     for index in 1..=4 {
         let own = entry(1, index);
         let mut hub = Hub::new(1, NOW);
@@ -95,31 +96,34 @@
             );
             continue;
         }
-        let asks = asked(&mut Polls::default(), &peers(own, 4, NOW), now);
-        asking += asks.len();
-        assert!(asks.iter().all(|ask| ask.hall != hall(1)));
+        let due_polls = due(&mut Polls::default(), &peers(own, 4, NOW), now);
+        poll_count += due_polls.len();
+        assert!(due_polls.iter().all(|poll| poll.hall != hall(1)));
     }
-    // One for each of the two other halls.
-    assert_eq!(asking, 2);
+    // One poll for each of the two other halls.
+    assert_eq!(poll_count, 2);
 }
 
 #[test]
-fn each_next_entry_tells_when_frames_are_missing_and_none_while_they_come() {
+fn entries_take_over_by_rank_while_frames_are_missing() {
     let at = |ms| NOW + Duration::from_millis(ms);
     let mut hub = Hub::new(1, NOW);
     assert!(
         hub.is_active(0, NOW) && !hub.is_active(1, NOW),
-        "the first one is not waited for"
+        "the first entry does not wait"
     );
     hub.record_frame(at(1_000));
     assert!(!hub.is_active(1, at(2_100)) && hub.is_active(1, at(2_200)));
     assert!(!hub.is_active(2, at(2_200)) && hub.is_active(2, at(2_500)));
     hub.record_frame(at(2_600));
-    assert!(!hub.is_active(2, at(2_700)), "another one tells again");
+    assert!(
+        !hub.is_active(2, at(2_700)),
+        "another entry sends frames again"
+    );
 }
 
 #[test]
-fn a_turn_is_told_at_once_and_everything_twice_a_second() {
+fn availability_changes_are_sent_without_delay_and_the_full_status_twice_a_second() {
     let at = |ms| NOW + Duration::from_millis(ms);
     let mut hub = Hub::new(1, NOW);
     assert_eq!(
@@ -130,10 +134,10 @@
     assert_eq!(
         hub.due(0, Some(at(50)), at(60)),
         None,
-        "too soon after the last"
+        "too soon after the last frame"
     );
     assert_eq!(hub.due(0, Some(at(50)), at(100)), Some(Content::Since(NOW)));
-    assert_eq!(hub.due(0, Some(at(50)), at(300)), None, "it was told");
+    assert_eq!(hub.due(0, Some(at(50)), at(300)), None, "already sent");
     let whole = Some(Content::Whole { entries: false });
     assert_eq!(hub.due(0, None, at(500)), whole);
     assert_eq!(hub.due(0, None, at(1_000)), whole);
@@ -144,50 +148,51 @@
 }
 
 #[test]
-fn a_process_beside_a_replica_tells_two_entries_that_answer_however_many_there_are() {
+fn a_sidecar_reports_to_two_responsive_entries_whatever_their_number() {
     let ranked = Readers::ranked(&local_peers(0, 30));
-    let told = hub::report_targets(&ranked, |_| false);
-    assert_eq!(told, ranked[..2]);
+    let targets = hub::report_targets(&ranked, |_| false);
+    assert_eq!(targets, ranked[..2]);
     let first_gone = hub::report_targets(&ranked, |entry| entry == ranked[0]);
     assert_eq!(
         first_gone,
         ranked[..3],
-        "it is tried on, and the next two are told"
+        "it is still probed, and the next two receive the report"
     );
     let all_gone = hub::report_targets(&ranked, |_| true);
     assert_eq!(all_gone, ranked[..2]);
 }
 
 #[test]
-fn messages_of_a_hall_grow_with_its_replicas_plus_its_entries() {
+fn messages_in_a_hall_grow_with_replicas_plus_entries() {
     let messages = |replicas: usize, entries: u8| {
         let ranked = Readers::ranked(&local_peers(0, entries));
         let reports = replicas * hub::report_targets(&ranked, |_| false).len();
         reports + usize::from(entries) - 1
     };
-    // Ten times as many of each: ten times the messages, not a hundred times.
+    // With ten times the replicas and almost seven times the entries, the number of messages grows by
+    // a factor of nine, not 67.
     assert_eq!(messages(24, 30), 77);
     assert_eq!(messages(240, 200), 679);
 }
 
 #[test]
-fn a_hall_is_asked_once_at_a_time() {
+fn a_hall_has_at_most_one_poll_in_progress() {
     let own = entry(1, 1);
     let peers = peers(own, 4, NOW);
-    let mut halls = Polls::default();
-    assert_eq!(asked(&mut halls, &peers, NOW).len(), 2);
+    let mut polls = Polls::default();
+    assert_eq!(due(&mut polls, &peers, NOW).len(), 2);
     let later = NOW + PERIOD;
-    assert!(asked(&mut halls, &peers, later).is_empty());
-    halls.finished("hall-2");
-    assert_eq!(asked(&mut halls, &peers, later).len(), 1);
-    halls.finished("hall-2");
-    assert!(asked(&mut halls, &peers, later).is_empty());
+    assert!(due(&mut polls, &peers, later).is_empty());
+    polls.finished("hall-2");
+    assert_eq!(due(&mut polls, &peers, later).len(), 1);
+    polls.finished("hall-2");
+    assert!(due(&mut polls, &peers, later).is_empty());
 }
 
 #[test]
-fn a_hall_that_nobody_hears_of_is_not_asked() {
+fn a_hall_without_live_entries_is_not_polled() {
     let peers = peers(entry(1, 1), 2, NOW);
-    assert!(asked(&mut Polls::default(), &peers, NOW + ALIVE_TIMEOUT).is_empty());
+    assert!(due(&mut Polls::default(), &peers, NOW + ALIVE_TIMEOUT).is_empty());
 }
 
 fn local_peers(index: u8, count: u8) -> Vec<SocketAddr> {
@@ -195,12 +200,12 @@
     others.map(|other| entry(1, other)).collect()
 }
 
-/// The entries of a hall of `count` that read `topic`, when each was told that the store answered
-/// the entries `told` so long ago.
-fn reading(topic: Topic, count: u8, told: &[(u8, u64)]) -> Vec<u8> {
+/// The entries of a hall of `count` that read `topic` after each received `reports`: pairs of an entry and
+/// the milliseconds since the store answered it.
+fn reading(topic: Topic, count: u8, reports: &[(u8, u64)]) -> Vec<u8> {
     let reads = |index: &u8| {
         let mut readers = Readers::default();
-        for (other, age_ms) in told {
+        for (other, age_ms) in reports {
             let at = NOW - Duration::from_millis(*age_ms);
             readers.record_answer(entry(1, *other), at);
         }
@@ -210,18 +215,18 @@
 }
 
 #[test]
-fn few_entries_of_a_hall_read_the_store_and_the_others_when_those_hear_nothing() {
+fn few_entries_of_a_hall_read_the_store_and_all_if_those_receive_no_answers() {
     let first = reading(Topic::Replicas, 6, &[(1, 0), (2, 0), (3, 0)]);
     assert_eq!(first.len(), 1);
     let operator = reading(Topic::Operator, 6, &[(first[0], 400)]);
     assert!(operator.len() == 2 && operator.contains(&first[0]));
-    // The first one hears nothing any more: everyone reads.
+    // The first entry no longer receives answers: all entries read.
     assert_eq!(reading(Topic::Replicas, 6, &[(first[0], 2_100)]).len(), 6);
     assert_eq!(reading(Topic::Operator, 6, &[]).len(), 6);
 }
 
 #[test]
-fn an_entry_that_does_not_answer_counts_no_more() {
+fn reports_of_an_unresponsive_entry_are_discarded() {
     let index = (1..=4)
         .find(|index| !reading(Topic::Operator, 4, &[(1, 0)]).contains(index))
         .unwrap();
@@ -235,7 +240,7 @@
 }
 
 #[test]
-fn an_entry_that_begins_leaves_a_long_document_to_the_readers_of_its_hall() {
+fn a_starting_entry_leaves_reads_to_the_readers_of_its_hall() {
     let mut reading = 0;
     let mut reading_list = 0;
     for index in 1..=6 {
@@ -253,7 +258,7 @@
 }
 
 #[test]
-fn a_configuration_is_drawn_from_one_process_and_from_a_second_if_that_is_slow() {
+fn a_configuration_is_fetched_from_one_process_and_from_a_second_if_that_is_slow() {
     let mut fetches = Fetches::default();
     assert!(fetches.begin(entry(1, 1), Locality::Local, NOW));
     assert!(!fetches.begin(entry(1, 1), Locality::Local, NOW));
@@ -268,15 +273,15 @@
 }
 
 #[test]
-fn another_hall_is_drawn_from_after_the_own_had_its_time_and_by_one_entry_first() {
-    let begins = |place, after_ms| {
+fn fetches_from_other_halls_are_delayed_and_one_entry_of_the_hall_starts_first() {
+    let starts = |locality, after_ms| {
         let mut fetches = Fetches::default();
-        // Heard of at NOW, from a process that is not drawn from.
+        // The configuration is known to exist from NOW on; the first call starts no fetch yet.
         fetches.begin(entry(2, 1), Locality::Remote, NOW);
-        fetches.begin(entry(2, 1), place, NOW + Duration::from_millis(after_ms))
+        fetches.begin(entry(2, 1), locality, NOW + Duration::from_millis(after_ms))
     };
-    assert!(!begins(Locality::RemoteDelegate, 200) && begins(Locality::RemoteDelegate, 400));
-    assert!(!begins(Locality::Remote, 1_400) && begins(Locality::Remote, 1_600));
+    assert!(!starts(Locality::RemoteDelegate, 200) && starts(Locality::RemoteDelegate, 400));
+    assert!(!starts(Locality::Remote, 1_400) && starts(Locality::Remote, 1_600));
     let mut fetches = Fetches::default();
     fetches.begin(entry(2, 1), Locality::Remote, NOW);
     fetches.reset();
@@ -285,7 +290,7 @@
 }
 
 #[test]
-fn readers_are_asked_for_news_by_all_others() {
+fn all_other_entries_ask_the_readers_for_updates() {
     let everyone: Vec<SocketAddr> = (1..=5).map(|index| entry(1, index)).collect();
     let is_reader = |own: &SocketAddr| {
         let others: Vec<SocketAddr> = everyone
@@ -303,14 +308,14 @@
             .copied()
             .filter(|other| other != own)
             .collect();
-        let mut asked = Readers::update_sources(&others);
-        asked.sort_unstable();
-        assert_eq!(asked, readers);
+        let mut sources = Readers::update_sources(&others);
+        sources.sort_unstable();
+        assert_eq!(sources, readers);
     }
 }
 
 #[test]
-fn messages_of_other_versions_are_understood_without_what_they_lack() {
+fn messages_with_unknown_or_missing_fields_are_decoded() {
     let encode = |message: &serde_json::Value| rmp_serde::to_vec_named(message).unwrap();
     #[derive(serde::Serialize)]
     struct Other {
@@ -324,8 +329,8 @@
     let sync = rmp_serde::to_vec_named(&other).unwrap();
     let sync: Heartbeat = rmp_serde::from_slice(&sync).unwrap();
     assert_eq!(sync.revisions, Revisions::default());
-    let news: Update = rmp_serde::from_slice(&encode(&serde_json::json!({}))).unwrap();
-    assert!(news.routing.is_none() && news.peers.is_empty());
+    let update: Update = rmp_serde::from_slice(&encode(&serde_json::json!({}))).unwrap();
+    assert!(update.routing.is_none() && update.peers.is_empty());
     let document = serde_json::json!({"routes": [{"host": "a.example", "prefix": "/x/"}],
         "services": [{"name": "s", "engine": {"step_ms": 9.0}}]});
     let document: Document = rmp_serde::from_slice(&encode(&document)).unwrap();
@@ -334,34 +339,34 @@
     assert!(engine.incomplete && engine.read_per_s > 0.0);
 }
 
-/// Time after the end of a store's trouble from which a machine is bound by its bounds again.
-const IN_TOUCH_MS: u64 = 3_000;
+/// Time after the end of an outage of the store from which a machine must meet its limits again.
+const RECONNECT_LIMIT_MS: u64 = 3_000;
 
 #[test]
-fn a_silence_of_the_store_is_over_for_every_reader_before_it_counts_as_in_touch() {
-    fn property(topic: bool, begins: u16, length: u16, jitters: Vec<u8>) -> bool {
+fn every_reader_reaches_the_store_again_within_the_limit_after_an_outage() {
+    fn property(topic: bool, starts: u16, length: u16, jitters: Vec<u8>) -> bool {
         let topic = if topic {
             Topic::Operator
         } else {
             Topic::Replicas
         };
         let (silent_from, silent_until) =
-            (u64::from(begins), u64::from(begins) + u64::from(length));
+            (u64::from(starts), u64::from(starts) + u64::from(length));
         let mut jitters = jitters.into_iter().cycle();
         let mut schedule = Schedule::new(topic);
         let mut at = 0;
         loop {
             let answer_at = at + schedule.watch_timeout().as_millis() as u64;
             if at >= silent_until {
-                // What was written during the silence is told at once.
-                return at - silent_until < IN_TOUCH_MS;
+                // Changes written during the silence are returned at once.
+                return at - silent_until < RECONNECT_LIMIT_MS;
             }
             if answer_at < silent_from {
                 at = answer_at + schedule.succeeded().as_millis() as u64;
             } else {
                 let jitter = 0.7 + 0.6 * f64::from(jitters.next().unwrap_or(255)) / 255.0;
                 let waits = schedule.timeouts(false);
-                // A call may fall silent before its answer or within it.
+                // The silence may begin before or during the answer to a call.
                 let patience = waits.first.max(waits.pause);
                 at += (patience + schedule.failed(jitter)).as_millis() as u64;
             }
@@ -371,8 +376,8 @@
 }
 
 #[test]
-fn a_removal_is_doubted_after_trouble_of_the_store_but_not_of_the_own_path_to_it() {
-    let removal_is_doubted = |answers_another: bool| {
+fn a_removal_is_doubted_after_an_outage_of_the_store_but_not_of_the_own_connection() {
+    let is_removal_doubted = |answers_another: bool| {
         let identity = Identity {
             name: "entry".into(),
             hall: hall(1),
@@ -394,8 +399,8 @@
         let catalog = knowledge.catalog.borrow();
         catalog.replicas()["i-1"].provisional
     };
-    assert!(removal_is_doubted(false));
-    assert!(!removal_is_doubted(true));
+    assert!(is_removal_doubted(false));
+    assert!(!is_removal_doubted(true));
 }
 
 fn record(index: u8) -> Record {
@@ -421,7 +426,7 @@
     }
 }
 
-fn entry_knowing_nothing(index: u8) -> Rc<Knowledge> {
+fn new_entry(index: u8) -> Rc<Knowledge> {
     let identity = Identity {
         name: "entry".into(),
         hall: hall(1),
@@ -432,15 +437,15 @@
 }
 
 #[test]
-fn an_entry_that_the_store_turns_away_hears_of_evacuations_and_their_end() {
-    let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
-    let asked = |knowledge: &Knowledge| {
+fn an_entry_without_access_to_the_store_receives_the_start_and_end_of_evacuations() {
+    let (reader, other) = (new_entry(1), new_entry(2));
+    let evacuated = |knowledge: &Knowledge| {
         let catalog = knowledge.catalog.borrow();
         catalog.evacuations().active().cloned().collect::<Vec<_>>()
     };
-    let tell = || {
-        let news = reader.update_for(&other.heartbeat(false), false);
-        other.apply_update(entry(1, 1), news);
+    let exchange = || {
+        let update = reader.update_for(&other.heartbeat(false), false);
+        other.apply_update(entry(1, 1), update);
     };
     let batch = |at, facts| Batch {
         facts,
@@ -457,19 +462,20 @@
     };
     reader.apply_batch(Topic::Operator, false, batch(6, vec![dated]));
     assert!(other.is_behind(reader.heartbeat(false).revisions));
-    tell();
-    assert_eq!(asked(&other), [hall(2)]);
-    // A configuration of before may still be on its way: it is not skipped in the store.
+    exchange();
+    assert_eq!(evacuated(&other), [hall(2)]);
+    // An older configuration may still be in transit, so the store is read from the start.
     assert_eq!(other.revision(Topic::Operator), 0);
-    // The store forgot what happened since: the whole that is read then shows that it is over.
+    // If the store has compacted the changes since, the read of the whole topic shows that the
+    // evacuation is over.
     reader.apply_batch(Topic::Operator, true, batch(9, Vec::new()));
-    tell();
-    assert_eq!(asked(&reader), []);
-    assert_eq!(asked(&other), []);
+    exchange();
+    assert_eq!(evacuated(&reader), []);
+    assert_eq!(evacuated(&other), []);
 }
 
 #[test]
-fn messages_are_counted_by_purpose_and_served_as_metrics() {
+fn messages_are_counted_by_purpose_and_exported_as_metrics() {
     let metrics = Metrics::new().unwrap();
     let traffic = Traffic::default();
     traffic.register(&metrics.meter());
@@ -485,8 +491,8 @@
 }
 
 #[test]
-fn an_entry_that_begins_gets_the_list_when_it_draws_it_and_not_with_each_heartbeat() {
-    let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
+fn a_starting_entry_receives_the_list_by_fetching_it_and_not_with_each_heartbeat() {
+    let (reader, other) = (new_entry(1), new_entry(2));
     let facts = (1..=90).map(|index| Revisioned {
         revision: index.into(),
         fact: Fact::Replica(record(index)),
@@ -497,10 +503,10 @@
         ..Batch::default()
     };
     reader.apply_batch(Topic::Replicas, true, whole_list);
-    let size = |news: &Update| rmp_serde::to_vec_named(news).unwrap().len();
+    let size = |update: &Update| rmp_serde::to_vec_named(update).unwrap().len();
     let heartbeat = reader.update_for(&other.heartbeat(false), false);
     assert!(heartbeat.replicas.is_none() && heartbeat.list.is_none());
-    // The previous release cannot draw the list and gets it with each heartbeat.
+    // Processes of the previous release cannot fetch the list and receive it with each heartbeat.
     let older = Heartbeat {
         draws_list: false,
         ..other.heartbeat(false)
@@ -511,16 +517,16 @@
         wants_list: true,
         ..other.heartbeat(false)
     };
-    let drawn = reader.update_for(&fetches, false);
-    assert!(size(&drawn) * 3 < size(&whole), "{}", size(&drawn));
-    other.apply_update(entry(1, 1), drawn);
+    let fetched = reader.update_for(&fetches, false);
+    assert!(size(&fetched) * 3 < size(&whole), "{}", size(&fetched));
+    other.apply_update(entry(1, 1), fetched);
     assert_eq!(other.catalog.borrow().replicas().len(), 90);
     assert_eq!(
         other.heartbeat(false).revisions,
         reader.heartbeat(false).revisions
     );
-    // An entry that read the list while it was empty does not draw it again.
-    let early = entry_knowing_nothing(3);
+    // An entry that read the list while it was empty does not fetch it again.
+    let early = new_entry(3);
     let empty = Batch {
         revision: 1,
         ..Batch::default()
@@ -534,15 +540,15 @@
     // After the first list, only changes are sent.
     let gone = batch(91, Fact::ReplicaGone("i-7".into()));
     reader.apply_batch(Topic::Replicas, false, gone);
-    let news = reader.update_for(&other.heartbeat(false), false);
-    assert!(news.replicas.is_none() && news.list.is_none());
-    assert_eq!(news.changes.unwrap().removals.len(), 1);
+    let update = reader.update_for(&other.heartbeat(false), false);
+    assert!(update.replicas.is_none() && update.list.is_none());
+    assert_eq!(update.changes.unwrap().removals.len(), 1);
 }
 
 /// The reply of an entry that knows `each` entries in each of three halls to a heartbeat of the
 /// sidecar at `sidecar` in the first hall.
-fn news_for_sidecar(sidecar: &str, each: u8) -> Update {
-    let sender = entry_knowing_nothing(1);
+fn update_for_sidecar(sidecar: &str, each: u8) -> Update {
+    let sender = new_entry(1);
     *sender.peers.borrow_mut() = peers(entry(1, 1), each, sender.now());
     let sync = Heartbeat {
         from: sidecar.parse().unwrap(),
@@ -561,8 +567,8 @@
 #[test]
 fn the_size_of_the_entry_list_for_a_sidecar_does_not_grow_with_the_fleet() {
     let bytes = |each| {
-        let news = news_for_sidecar("10.1.0.250:8000", each);
-        rmp_serde::to_vec_named(&news.peers).unwrap().len()
+        let update = update_for_sidecar("10.1.0.250:8000", each);
+        rmp_serde::to_vec_named(&update.peers).unwrap().len()
     };
     assert!(bytes(200) <= bytes(20) + bytes(20) / 10);
 }
@@ -570,11 +576,11 @@
 /// Guards against a sidecar that lacks the entries it reports to, or a fallback in other halls.
 #[test]
 fn a_sidecar_receives_the_entries_that_it_reports_to_and_one_of_each_other_hall() {
-    let told = |sidecar| news_for_sidecar(sidecar, 40).peers;
+    let entries = |sidecar| update_for_sidecar(sidecar, 40).peers;
     let local = |sidecar| -> Vec<SocketAddr> {
-        let mut local = told(sidecar);
-        local.retain(|told| told.hall == hall(1));
-        local.into_iter().map(|told| told.address).collect()
+        let mut local = entries(sidecar);
+        local.retain(|entry| entry.hall == hall(1));
+        local.into_iter().map(|entry| entry.address).collect()
     };
     let ranked = Readers::ranked(&local_peers(1, 40));
     for sidecar in ["10.1.0.250:8000", "10.1.0.251:8000"] {
@@ -583,10 +589,10 @@
                 .iter()
                 .all(|entry| local(sidecar).contains(entry))
         );
-        let others = told(sidecar)
+        let others = entries(sidecar)
             .into_iter()
-            .filter(|told| told.hall != hall(1));
-        let others: Vec<Arc<str>> = others.map(|told| told.hall).collect();
+            .filter(|entry| entry.hall != hall(1));
+        let others: Vec<Arc<str>> = others.map(|entry| entry.hall).collect();
         assert_eq!(others, [hall(2), hall(3)]);
     }
     // Different sidecars receive different entries of their hall, so that the relays share the load.
@@ -608,7 +614,7 @@
 }
 
 #[test]
-fn frames_hold_the_news_since_the_last_frame_but_one() {
+fn frames_contain_the_updates_since_the_frame_before_the_previous_one() {
     let mut hub = Hub::new(1, NOW);
     let revisions = |replicas| Revisions {
         replicas,
@@ -622,8 +628,8 @@
 }
 
 #[test]
-fn news_for_frames_omits_the_configuration() {
-    let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
+fn updates_in_frames_omit_the_configuration() {
+    let (reader, other) = (new_entry(1), new_entry(2));
     reader.apply_batch(
         Topic::Replicas,
         true,
@@ -653,9 +659,9 @@
         active: true,
     };
     reader.apply_batch(Topic::Operator, false, batch(6, evacuation));
-    let news = reader.update_since(before).unwrap();
-    assert!(news.routing.is_none());
-    other.apply_update(entry(1, 1), news);
+    let update = reader.update_since(before).unwrap();
+    assert!(update.routing.is_none());
+    other.apply_update(entry(1, 1), update);
     assert_eq!(other.catalog.borrow().evacuations().active().count(), 1);
 }
 
@@ -681,10 +687,10 @@
         hall: hall(2),
         replicas: (1..=64).map(reported).collect(),
     };
-    let entry = entry_knowing_nothing(1);
-    let news = || entry.update_for(&entry.heartbeat(false), false);
+    let entry = new_entry(1);
+    let update = || entry.update_for(&entry.heartbeat(false), false);
     let answer = |pack_replicas| {
-        let answer = HallUpdate::new(digest.clone(), news(), pack_replicas);
+        let answer = HallUpdate::new(digest.clone(), update(), pack_replicas);
         rmp_serde::to_vec_named(&answer).unwrap()
     };
     let (plain, packed) = (answer(false), answer(true));
@@ -704,7 +710,7 @@
 /// names for each entry.
 #[test]
 fn hall_answers_list_only_own_entries_and_pack_them() {
-    let responder = entry_knowing_nothing(1);
+    let responder = new_entry(1);
     *responder.peers.borrow_mut() = peers(entry(1, 1), 60, responder.now());
     let answer = |takes_packed_peers| {
         let sync = Heartbeat {
@@ -720,17 +726,17 @@
     };
     let plain = answer(false);
     assert_eq!(plain.peers.len(), 59);
-    assert!(plain.peers.iter().all(|told| told.hall == hall(1)));
+    assert!(plain.peers.iter().all(|entry| entry.hall == hall(1)));
     let packed = answer(true);
     assert!(packed.peers.is_empty());
-    let size = |news: &Update| rmp_serde::to_vec_named(news).unwrap().len();
+    let size = |update: &Update| rmp_serde::to_vec_named(update).unwrap().len();
     assert!(
         size(&packed) * 3 < size(&plain),
         "packed: {} bytes, plain: {} bytes",
         size(&packed),
         size(&plain)
     );
-    let receiver = entry_knowing_nothing(2);
+    let receiver = new_entry(2);
     receiver.apply_update(entry(1, 1), packed);
     assert_eq!(receiver.local_peers().len(), 59);
 }
@@ -764,7 +770,7 @@
 /// which misses a configuration written before it.
 #[test]
 fn an_entry_that_receives_a_version_first_still_reads_the_configuration() {
-    let (sender, receiver) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
+    let (sender, receiver) = (new_entry(1), new_entry(2));
     let version = Fact::Version {
         model: "tutor-model".into(),
         version: 2,
