--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -20,9 +20,9 @@
 use super::traffic::Purpose;
 use crate::config::catalog::Revisions;
 use crate::exchange::{Note, Options, Request};
-use crate::patience::{self, Progress};
-use crate::place;
+use crate::lease;
 use crate::source::Topic;
+use crate::timeout::{self, Progress};
 use crate::wire::sync::{FRAME_PATH, HALL_PATH, Heartbeat, REPORT_PATH, SYNC_PATH, Update};
 
 /// Minimum interval between two notices of updates.
@@ -50,7 +50,7 @@
     Exchange(#[from] crate::exchange::Error),
     /// The call timed out or was cancelled.
     #[error(transparent)]
-    Patience(#[from] patience::Error),
+    Patience(#[from] timeout::Error),
     /// The process answered with an error status.
     #[error("answered {status}")]
     Status {
@@ -131,7 +131,7 @@
     };
     let after = timeout + retry_timeout;
     let answer = actix_rt::time::timeout(after, call.exchange(knowledge, note, || true)).await;
-    answer.unwrap_or(Err(patience::Error::NoAnswer { after }.into()))
+    answer.unwrap_or(Err(timeout::Error::NoAnswer { after }.into()))
 }
 
 /// Sends an already encoded message to another process of the system and reads its answer.
@@ -201,8 +201,8 @@
                 reason: error.to_string(),
             })
         };
-        let waits = patience::Setting::default();
-        patience::wait_while(exchange, &progress, waits, || {}, needed).await?
+        let waits = timeout::Config::default();
+        timeout::wait_while(exchange, &progress, waits, || {}, needed).await?
     }
 }
 
@@ -211,7 +211,7 @@
         REPORT_PATH => Purpose::Report,
         HALL_PATH => Purpose::HallPoll,
         FRAME_PATH | FRAME_FORWARD_PATH => Purpose::Forward,
-        place::PATH => Purpose::Place,
+        lease::PATH => Purpose::Place,
         poison::PATH | poison::TRIAL_PATH => Purpose::Poison,
         _ => Purpose::Heartbeat,
     }
@@ -259,7 +259,7 @@
                     fanout::send(&knowledge, &Message::Notice, knowledge.local_peers());
                 }
             }
-            Err(Error::Patience(patience::Error::NotNeeded)) => {}
+            Err(Error::Patience(timeout::Error::Cancelled)) => {}
             Err(error) => log::warn!(peer:% = peer, ms; "failed to fetch configuration: {error}"),
         }
     });
--- a/src/knowledge/schedule.rs
+++ b/src/knowledge/schedule.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use crate::backoff::Backoff;
-use crate::patience;
 use crate::source::Topic;
+use crate::timeout;
 
 /// Timeout of a watch of the operators' topic. Together with [`ANSWER_MARGIN`], it is below the three
 /// seconds within which machines must be in touch with the store again after an outage.
@@ -75,8 +75,8 @@
 
     /// Timeouts for an answer; `whole` for a read of a whole topic. Once a long answer has begun, it may
     /// take as long as the default settings allow.
-    pub fn timeouts(&self, whole: bool) -> patience::Setting {
-        patience::Setting::beginning_within(if whole {
+    pub fn timeouts(&self, whole: bool) -> timeout::Config {
+        timeout::Config::with_first_byte(if whole {
             READ_TIMEOUT
         } else {
             self.watch_timeout() + ANSWER_MARGIN
--- a/src/knowledge/store.rs
+++ b/src/knowledge/store.rs
@@ -11,8 +11,8 @@
 use super::Knowledge;
 use super::schedule::Schedule;
 use super::traffic::Purpose;
-use crate::patience::{self, Progress};
 use crate::source::{Batch, Error, Source, Topic};
+use crate::timeout::{self, Progress};
 
 /// Interval at which an entry checks whether it has to read the store itself.
 const STANDBY_INTERVAL: Duration = Duration::from_millis(100);
@@ -101,7 +101,7 @@
     let received = || knowledge.record_store_answer();
     let needed = || knowledge.reads(topic);
     let timeouts = schedule.timeouts(after.is_none());
-    let call = pin!(patience::wait_while(
+    let call = pin!(timeout::wait_while(
         request, &progress, timeouts, received, needed
     ));
     let regained = pin!(knowledge.store_regained.notified());
@@ -114,7 +114,7 @@
     match ended {
         Ok(Err(Error::Silent)) => CallEnd::Repeat,
         Ok(answer) => CallEnd::Call(answer),
-        Err(patience::Error::NotNeeded) => CallEnd::Repeat,
+        Err(timeout::Error::Cancelled) => CallEnd::Repeat,
         Err(error) => {
             let reason = error.to_string();
             CallEnd::Call(Err(Error::Unreachable { reason }))
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -365,10 +365,10 @@
                 at = answer_at + schedule.succeeded().as_millis() as u64;
             } else {
                 let jitter = 0.7 + 0.6 * f64::from(jitters.next().unwrap_or(255)) / 255.0;
-                let waits = schedule.timeouts(false);
+                let timeouts = schedule.timeouts(false);
                 // The silence may begin before or during the answer to a call.
-                let patience = waits.first.max(waits.pause);
-                at += (patience + schedule.failed(jitter)).as_millis() as u64;
+                let timeout = timeouts.first_byte.max(timeouts.idle);
+                at += (timeout + schedule.failed(jitter)).as_millis() as u64;
             }
         }
     }
