--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -201,8 +201,8 @@
                 reason: error.to_string(),
             })
         };
-        let waits = timeout::Config::default();
-        timeout::wait_while(exchange, &progress, waits, || {}, needed).await?
+        let timeouts = timeout::Config::default();
+        timeout::wait_while(exchange, &progress, timeouts, || {}, needed).await?
     }
 }
 
@@ -211,7 +211,7 @@
         REPORT_PATH => Purpose::Report,
         HALL_PATH => Purpose::HallPoll,
         FRAME_PATH | FRAME_FORWARD_PATH => Purpose::Forward,
-        lease::PATH => Purpose::Place,
+        lease::PATH => Purpose::Lease,
         poison::PATH | poison::TRIAL_PATH => Purpose::Poison,
         _ => Purpose::Heartbeat,
     }
--- a/src/knowledge/hub.rs
+++ b/src/knowledge/hub.rs
@@ -13,7 +13,7 @@
 use crate::config::catalog::Revisions;
 
 /// Interval between two frames with the full status. It may be this long because a replica is asked for
-/// a place before a request is sent to it, so frames only determine which replicas to ask.
+/// a slot lease before a request is sent to it, so frames only determine which replicas to ask.
 pub const PERIOD: Duration = Duration::from_millis(500);
 
 /// Minimum interval between two frames when replicas start or stop accepting requests: two frames within
@@ -72,8 +72,8 @@
 pub struct Hub {
     incarnation: u64,
     number: u64,
-    /// Marks of the last two frames sent, oldest first.
-    sent_marks: [Revisions; 2],
+    /// The own revisions as of the last two frames sent, oldest first.
+    sent_revisions: [Revisions; 2],
     last_frame: Option<LastFrame>,
     began: Time,
     last_sent: Option<Time>,
@@ -88,7 +88,7 @@
         Self {
             incarnation,
             number: 0,
-            sent_marks: [Revisions::default(); 2],
+            sent_revisions: [Revisions::default(); 2],
             last_frame: None,
             began,
             last_sent: None,
@@ -126,11 +126,11 @@
         !outdated
     }
 
-    /// Returns the header of the next frame to send; `marks` are the sender's current ones.
+    /// Returns the header of the next frame to send; `revisions` are the sender's current ones.
     pub fn next_header(&mut self, revisions: Revisions) -> FrameHeader {
         self.number += 1;
-        let baseline = self.sent_marks[0];
-        self.sent_marks = [self.sent_marks[1], revisions];
+        let baseline = self.sent_revisions[0];
+        self.sent_revisions = [self.sent_revisions[1], revisions];
         FrameHeader {
             incarnation: self.incarnation,
             number: self.number,
--- a/src/knowledge/traffic.rs
+++ b/src/knowledge/traffic.rs
@@ -28,8 +28,8 @@
     HallPoll,
     /// The status of replicas is forwarded within a hall.
     Forward,
-    /// A sidecar is asked for a place at its replica.
-    Place,
+    /// A sidecar is asked for a slot lease at its replica.
+    Lease,
     /// A sidecar probes its replica.
     Probe,
     /// A call to the platform's store.
@@ -44,7 +44,7 @@
     Purpose::Report,
     Purpose::HallPoll,
     Purpose::Forward,
-    Purpose::Place,
+    Purpose::Lease,
     Purpose::Probe,
     Purpose::Store,
     Purpose::Poison,
@@ -58,7 +58,7 @@
             Self::Report => "report",
             Self::HallPoll => "hall",
             Self::Forward => "pass_on",
-            Self::Place => "place",
+            Self::Lease => "place",
             Self::Probe => "look",
             Self::Store => "store",
             Self::Poison => "poison",
--- a/src/member/peer.rs
+++ b/src/member/peer.rs
@@ -120,9 +120,9 @@
 
     /// The entries that are alive, with their halls.
     pub fn alive(&self, now: Time) -> impl Iterator<Item = (SocketAddr, &Arc<str>)> {
-        let heard = self.peers.iter();
-        let heard = heard.filter(move |(_, peer)| now.since(peer.last_seen) < ALIVE_TIMEOUT);
-        heard.map(|(address, peer)| (*address, &peer.hall))
+        let alive = self.peers.iter();
+        let alive = alive.filter(move |(_, peer)| now.since(peer.last_seen) < ALIVE_TIMEOUT);
+        alive.map(|(address, peer)| (*address, &peer.hall))
     }
 
     /// The entries of `hall` that are alive.
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// Guards against false suspicions while a burst of weights delays requests for places on one link
+/// Guards against false suspicions while a burst of weights delays requests for slot leases on one link
 /// after the other; a silence of all connections shows at several peers at once. The cost of a false
 /// suspicion grows with the number of streams in progress.
 #[test]
