--- a/src/route.rs
+++ b/src/route.rs
@@ -1,7 +1,8 @@
-//! Where a request goes: the targets that an entry knows, and the choice among them.
+//! Target selection of an entry: the table of known targets, and the choice among them.
 //!
-//! Eligibility is strict (version, hall, leaving); everything else is a matter of cost. Reports lag
-//! by up to a second, so the entry corrects them by what it sent and got back itself since.
+//! Version, hall and leaving are hard constraints; everything else is weighed by cost. Reports lag
+//! by up to a second, so the entry corrects them by the requests that it has sent and seen end
+//! since.
 
 pub mod cold;
 pub mod correction;
@@ -26,139 +27,144 @@
 use crate::weight::Digest;
 
 slotmap::new_key_type! {
-    /// A target that the entry knows.
+    /// Key of a target in a [`Table`].
     pub struct ReplicaKey;
 }
 
-/// A target from which nothing was heard for so long takes no new work.
-pub const SILENCE: Duration = Duration::from_millis(2_500);
+/// A target takes no new requests once its last report is older than this.
+pub const REPORT_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Candidates that are looked at for one request.
-const SAMPLED: usize = 3;
+/// Targets that are sampled for one request.
+const SAMPLE_SIZE: usize = 3;
 
-/// A target may have this many times the mean load, in hundredths, before affinity is given up.
-const AFFINITY_BOUND: u32 = 125;
+/// Highest cost of the affinity target, in percent of the cheapest sampled target's, at which
+/// affinity is still preferred.
+const AFFINITY_COST_MAX_PERCENT: u32 = 125;
 
-/// Weight of the newest measurement: one in this many.
-const SMOOTHING: u32 = 8;
+/// The newest measurement enters the moving average with a weight of one in this many.
+const SMOOTHING_DIVISOR: u32 = 8;
 
-/// Service time that is assumed before any was measured.
-const USUAL_UNKNOWN: Duration = Duration::from_millis(50);
+/// Service time assumed for a target before the first measurement.
+const DEFAULT_LATENCY: Duration = Duration::from_millis(50);
 
-/// First pause of a target that failed, doubled each time.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Initial backoff after a target fails, doubled with each further failure in a row.
+const BACKOFF_BASE: Duration = Duration::from_millis(250);
 
-/// Doublings after which the pause grows no more.
-const DOUBLINGS_MAX: u32 = 6;
+/// Number of doublings after which the backoff stops growing.
+const BACKOFF_DOUBLINGS_MAX: u32 = 6;
 
-/// Cost of a target in another hall, in hundredths of its own.
-const REMOTE_COST: u64 = 150;
+/// Cost of a target in another hall, in percent of its own cost.
+const REMOTE_COST_PERCENT: u64 = 150;
 
-/// How a target is chosen.
+/// Load-balancing strategy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Strategy {
-    /// One after another.
+    /// Targets in rotation.
     RoundRobin,
-    /// The less loaded of two at random.
+    /// The less loaded of two random targets.
     LeastOfTwo,
-    /// The least expected wait of a few, with affinity to prompt prefixes.
+    /// The shortest expected wait among a few sampled targets, with affinity to prompt prefixes.
     #[default]
     Expected,
     /// The target that declared the most free capacity.
     Declared,
 }
 
-/// What a request needs.
+/// What a request needs and a target serves.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Resource {
-    /// A version of a model.
+    /// A model version.
     Version(Digest),
-    /// A plain service.
+    /// A plain service without a model.
     Service(Arc<str>),
 }
 
-/// What a target's agent reported.
+/// State that a target's agent reports.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// What it can serve.
+    /// The resources that it serves.
     pub serves: Vec<Resource>,
-    /// Whether it takes no more work.
+    /// Whether it is leaving and takes no new requests.
     pub leaving: bool,
-    /// The process that reports.
+    /// Identifier of the reporting process's run.
     pub boot: u64,
-    /// Requests in progress, from all entries.
+    /// Requests in flight from all entries.
     pub in_flight: u32,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub capacity: u32,
 }
 
-/// A target.
+/// A target and what this entry knows of it.
 #[derive(Debug, Clone)]
 pub struct Replica {
-    /// Its box's name.
+    /// Name of its box.
     pub name: Arc<str>,
     /// Its hall.
     pub hall: Arc<str>,
-    /// Where its agent listens.
+    /// Address of its agent.
     pub address: SocketAddr,
     load: Load,
     listed_leaving: bool,
-    heard: Option<Time>,
-    own: u32,
-    own_at_report: u32,
-    usual: Option<Duration>,
+    last_report: Option<Time>,
+    local_in_flight: u32,
+    local_at_report: u32,
+    latency: Option<Duration>,
     failures: u32,
-    paused_until: Time,
+    backoff_until: Time,
     probing: bool,
 }
 
 impl Replica {
-    /// Requests in progress there, as far as this entry can tell.
-    fn estimate(&self) -> u32 {
-        let others = self.load.in_flight.saturating_sub(self.own_at_report);
-        others + self.own
+    /// Estimated requests in flight: those of other entries by the last report, plus this entry's
+    /// own.
+    fn estimated_in_flight(&self) -> u32 {
+        let others = self.load.in_flight.saturating_sub(self.local_at_report);
+        others + self.local_in_flight
     }
 
     fn capacity(&self) -> u32 {
         self.load.capacity.max(1)
     }
 
-    fn usual(&self) -> Duration {
-        self.usual.unwrap_or(USUAL_UNKNOWN)
+    fn latency(&self) -> Duration {
+        self.latency.unwrap_or(DEFAULT_LATENCY)
     }
 
-    /// Microseconds until an answer, as expected.
-    fn expected(&self) -> u64 {
-        let rounds = u64::from(self.estimate() + 1) * 1_000 / u64::from(self.capacity());
-        // Even a target with free capacity batches better with less to do.
+    /// Expected time until the response, in microseconds.
+    fn expected_latency_us(&self) -> u64 {
+        let rounds = u64::from(self.estimated_in_flight() + 1) * 1_000 / u64::from(self.capacity());
+        // Even a target with free capacity is faster with fewer requests in its batch.
         let rounds = rounds.max(1_000) + rounds / 4;
-        rounds * self.usual().as_micros() as u64 / 1_000
+        rounds * self.latency().as_micros() as u64 / 1_000
     }
 
-    /// Whether it takes new work.
-    fn open(&self, now: Time) -> bool {
-        let heard = self.heard.is_some_and(|heard| now.since(heard) < SILENCE);
-        heard && !self.load.leaving && !self.listed_leaving
+    /// Whether it accepts new requests: it reported lately and is not leaving.
+    fn accepting(&self, now: Time) -> bool {
+        let is_reporting = self
+            .last_report
+            .is_some_and(|last_report| now.since(last_report) < REPORT_TIMEOUT);
+        is_reporting && !self.load.leaving && !self.listed_leaving
     }
 
-    /// Whether it is put aside after failures. Once the pause is over, one request tries it.
-    fn put_aside(&self, now: Time) -> bool {
-        self.failures > 0 && (now < self.paused_until || self.probing)
+    /// Whether it is ejected after failures. After the backoff, a single probe request is let
+    /// through.
+    fn ejected(&self, now: Time) -> bool {
+        self.failures > 0 && (now < self.backoff_until || self.probing)
     }
 }
 
-/// What is asked for.
+/// Constraints on the choice of a target for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct Query<'a> {
-    /// What is needed.
+    /// The resource that the request needs.
     pub resource: &'a Resource,
-    /// The halls that may serve it; empty for any.
+    /// Halls that may serve it; empty for any.
     pub halls: &'a [String],
-    /// Hash of the prompt's beginning, for affinity.
+    /// Hash of the prompt's prefix, for affinity.
     pub prefix: Option<u64>,
-    /// Targets that were tried already.
+    /// Targets that were already tried.
     pub tried: &'a [ReplicaKey],
 }
 
@@ -166,35 +172,35 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// It was next.
+    /// It was next in the rotation.
     Turn,
-    /// It was the cheapest of those that were looked at.
+    /// It was the cheapest of the sampled targets.
     Cheapest,
-    /// It probably has the prompt's beginning in its cache.
+    /// It probably has the prompt's prefix in its cache.
     Affinity,
-    /// It was put aside, and its pause is over.
+    /// It had been ejected, and its backoff is over.
     Trial,
-    /// All others are put aside.
+    /// All other targets are ejected.
     LastResort,
 }
 
-/// A choice.
+/// The result of a choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// The target.
+    /// The chosen target.
     pub replica: ReplicaKey,
-    /// Why.
+    /// Why it was chosen.
     pub reason: Reason,
 }
 
-/// Those that serve one need, on a ring by the hash of their names.
+/// The targets that serve one resource, on a ring ordered by the hash of their names.
 #[derive(Debug, Default)]
 struct Pool {
     ring: Vec<(u64, ReplicaKey)>,
-    turn: usize,
+    cursor: usize,
 }
 
-/// The targets that an entry knows.
+/// Routing table of an entry.
 #[derive(Debug, Default)]
 pub struct Table {
     own_hall: Arc<str>,
@@ -204,7 +210,7 @@
 }
 
 impl Table {
-    /// An empty table of an entry in `own_hall`.
+    /// Creates an empty table for an entry in `own_hall`.
     pub fn new(own_hall: Arc<str>) -> Self {
         Self {
             own_hall,
@@ -212,7 +218,7 @@
         }
     }
 
-    /// Adds a target, or changes where it is.
+    /// Adds a target, or updates the address of a known one.
     pub fn add(&mut self, name: &Arc<str>, hall: &Arc<str>, address: SocketAddr) -> ReplicaKey {
         if let Some(&key) = self.names.get(name) {
             self.replicas[key].address = address;
@@ -224,32 +230,32 @@
             address,
             load: Load::default(),
             listed_leaving: false,
-            heard: None,
-            own: 0,
-            own_at_report: 0,
-            usual: None,
+            last_report: None,
+            local_in_flight: 0,
+            local_at_report: 0,
+            latency: None,
             failures: 0,
-            paused_until: Time::default(),
+            backoff_until: Time::default(),
             probing: false,
         });
         self.names.insert(name.clone(), key);
         key
     }
 
-    /// Drops a target. Requests in progress there end on their own.
+    /// Removes a target. Requests in flight there end on their own.
     pub fn remove(&mut self, name: &str) {
         if let Some(key) = self.names.remove(name) {
             self.replicas.remove(key);
-            self.rebuild();
+            self.rebuild_pools();
         }
     }
 
-    /// One target by its box's name.
+    /// Returns the key of the target on the box `name`.
     pub fn by_name(&self, name: &str) -> Option<ReplicaKey> {
         self.names.get(name).copied()
     }
 
-    /// One target.
+    /// Returns a target by its key.
     pub fn get(&self, key: ReplicaKey) -> Option<&Replica> {
         self.replicas.get(key)
     }
@@ -259,20 +265,23 @@
         self.names.keys()
     }
 
-    /// Targets that reported what they serve, and lately.
+    /// Number of targets with a recent report that serve at least one resource.
     pub fn reporting(&self, now: Time) -> usize {
-        let serving = |replica: &&Replica| replica.open(now) && !replica.load.serves.is_empty();
+        let serving =
+            |replica: &&Replica| replica.accepting(now) && !replica.load.serves.is_empty();
         self.replicas.values().filter(serving).count()
     }
 
-    /// The list says whether a target leaves. It cannot call back one that announced it by itself.
+    /// Sets whether the box list shows the target as leaving. A target that reported by itself that
+    /// it is leaving stays so regardless.
     pub fn set_listed_leaving(&mut self, key: ReplicaKey, leaving: bool) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.listed_leaving = leaving;
         }
     }
 
-    /// A target's agent reported. Leaving is for good until another process reports.
+    /// Applies a report of a target's agent. A target that is leaving stays so until a new process
+    /// reports.
     pub fn report(&mut self, key: ReplicaKey, mut load: Load, now: Time) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
@@ -280,20 +289,20 @@
         if replica.load.boot == load.boot {
             load.leaving |= replica.load.leaving;
         }
-        let moved = replica.load.serves != load.serves;
+        let changed = replica.load.serves != load.serves;
         replica.load = load;
-        replica.heard = Some(now);
-        replica.own_at_report = replica.own;
-        if moved {
-            self.rebuild();
+        replica.last_report = Some(now);
+        replica.local_at_report = replica.local_in_flight;
+        if changed {
+            self.rebuild_pools();
         }
     }
 
-    fn rebuild(&mut self) {
-        let turns: BTreeMap<Resource, usize> = self
+    fn rebuild_pools(&mut self) {
+        let cursors: BTreeMap<Resource, usize> = self
             .pools
             .iter()
-            .map(|(need, pool)| (need.clone(), pool.turn))
+            .map(|(need, pool)| (need.clone(), pool.cursor))
             .collect();
         self.pools.clear();
         for (key, replica) in &self.replicas {
@@ -305,33 +314,35 @@
         }
         for (need, pool) in &mut self.pools {
             pool.ring.sort_unstable();
-            pool.turn = turns.get(need).copied().unwrap_or(0);
+            pool.cursor = cursors.get(need).copied().unwrap_or(0);
         }
     }
 
-    /// Chooses a target.
+    /// Chooses a target, or returns `None` if none is eligible.
     pub fn choose(
         &mut self,
-        ask: Query<'_>,
-        policy: Strategy,
+        query: Query<'_>,
+        strategy: Strategy,
         now: Time,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let pool = self.pools.get_mut(ask.resource)?;
-        pool.turn = pool.turn.wrapping_add(1);
-        let pool = &self.pools[ask.resource];
-        let choice = match policy {
-            Strategy::RoundRobin => self.next_in_turn(pool, ask, now),
-            Strategy::LeastOfTwo => self.cheapest(pool, ask, now, rng, 2, |replica| {
-                u64::from(replica.estimate())
+        let pool = self.pools.get_mut(query.resource)?;
+        pool.cursor = pool.cursor.wrapping_add(1);
+        let pool = &self.pools[query.resource];
+        let choice = match strategy {
+            Strategy::RoundRobin => self.round_robin(pool, query, now),
+            Strategy::LeastOfTwo => self.cheapest(pool, query, now, rng, 2, |replica| {
+                u64::from(replica.estimated_in_flight())
             }),
-            Strategy::Expected => self.expected(pool, ask, now, rng),
-            Strategy::Declared => self.cheapest(pool, ask, now, rng, usize::MAX, |replica| {
-                let free = replica.capacity().saturating_sub(replica.estimate());
+            Strategy::Expected => self.expected(pool, query, now, rng),
+            Strategy::Declared => self.cheapest(pool, query, now, rng, usize::MAX, |replica| {
+                let free = replica
+                    .capacity()
+                    .saturating_sub(replica.estimated_in_flight());
                 u64::MAX - u64::from(free)
             }),
         };
-        let choice = choice.or_else(|| self.last_resort(pool, ask, now))?;
+        let choice = choice.or_else(|| self.last_resort(pool, query, now))?;
         let replica = &mut self.replicas[choice.replica];
         if replica.failures > 0 {
             replica.probing = true;
@@ -339,33 +350,33 @@
         Some(choice)
     }
 
-    fn eligible(&self, key: ReplicaKey, ask: Query<'_>, now: Time) -> bool {
+    fn eligible(&self, key: ReplicaKey, query: Query<'_>, now: Time) -> bool {
         let replica = &self.replicas[key];
-        replica.open(now)
-            && !ask.tried.contains(&key)
-            && (ask.halls.is_empty() || ask.halls.iter().any(|hall| **hall == *replica.hall))
+        replica.accepting(now)
+            && !query.tried.contains(&key)
+            && (query.halls.is_empty() || query.halls.iter().any(|hall| **hall == *replica.hall))
     }
 
-    fn ready(&self, key: ReplicaKey, ask: Query<'_>, now: Time) -> bool {
-        self.eligible(key, ask, now) && !self.replicas[key].put_aside(now)
+    fn ready(&self, key: ReplicaKey, query: Query<'_>, now: Time) -> bool {
+        self.eligible(key, query, now) && !self.replicas[key].ejected(now)
     }
 
-    fn next_in_turn(&self, pool: &Pool, ask: Query<'_>, now: Time) -> Option<Choice> {
+    fn round_robin(&self, pool: &Pool, query: Query<'_>, now: Time) -> Option<Choice> {
         let length = pool.ring.len();
         (0..length)
-            .map(|step| pool.ring[(pool.turn + step) % length].1)
-            .find(|&key| self.ready(key, ask, now))
+            .map(|step| pool.ring[(pool.cursor + step) % length].1)
+            .find(|&key| self.ready(key, query, now))
             .map(|replica| Choice {
                 replica,
                 reason: Reason::Turn,
             })
     }
 
-    /// The cheapest of up to `count` targets that are ready, beginning anywhere.
+    /// Returns the cheapest of up to `count` ready targets, starting from random positions.
     fn cheapest(
         &self,
         pool: &Pool,
-        ask: Query<'_>,
+        query: Query<'_>,
         now: Time,
         rng: &mut impl Rng,
         count: usize,
@@ -374,17 +385,18 @@
         let length = pool.ring.len();
         let mut best: Option<(u64, ReplicaKey)> = None;
         let mut found = 0;
-        // Random places first; when few are ready, a walk over the ring finds those.
-        let places = (0..count.min(length)).map(|_| rng.random_range(0..length));
-        let places: Vec<usize> = places.collect();
+        // Samples random positions first. If too few of those are ready, scans the ring from a
+        // random start.
+        let samples = (0..count.min(length)).map(|_| rng.random_range(0..length));
+        let samples: Vec<usize> = samples.collect();
         let start = rng.random_range(0..length);
-        let walk = (0..length).map(|step| (start + step) % length);
-        for (step, place) in places.iter().copied().chain(walk).enumerate() {
-            if found >= count && step >= places.len() {
+        let scan = (0..length).map(|step| (start + step) % length);
+        for (step, index) in samples.iter().copied().chain(scan).enumerate() {
+            if found >= count && step >= samples.len() {
                 break;
             }
-            let key = pool.ring[place].1;
-            if !self.ready(key, ask, now) {
+            let key = pool.ring[index].1;
+            if !self.ready(key, query, now) {
                 continue;
             }
             found += 1;
@@ -405,79 +417,89 @@
     fn expected(
         &self,
         pool: &Pool,
-        ask: Query<'_>,
+        query: Query<'_>,
         now: Time,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
         let cost = |replica: &Replica| {
-            let near = replica.hall == self.own_hall;
-            let factor = if near { 100 } else { REMOTE_COST };
-            replica.expected() * factor / 100
+            let is_local = replica.hall == self.own_hall;
+            let factor = if is_local { 100 } else { REMOTE_COST_PERCENT };
+            replica.expected_latency_us() * factor / 100
         };
-        let cheapest = self.cheapest(pool, ask, now, rng, SAMPLED, cost)?;
-        let Some(prefix) = ask.prefix else {
+        let cheapest = self.cheapest(pool, query, now, rng, SAMPLE_SIZE, cost)?;
+        let Some(prefix) = query.prefix else {
             return Some(cheapest);
         };
-        let home = self.home(pool, prefix, ask, now);
-        let Some(home) = home else {
+        let affinity_target = self.affinity_target(pool, prefix, query, now);
+        let Some(affinity_target) = affinity_target else {
             return Some(cheapest);
         };
-        let bound = cost(&self.replicas[cheapest.replica]) * u64::from(AFFINITY_BOUND) / 100;
-        if cost(&self.replicas[home]) <= bound {
+        let bound =
+            cost(&self.replicas[cheapest.replica]) * u64::from(AFFINITY_COST_MAX_PERCENT) / 100;
+        if cost(&self.replicas[affinity_target]) <= bound {
             return Some(Choice {
-                replica: home,
+                replica: affinity_target,
                 reason: Reason::Affinity,
             });
         }
         Some(cheapest)
     }
 
-    /// The target whose place on the ring follows the prefix's.
-    fn home(&self, pool: &Pool, prefix: u64, ask: Query<'_>, now: Time) -> Option<ReplicaKey> {
+    /// Returns the ready target at or after the prefix's position on the ring.
+    fn affinity_target(
+        &self,
+        pool: &Pool,
+        prefix: u64,
+        query: Query<'_>,
+        now: Time,
+    ) -> Option<ReplicaKey> {
         let length = pool.ring.len();
         let start = pool.ring.partition_point(|(hash, _)| *hash < prefix);
-        (0..length.min(SAMPLED))
+        (0..length.min(SAMPLE_SIZE))
             .map(|step| pool.ring[(start + step) % length].1)
-            .find(|&key| self.ready(key, ask, now))
+            .find(|&key| self.ready(key, query, now))
     }
 
-    /// When all that could serve are put aside, any of them is better than none.
-    fn last_resort(&self, pool: &Pool, ask: Query<'_>, now: Time) -> Option<Choice> {
-        let open = pool.ring.iter().map(|(_, key)| *key);
-        open.filter(|&key| self.eligible(key, ask, now))
-            .min_by_key(|&key| self.replicas[key].paused_until)
+    /// If all eligible targets are ejected, returns the one whose backoff ends first.
+    fn last_resort(&self, pool: &Pool, query: Query<'_>, now: Time) -> Option<Choice> {
+        let candidates = pool.ring.iter().map(|(_, key)| *key);
+        candidates
+            .filter(|&key| self.eligible(key, query, now))
+            .min_by_key(|&key| self.replicas[key].backoff_until)
             .map(|replica| Choice {
                 replica,
                 reason: Reason::LastResort,
             })
     }
 
-    /// A request was sent to a target.
+    /// Counts a request that was sent to a target.
     pub fn begin(&mut self, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.own += 1;
+            replica.local_in_flight += 1;
         }
     }
 
-    /// A request at a target ended.
+    /// Counts a request at a target as ended, and updates the target's health and latency.
     pub fn end(&mut self, key: ReplicaKey, end: Completion, now: Time) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        replica.own = replica.own.saturating_sub(1);
-        replica.own_at_report = replica.own_at_report.min(replica.own);
+        replica.local_in_flight = replica.local_in_flight.saturating_sub(1);
+        replica.local_at_report = replica.local_at_report.min(replica.local_in_flight);
         match end {
-            Completion::Success(took) => {
+            Completion::Success(elapsed) => {
                 replica.failures = 0;
                 replica.probing = false;
-                replica.usual = Some(match replica.usual {
-                    None => took,
-                    Some(usual) => (usual * (SMOOTHING - 1) + took) / SMOOTHING,
+                replica.latency = Some(match replica.latency {
+                    None => elapsed,
+                    Some(latency) => {
+                        (latency * (SMOOTHING_DIVISOR - 1) + elapsed) / SMOOTHING_DIVISOR
+                    }
                 });
             }
             Completion::Failed => {
-                let doublings = replica.failures.min(DOUBLINGS_MAX);
-                replica.paused_until = now + PAUSE * 2u32.pow(doublings);
+                let doublings = replica.failures.min(BACKOFF_DOUBLINGS_MAX);
+                replica.backoff_until = now + BACKOFF_BASE * 2u32.pow(doublings);
                 replica.failures += 1;
                 replica.probing = false;
             }
@@ -486,18 +508,18 @@
     }
 }
 
-/// How a request at a target ended, as far as the choice of targets is concerned.
+/// How a request at a target ended, as far as target selection is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Completion {
-    /// The answer came whole, after this long.
+    /// The response was complete after this time.
     Success(Duration),
     /// The target failed.
     Failed,
-    /// It tells nothing of the target: the caller left, or the target was full.
+    /// Says nothing about the target: the caller disconnected, or the target was full.
     Neutral,
 }
 
-/// A 64-bit hash of `bytes`, the same everywhere.
+/// 64-bit hash of `bytes`, the same on every machine.
 pub fn hash_of(bytes: &[u8]) -> u64 {
     hash::word(&blake3::hash(bytes))
 }
