--- a/src/route/correction.rs
+++ b/src/route/correction.rs
@@ -1,18 +1,19 @@
-//! Corrects estimates by what is observed, where figures behind them are guesses.
+//! Corrects estimates by observed times where the engine's figures are guesses.
 
 use std::time::Duration;
 
-/// Part of a new observation that is taken: one in this many, so that a guess that is off by three
-/// times is right after some fifty requests.
-const SMOOTHING: f64 = 16.0;
+/// An observation enters the factor with a weight of one in this many, so that an estimate that is
+/// off by a factor of three is corrected after about fifty requests.
+const SMOOTHING_DIVISOR: f64 = 16.0;
 
-/// Most that an estimate is stretched or shrunk: engines differ less than that from the guesses.
+/// Largest correction in either direction. Engines differ from the guessed figures by less than
+/// that.
 const FACTOR_MAX: f64 = 8.0;
 
-/// Shortest estimate that says something of a factor.
+/// Shorter times say nothing about the factor and are raised to this.
 const EXPECTED_MIN: Duration = Duration::from_millis(1);
 
-/// By how much estimates of one service are off.
+/// Correction factor for the estimates of one service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Correction {
     factor: f64,
@@ -25,20 +26,21 @@
 }
 
 impl Correction {
-    /// Something that was `expected`, this correction included, `took` so long.
+    /// Records that something `expected` to take that long, with this correction applied, took
+    /// `took`.
     pub fn record(&mut self, expected: Duration, took: Duration) {
         let expected = expected.max(EXPECTED_MIN).as_secs_f64();
         let took = took.max(EXPECTED_MIN).as_secs_f64();
-        let off = (took / expected).powf(1.0 / SMOOTHING);
-        self.factor = (self.factor * off).clamp(1.0 / FACTOR_MAX, FACTOR_MAX);
+        let ratio = (took / expected).powf(1.0 / SMOOTHING_DIVISOR);
+        self.factor = (self.factor * ratio).clamp(1.0 / FACTOR_MAX, FACTOR_MAX);
     }
 
-    /// The estimate that is corrected to `corrected`.
+    /// Returns the estimate that [`Self::apply`] turns into `corrected`.
     pub fn undo(self, corrected: Duration) -> Duration {
         corrected.div_f64(self.factor)
     }
 
-    /// An estimate, corrected.
+    /// Applies the correction to an estimate.
     pub fn apply(self, estimate: Duration) -> Duration {
         estimate.mul_f64(self.factor)
     }
