--- a/src/lease.rs
+++ b/src/lease.rs
@@ -77,7 +77,8 @@
         if self.ends > now {
             return self.ends.since(now);
         }
-        estimate::iteration(engine, load.in_progress(), load.pace).mul_f64(estimate::PASS_WAITED)
+        estimate::iteration(engine, load.in_progress(), load.pace)
+            .mul_f64(estimate::ITERATION_WAIT_FRACTION)
     }
 }
 
