--- a/src/route/health.rs
+++ b/src/route/health.rs
@@ -1,92 +1,93 @@
-//! What an entry learns of a replica from its own requests: unreachable, failing, or well.
+//! Health of a replica, as an entry sees it from its own requests.
 //!
-//! Three kinds of bad news are kept apart. A replica that cannot be reached from here is paused
-//! for longer each time. One that breaks or fails some requests is judged by its rate against
-//! its fellows. One that is gone is dropped by the list, not here.
+//! Three kinds of failure are handled separately. A replica that cannot be reached from here is
+//! paused, longer each time. One that breaks or fails some requests is compared with the failure
+//! rate of its peers. One that is gone is removed by the replica list, not here.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// First pause, doubled with each further failure in a row.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Initial pause, doubled with each further one in a row.
+const PAUSE_BASE: Duration = Duration::from_millis(500);
 
-/// Doublings after which the pause grows no more.
+/// Number of doublings after which the pause stops growing.
 const DOUBLINGS_MAX: u32 = 3;
 
-/// Weight that older outcomes keep with each new one.
-const KEPT: f64 = 0.93;
+/// Factor by which older outcomes decay with each new one.
+const DECAY: f64 = 0.93;
 
-/// Weighted outcomes that are needed before a rate means something.
+/// Weighted number of outcomes below which the failure rate is not significant.
 const SAMPLES_MIN: f64 = 4.0;
 
-/// A replica is an outlier if its rate of failures is over its fellows' by so much.
-const RATE_OVER: f64 = 0.2;
+/// A replica is an outlier if its failure rate exceeds its peers' by more than this.
+const OUTLIER_MARGIN: f64 = 0.2;
 
-/// Weight of the newest measurement of time: one in this many.
-const SMOOTHING: u32 = 8;
+/// The newest latency enters the moving average with a weight of one in this many.
+const SMOOTHING_DIVISOR: u32 = 8;
 
-/// How an attempt ended, as far as the replica's health is concerned.
+/// Outcome of an attempt, as far as the replica's health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// An answer came whole after so long (a stream: its first event).
+    /// The response was complete after this time (a stream: its first event).
     Success(Duration),
-    /// The replica answered with a failure of its own.
+    /// The replica answered with an error of its own.
     Failed,
-    /// The answer broke, or was none.
+    /// The response broke off, or there was none.
     Broken,
-    /// Nothing came for longer than it may be silent.
+    /// Nothing arrived within the time that the replica may be silent.
     TimedOut,
     /// No connection could be opened.
     Unreachable,
-    /// It refused, without having run the request.
+    /// The replica refused the request without running it.
     Refused,
-    /// Nothing about the replica: the caller left, say, or the connection went silent with others.
+    /// Says nothing about the replica: the caller disconnected, for example, or the connection went
+    /// silent together with others.
     Neutral,
 }
 
-/// A replica's health as seen from here.
+/// Health of one replica as seen from this entry.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Health {
-    row: u32,
+    pauses_in_row: u32,
     paused_until: Time,
-    good: f64,
-    bad: f64,
-    usual: Option<Duration>,
+    successes: f64,
+    failures: f64,
+    latency: Option<Duration>,
 }
 
 impl Health {
-    /// Takes the end of an attempt. `fellows` is the rate of failures of the service's other
-    /// replicas.
-    pub fn record(&mut self, sign: Signal, fellows: f64, now: Time) {
-        match sign {
+    /// Records the outcome of an attempt. `peer_failure_rate` is the failure rate of the service's
+    /// other replicas.
+    pub fn record(&mut self, signal: Signal, peer_failure_rate: f64, now: Time) {
+        match signal {
             Signal::Neutral => {}
             Signal::Success(took) => {
-                self.row = 0;
-                self.count(true);
-                self.usual = Some(match self.usual {
+                self.pauses_in_row = 0;
+                self.add_outcome(true);
+                self.latency = Some(match self.latency {
                     None => took,
-                    Some(usual) => (usual * (SMOOTHING - 1) + took) / SMOOTHING,
+                    Some(latency) => (latency * (SMOOTHING_DIVISOR - 1) + took) / SMOOTHING_DIVISOR,
                 });
             }
             Signal::Unreachable => self.pause(now),
             Signal::Failed | Signal::Broken | Signal::TimedOut | Signal::Refused => {
-                self.count(false);
-                let judged = self.good + self.bad >= SAMPLES_MIN;
-                if judged && self.failure_rate() > fellows + RATE_OVER {
+                self.add_outcome(false);
+                let significant = self.successes + self.failures >= SAMPLES_MIN;
+                if significant && self.failure_rate() > peer_failure_rate + OUTLIER_MARGIN {
                     self.pause(now);
                 }
             }
         }
     }
 
-    fn count(&mut self, good: bool) {
-        self.good *= KEPT;
-        self.bad *= KEPT;
-        if good {
-            self.good += 1.0;
+    fn add_outcome(&mut self, success: bool) {
+        self.successes *= DECAY;
+        self.failures *= DECAY;
+        if success {
+            self.successes += 1.0;
         } else {
-            self.bad += 1.0;
+            self.failures += 1.0;
         }
     }
 
@@ -94,28 +95,28 @@
         if now < self.paused_until {
             return;
         }
-        self.paused_until = now + PAUSE * 2u32.pow(self.row.min(DOUBLINGS_MAX));
-        self.row += 1;
+        self.paused_until = now + PAUSE_BASE * 2u32.pow(self.pauses_in_row.min(DOUBLINGS_MAX));
+        self.pauses_in_row += 1;
     }
 
-    /// Share of recent attempts that failed.
+    /// Failure rate of recent attempts.
     pub fn failure_rate(&self) -> f64 {
-        let all = self.good + self.bad;
-        if all < 1.0 { 0.0 } else { self.bad / all }
+        let all = self.successes + self.failures;
+        if all < 1.0 { 0.0 } else { self.failures / all }
     }
 
-    /// Whether it is passed over now.
+    /// Whether the replica is skipped at `now`.
     pub fn paused(&self, now: Time) -> bool {
         now < self.paused_until
     }
 
-    /// When it is tried again.
+    /// When the pause ends.
     pub fn paused_until(&self) -> Time {
         self.paused_until
     }
 
-    /// How long its answers took lately.
+    /// Moving average of the response time.
     pub fn latency(&self) -> Option<Duration> {
-        self.usual
+        self.latency
     }
 }
