--- a/src/route/search.rs
+++ b/src/route/search.rs
@@ -1,109 +1,111 @@
-//! Whom to ask for a place, and with which limit.
+//! Which sidecars to ask for a slot lease, and within which limit.
 //!
-//! An entry's own picture of its hall is up to a second old. So it asks the process beside the
-//! replica that looks best. The first ones are asked for a place at once: a replica that has none is
-//! passed over while others may have one. If none of them has, the one that is the least behind is
-//! asked for a place in its queue.
+//! What an entry knows of its hall is up to a second old, so it asks the sidecar of the replica
+//! that looks best. The first requests are for a lease on a free slot: a replica without one is
+//! skipped while others may have one. If none of them has, the replica with the shortest expected
+//! wait is asked for a place in its queue.
 
 use std::time::Duration;
 
 use super::pool::Key;
 
-/// What is next.
+/// Next step of a search.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Choose a replica that was not asked yet and ask for a place within the tight limit.
+    /// Choose a replica that was not asked yet, and ask it for a lease within the immediate limit.
     Probe,
-    /// Ask this one again, for a place within the whole limit.
+    /// Ask this replica again, for a lease within the queued limit.
     Retry(Key),
-    /// Nobody has a place, or nobody answers: go by what is known.
+    /// No replica granted a lease, or none answers: decide by what is known.
     Decide,
 }
 
-/// What a replica's process said.
+/// Answer of a sidecar that granted no lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reply {
-    /// There is no place within the tight limit, but a first event is expected after so long.
+    /// No lease within the immediate limit; the first event is expected after this time.
     Queued(Duration),
-    /// It does not answer, or takes nothing.
+    /// The sidecar does not answer, or the replica takes no requests.
     Unavailable,
 }
 
-/// The search for one request's place.
+/// Search for a replica that takes one request.
 #[derive(Debug, Clone)]
 pub struct Search {
     limit: Duration,
-    asks: u32,
-    asked: Vec<Key>,
-    least: Option<(Duration, Key)>,
-    insisted: bool,
-    silent: bool,
+    probes_max: u32,
+    probed: Vec<Key>,
+    best: Option<(Duration, Key)>,
+    retried: bool,
+    timed_out: bool,
 }
 
 impl Search {
-    /// A search that asks `asks` processes at most for a first event within `limit`.
-    pub fn new(asks: u32, limit: Duration) -> Self {
+    /// Creates a search that asks up to `probes_max` sidecars for a first event within `limit`.
+    pub fn new(probes_max: u32, limit: Duration) -> Self {
         Self {
             limit,
-            asks,
-            asked: Vec::new(),
-            least: None,
-            insisted: false,
-            silent: false,
+            probes_max,
+            probed: Vec::new(),
+            best: None,
+            retried: false,
+            timed_out: false,
         }
     }
 
     /// Replicas that were asked.
     pub fn probed(&self) -> &[Key] {
-        &self.asked
+        &self.probed
     }
 
-    /// The replica that is the least behind of those that said so, and when its first event is expected.
+    /// The replica with the shortest expected time to its first event among those that gave one,
+    /// and that time.
     pub fn best(&self) -> Option<(Duration, Key)> {
-        self.least
+        self.best
     }
 
-    /// What is next.
+    /// Returns the next step.
     pub fn step(&self) -> Step {
-        // One silent process costs a good part of the objective; a second one would cost the rest.
-        if self.silent || self.insisted {
+        // One sidecar that does not answer uses up a good part of the objective; a second one would
+        // use up the rest.
+        if self.timed_out || self.retried {
             return Step::Decide;
         }
-        if (self.asked.len() as u32) < self.asks {
+        if (self.probed.len() as u32) < self.probes_max {
             return Step::Probe;
         }
-        match self.least {
+        match self.best {
             Some((expected, key)) if expected <= self.limit => Step::Retry(key),
             _ => Step::Decide,
         }
     }
 
-    /// There is nobody else to ask.
+    /// Ends probing: there is no other replica to ask.
     pub fn exhausted(&mut self) {
-        self.asks = self.asked.len() as u32;
+        self.probes_max = self.probed.len() as u32;
     }
 
-    /// The process beside `key` answered something else than that there is a place.
-    pub fn record(&mut self, key: Key, said: Reply) {
-        if self.asked.contains(&key) {
-            self.insisted = true;
+    /// Records an answer that granted no lease.
+    pub fn record(&mut self, key: Key, reply: Reply) {
+        if self.probed.contains(&key) {
+            self.retried = true;
         } else {
-            self.asked.push(key);
+            self.probed.push(key);
         }
-        match said {
+        match reply {
             Reply::Queued(expected) => {
-                // What the one that was asked again says now replaces what it said at first.
-                if self.insisted || self.least.is_none_or(|(least, _)| expected < least) {
-                    self.least = Some((expected, key));
+                // The answer to a retry replaces the replica's first answer.
+                if self.retried || self.best.is_none_or(|(best, _)| expected < best) {
+                    self.best = Some((expected, key));
                 }
             }
             Reply::Unavailable => {}
         }
     }
 
-    /// The process beside `key` was silent.
+    /// Records that the sidecar of `key` did not answer in time.
     pub fn timed_out(&mut self, key: Key) {
-        self.asked.push(key);
-        self.silent = true;
+        self.probed.push(key);
+        self.timed_out = true;
     }
 }
