--- a/src/route/cold.rs
+++ b/src/route/cold.rs
@@ -1,73 +1,74 @@
-//! Replicas that are cold for a while after their start, and bear few requests in a second until then.
+//! Rate limiting of replicas that are cold for a while after their start and can take only few
+//! requests per second until then.
 
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// Part of a second's requests that may come at once. A cold replica falls over well above its rate; with
-/// a quarter more than that in the worst second there is room for what other processes send meanwhile.
-const BURST_PART: f64 = 0.25;
+/// Burst size as a fraction of the requests allowed per second. A cold replica fails well above its
+/// rate; a worst second with a quarter more leaves room for what other processes send meanwhile.
+const BURST_FRACTION: f64 = 0.25;
 
-/// Until when a replica is cold, by what it said last.
+/// End of a replica's cold phase, by its last report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Cold {
-    told_ms: u64,
+    reported_ms: u64,
     until: Time,
 }
 
 impl Cold {
-    /// The replica says at `now` that it is cold for so many milliseconds. What it said before counts from
-    /// when it said so first.
-    pub fn tell(&mut self, told_ms: u64, now: Time) {
-        if told_ms != self.told_ms {
+    /// Applies the remaining cold time that the replica reports at `now`. A repeated value counts
+    /// from when it was first reported.
+    pub fn update(&mut self, reported_ms: u64, now: Time) {
+        if reported_ms != self.reported_ms {
             *self = Self {
-                told_ms,
-                until: now + Duration::from_millis(told_ms),
+                reported_ms,
+                until: now + Duration::from_millis(reported_ms),
             };
         }
     }
 
-    /// For how long it still is.
-    pub fn rest(&self, now: Time) -> Duration {
+    /// Time until the replica is warm.
+    pub fn remaining(&self, now: Time) -> Duration {
         self.until.since(now)
     }
 }
 
-/// Requests that may be sent to a cold replica, at a rate. It begins empty: what was sent before the
-/// replica turned cold is not known.
+/// Token bucket for requests to a cold replica. It starts empty, since the requests sent before the
+/// replica turned cold are not known.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TokenBucket {
-    requests: f64,
-    at: Time,
+    tokens: f64,
+    updated_at: Time,
 }
 
 impl TokenBucket {
-    /// None yet: the replica turned cold at `now`.
+    /// Creates an empty bucket for a replica that turned cold at `now`.
     pub fn new(now: Time) -> Self {
         Self {
-            requests: 0.0,
-            at: now,
+            tokens: 0.0,
+            updated_at: now,
         }
     }
 
-    /// What is allowed at `now`, at `per_s` requests a second.
-    fn filled(&self, per_s: f64, now: Time) -> f64 {
-        let most = (per_s * BURST_PART).max(1.0);
-        let gained = per_s * now.since(self.at).as_secs_f64();
-        (self.requests + gained).min(most)
+    /// Tokens available at `now`, refilled at `per_s` per second.
+    fn available(&self, per_s: f64, now: Time) -> f64 {
+        let capacity = (per_s * BURST_FRACTION).max(1.0);
+        let refilled = per_s * now.since(self.updated_at).as_secs_f64();
+        (self.tokens + refilled).min(capacity)
     }
 
-    /// Whether a request may be sent now.
+    /// Whether a token is available.
     pub fn allows(&self, per_s: f64, now: Time) -> bool {
-        self.filled(per_s, now) >= 1.0
+        self.available(per_s, now) >= 1.0
     }
 
-    /// Takes one request, if it may be sent now.
+    /// Takes a token if one is available.
     pub fn take(&mut self, per_s: f64, now: Time) -> bool {
         let allowed = self.allows(per_s, now);
         if allowed {
-            self.requests = self.filled(per_s, now) - 1.0;
-            self.at = now;
+            self.tokens = self.available(per_s, now) - 1.0;
+            self.updated_at = now;
         }
         allowed
     }
--- a/src/route/notice.rs
+++ b/src/route/notice.rs
@@ -1,7 +1,9 @@
-//! What a replica tells, with any answer, of what it wants from whoever sent it the request.
+//! Notices by which a replica, in the head of any response, asks its callers to stop or pause
+//! sending.
 //!
-//! It binds whoever got the answer: an entry, and the process beside the replica for all entries that send by way of it. It holds
-//! for the life of the replica that told it, whatever the list says meanwhile.
+//! A notice binds whoever received the response: an entry, or the replica's sidecar on behalf of
+//! all entries that send through it. It holds for the replica instance that sent it, whatever the
+//! replica list says meanwhile.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,49 +12,50 @@
 use crate::clock::Time;
 use crate::member::replica::Incarnation;
 
-/// Longest rest that a replica is believed to mean.
-const REST_MAX: Duration = Duration::from_secs(600);
+/// Longest backoff that a notice may ask for.
+const BACKOFF_MAX: Duration = Duration::from_secs(600);
 
-/// How long it is remembered what a life wanted that is not listed any more: its entry may lapse and come back.
-const REMEMBERED: Duration = Duration::from_secs(900);
+/// How long the suspension of an instance that is no longer listed is kept, since its list entry
+/// may expire and come back.
+const RETENTION: Duration = Duration::from_secs(900);
 
-/// The header by which the process beside a replica tells why it did not send a request on, as [`Notice`].
+/// Header by which a sidecar tells why it did not forward a request, as [`Notice`].
 pub const HEADER: &str = "pumicelatch-run-notice";
 
-/// What the head of a replica's answer tells.
+/// Notice in the head of a replica's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Notice {
-    /// It leaves: it finishes what it has, and wants nothing more in this life.
+    /// The replica is leaving: it finishes its requests and takes no more as this instance.
     pub leaving: bool,
-    /// It turned the request away, and wants nothing for so long.
+    /// The replica turned the request away and takes none for this time.
     pub backoff: Option<Duration>,
 }
 
 impl Notice {
-    /// The notice of a replica that leaves if `leaving`, and wants `rest_s` seconds of rest. A time that is none is no
-    /// wish for rest, and one beyond all reason counts as ten minutes.
-    pub fn new(leaving: bool, rest_s: Option<f64>) -> Self {
-        let wanted = rest_s.filter(|seconds| seconds.is_finite() && *seconds > 0.0);
-        let rest = wanted.map(|seconds| seconds.min(REST_MAX.as_secs_f64()));
+    /// Creates a notice. `backoff_s` is ignored unless it is a positive finite number of seconds,
+    /// and is limited to ten minutes.
+    pub fn new(leaving: bool, backoff_s: Option<f64>) -> Self {
+        let requested = backoff_s.filter(|seconds| seconds.is_finite() && *seconds > 0.0);
+        let backoff = requested.map(|seconds| seconds.min(BACKOFF_MAX.as_secs_f64()));
         Self {
             leaving,
-            backoff: rest.map(Duration::from_secs_f64),
+            backoff: backoff.map(Duration::from_secs_f64),
         }
     }
 
-    /// The value of [`HEADER`], read; empty if it is none.
+    /// Parses the value of [`HEADER`]; a malformed value gives an empty notice.
     pub fn parse(value: &str) -> Self {
-        let (leaving, rest) = value.split_once(';').unwrap_or_default();
-        let millis = rest
+        let (leaving, backoff) = value.split_once(';').unwrap_or_default();
+        let millis = backoff
             .strip_prefix("rest-ms=")
-            .and_then(|rest| rest.parse().ok());
+            .and_then(|backoff| backoff.parse().ok());
         Self::new(
             leaving == "leaving",
             millis.map(|millis: u32| f64::from(millis) / 1_000.0),
         )
     }
 
-    /// Whether it tells nothing.
+    /// Whether the notice asks for nothing.
     pub fn is_empty(self) -> bool {
         self == Self::default()
     }
@@ -61,62 +64,68 @@
 impl fmt::Display for Notice {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let leaving = if self.leaving { "leaving" } else { "" };
-        let rest = self.backoff.unwrap_or_default();
-        write!(formatter, "{leaving};rest-ms={}", rest.as_millis())
+        let backoff = self.backoff.unwrap_or_default();
+        write!(formatter, "{leaving};rest-ms={}", backoff.as_millis())
     }
 }
 
-/// What one life of a replica wants, by all that it told.
+/// Combined effect of all notices of one replica instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Suspension {
     leaving: bool,
-    rests_until: Time,
+    backoff_until: Time,
 }
 
 impl Suspension {
-    /// It told `notice` at `now`. A shorter rest does not end a longer one. Returns whether that is news.
+    /// Applies a notice received at `now`. A shorter backoff does not end a longer one. Returns
+    /// whether anything changed.
     pub fn apply(&mut self, notice: Notice, now: Time) -> bool {
         let before = *self;
         self.leaving |= notice.leaving;
-        let until = notice.backoff.map_or(self.rests_until, |rest| now + rest);
-        self.rests_until = self.rests_until.max(until);
+        let until = notice
+            .backoff
+            .map_or(self.backoff_until, |backoff| now + backoff);
+        self.backoff_until = self.backoff_until.max(until);
         *self != before
     }
 
-    /// Whether it wants nothing more in this life.
+    /// Whether the instance takes no more requests.
     pub fn leaving(&self) -> bool {
         self.leaving
     }
 
-    /// For how long it still wants nothing.
+    /// Time until the backoff ends.
     pub fn backoff(&self, now: Time) -> Duration {
-        self.rests_until.since(now)
+        self.backoff_until.since(now)
     }
 
-    /// Whether it is to get nothing now.
+    /// Whether the replica must not receive requests now.
     pub fn rejects(&self, now: Time) -> bool {
         self.leaving || !self.backoff(now).is_zero()
     }
 
-    /// What others are told of it now.
+    /// The notice that passes on the current state to others.
     pub fn notice(&self, now: Time) -> Notice {
         Notice::new(self.leaving, Some(self.backoff(now).as_secs_f64()))
     }
 }
 
-/// What lives of replicas want, listed or not.
+/// Suspensions by replica instance, listed or not.
 #[derive(Debug, Default)]
 pub struct Suspensions(BTreeMap<Incarnation, (Suspension, Time)>);
 
 impl Suspensions {
-    /// The life `life` wants so now.
-    pub fn remember(&mut self, life: Incarnation, wish: Suspension, now: Time) {
-        self.0.retain(|_, (_, at)| now.since(*at) < REMEMBERED);
-        self.0.insert(life, (wish, now));
+    /// Stores the suspension of an instance, and drops expired ones.
+    pub fn insert(&mut self, instance: Incarnation, suspension: Suspension, now: Time) {
+        self.0.retain(|_, (_, at)| now.since(*at) < RETENTION);
+        self.0.insert(instance, (suspension, now));
     }
 
-    /// What the life `life` wants, as far as is remembered.
-    pub fn of(&self, life: &Incarnation) -> Suspension {
-        self.0.get(life).map(|(wish, _)| *wish).unwrap_or_default()
+    /// Returns the stored suspension of an instance, or an empty one.
+    pub fn get(&self, instance: &Incarnation) -> Suspension {
+        self.0
+            .get(instance)
+            .map(|(suspension, _)| *suspension)
+            .unwrap_or_default()
     }
 }
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -1,8 +1,8 @@
-//! The replicas that an entry knows by the platform's list, and the choice among them.
+//! Replicas that an entry knows from the platform's replica list, and the choice among them.
 //!
-//! Who may take a request at all is strict: listed, not leaving, of a version that is allowed.
-//! Among those, the time to the first event is estimated from the last report and from what this
-//! entry has sent since, and the shortest wins, with a handicap for other halls.
+//! Eligibility is a hard constraint: listed, not leaving, and of an allowed version. Among the
+//! eligible replicas, the time to the first event is estimated from the last report and from what
+//! this entry has sent since. The shortest time wins, with a penalty for other halls.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -24,128 +24,132 @@
 use crate::policy::Policy;
 use crate::wire::sync::ReplicaStatus;
 
-mod life;
+mod instance;
 
 slotmap::new_key_type! {
     /// A replica in a [`Pool`].
     pub struct Key;
 }
 
-/// Service time of a plain service before any was measured.
-const USUAL_UNKNOWN: Duration = Duration::from_millis(50);
+/// Response time assumed for a plain service before the first measurement.
+const DEFAULT_LATENCY: Duration = Duration::from_millis(50);
 
-/// A replica whose first events come later than estimated by more than this may stand behind a
-/// link that holds everything up, the end of a request included.
-const LATE_MAX: Duration = Duration::from_millis(100);
+/// A replica whose first events lag behind their estimates by more than this may be behind a link
+/// that delays everything, the end of a request included.
+const LAG_MAX: Duration = Duration::from_millis(100);
 
-/// Such a replica gets nothing that early before the bound of its version.
-const LATE_MARGIN: Duration = Duration::from_millis(1_600);
+/// Such a replica gets no request that would start less than this before its version's cutoff.
+const LAG_MARGIN: Duration = Duration::from_millis(1_600);
 
-/// Nor so many times its delay before: a request takes so long to come there, and so does its end.
-const LATE_FACTOR: u32 = 2;
+/// Nor one that would start less than this many times its delay before: the request arrives that
+/// much later, and so does its end.
+const LAG_MARGIN_FACTOR: u32 = 2;
 
-/// Most that a link's delay counts in estimates: it is known from other exchanges than requests.
-const LINK_DELAY_COUNTED: Duration = Duration::from_millis(250);
+/// Largest link delay that enters an estimate, since it is derived from exchanges other than
+/// requests.
+const LINK_DELAY_MAX: Duration = Duration::from_millis(250);
 
-/// A request that outlasts its replica's next change of version costs this part of the excess.
-const OVERRUN: u32 = 2;
+/// A request that would outlast its replica's next version change costs one part in this many of
+/// the excess.
+const OVERRUN_DIVISOR: u32 = 2;
 
-/// One denied replica in this many shows that the list is behind; single ones are replaced.
-const DENIED_PART: u32 = 3;
+/// One invalidated replica in this many shows that the list is out of date. Fewer are taken for
+/// replaced replicas.
+const INVALIDATED_DIVISOR: u32 = 3;
 
-/// Prompts of usual length that an engine with a place free may have to read yet.
-const LIGHT_PROMPTS: f64 = 1.0;
+/// Prompts of mean length that an engine with a free slot may still have to prefill.
+const IMMEDIATE_PROMPTS: f64 = 1.0;
 
-/// The model that a request needs.
+/// Model and versions that a request needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ModelQuery<'a> {
-    /// The model.
+    /// Name of the model.
     pub model: &'a str,
-    /// The oldest version that will do.
+    /// The oldest acceptable version.
     pub min_version: u64,
-    /// The only version that will do, if a begun answer is to be taken up.
+    /// The only acceptable version, if the request resumes an answer that has begun.
     pub pinned_version: Option<u64>,
 }
 
-/// What is asked for.
+/// Constraints and size of a request that needs a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct Query<'a> {
-    /// The service.
+    /// The requested service.
     pub service: &'a str,
     /// The model, if the service serves models.
     pub model: Option<ModelQuery<'a>>,
-    /// The engine's figures.
+    /// The engine's figures, if the service has an engine.
     pub engine: Option<&'a Engine>,
-    /// What the request asks of it.
+    /// The request's size.
     pub demand: Demand,
-    /// Replicas that were tried already.
+    /// Replicas that were already tried.
     pub tried: &'a [Key],
-    /// Replicas that have no place, by their own word.
+    /// Replicas that reported that they have no free slot.
     pub full: &'a [Key],
     /// Connections that this entry may have to one replica.
     pub connections_max: u32,
     /// Where the request may be served.
     pub residency: &'a Residency,
-    /// The regions of halls.
+    /// Region of each hall.
     pub regions: &'a Regions,
-    /// Requests a second that this entry may send to a replica that is cold; 0 if there is no bound.
+    /// Requests per second that this entry may send to a cold replica; 0 for no limit.
     pub cold_per_s: f64,
 }
 
-/// A replica that was chosen.
+/// The result of a choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// The replica.
+    /// The chosen replica.
     pub key: Key,
-    /// When its first event (or answer) is expected.
+    /// Expected time until the first event, or until the response of a plain service.
     pub expected: Duration,
-    /// Requests that it had, as far as is known.
+    /// Requests that the replica had already, as far as is known.
     pub requests: u32,
 }
 
-/// Limits of the estimates that replicas' processes make.
+/// Limits within which a sidecar has to expect the first event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// That of a place at once.
+    /// Limit for a lease on a free slot.
     pub immediate: Duration,
-    /// That of a place in a queue.
+    /// Limit for a lease on a place in the queue.
     pub queued: Duration,
 }
 
 /// Why no replica can be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Unavailable {
-    /// The list shows none for the service.
+    /// None is listed for the service.
     #[error("no replica is listed")]
     NoneListed,
-    /// None stands in a region where the request may be served, and in a hall that is not evacuated.
-    #[error("no replica stands where the request may be served")]
+    /// None is in an allowed region and in a hall that is not evacuated.
+    #[error("no replica is in an allowed region and outside evacuated halls")]
     NoneAllowed,
-    /// All are leaving, or hold no weights that are allowed.
-    #[error("no replica is fit")]
+    /// All are leaving, invalidated or dead, or hold no allowed version.
+    #[error("no replica is eligible")]
     NoneEligible,
-    /// All that are fit are cold, and bear no more at the moment.
-    #[error("all replicas are cold and bear no more")]
+    /// All eligible replicas are cold and at their rate limit.
+    #[error("all eligible replicas are cold and at their rate limit")]
     Cold,
-    /// All that are fit asked for rest.
-    #[error("all replicas asked for rest, the first for {} ms more", remaining.as_millis())]
+    /// All eligible replicas asked for a backoff.
+    #[error("all eligible replicas are backing off, the first for {} ms more", remaining.as_millis())]
     BackingOff {
-        /// Until the first of them takes requests again.
+        /// Time until the first of them takes requests again.
         remaining: Duration,
     },
-    /// All that are fit were tried.
-    #[error("all replicas were tried")]
+    /// All eligible replicas were tried.
+    #[error("all eligible replicas were tried")]
     AllTried,
-    /// This entry has as many connections as it may.
-    #[error("no connection is free")]
+    /// This entry has the maximum number of connections to each of them.
+    #[error("all connections to the eligible replicas are in use")]
     Connections,
 }
 
-/// How much earlier than its version's bound a replica's last request has to be expected to start.
+/// How long before its version's cutoff a replica's last request has to be expected to start.
 fn start_margin(replica: &Replica, now: Time) -> Duration {
-    let late = replica.late(now).max(replica.link_delay(now));
-    if late > LATE_MAX {
-        LATE_MARGIN.max(late * LATE_FACTOR)
+    let delay = replica.lag(now).max(replica.link_delay(now));
+    if delay > LAG_MAX {
+        LAG_MARGIN.max(delay * LAG_MARGIN_FACTOR)
     } else {
         Duration::ZERO
     }
@@ -162,13 +166,13 @@
     addresses: BTreeMap<SocketAddr, Vec<Key>>,
     corrections: BTreeMap<Arc<str>, Correction>,
     evacuated: BTreeSet<Arc<str>>,
-    reborn: Vec<SocketAddr>,
-    wishes: Suspensions,
-    begun: u64,
+    restarted: Vec<SocketAddr>,
+    suspensions: Suspensions,
+    requests_begun: u64,
 }
 
 impl Pool {
-    /// An empty pool of an entry in `own_hall`.
+    /// Creates an empty pool for an entry in `own_hall`.
     pub fn new(own_hall: Arc<str>, policy: Policy) -> Self {
         Self {
             own_hall,
@@ -177,14 +181,14 @@
         }
     }
 
-    /// When a request that is sent now has to have started at a replica, if it is about to change
-    /// its version.
+    /// Time by which a request sent now has to have started at the replica, if the replica is about
+    /// to change its version.
     pub fn start_deadline(&self, key: Key, model: &str, now: Time) -> Option<Time> {
         let replica = self.replicas.get(key)?;
-        replica.change(model, now).map(|due| due.bound)
+        replica.change(model, now).map(|change| change.cutoff)
     }
 
-    /// One replica.
+    /// Returns a replica by its key.
     pub fn get(&self, key: Key) -> Option<&Replica> {
         self.replicas.get(key)
     }
@@ -194,33 +198,35 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// How the replicas of `hall` do, by reports that are fresh.
+    /// Fresh reports of the replicas in `hall`.
     pub fn reports(&self, hall: &str, now: Time) -> Vec<ReplicaStatus> {
         self.reports_since(hall, Time::default(), now)
     }
 
-    /// How those replicas of `hall` do that began or ended to take requests after `since`, by reports
-    /// that are fresh.
+    /// Fresh reports of those replicas in `hall` that began or stopped taking requests after
+    /// `since`.
     pub fn reports_since(&self, hall: &str, since: Time, now: Time) -> Vec<ReplicaStatus> {
-        let turned = self.of_hall(hall);
-        let turned = turned.filter(|replica| replica.turned_at() > since);
-        let told = turned.filter_map(|replica| {
-            let (load, at) = replica.reported(now)?;
+        let replicas = self.of_hall(hall);
+        let replicas = replicas.filter(|replica| replica.availability_changed_at() > since);
+        let reports = replicas.filter_map(|replica| {
+            let (load, at) = replica.fresh_report(now)?;
             Some(ReplicaStatus {
                 address: replica.record.address,
                 load: load.clone(),
                 age_ms: now.since(at).as_millis() as u64,
             })
         });
-        told.collect()
+        reports.collect()
     }
 
-    /// When the last replica of `hall` began or ended to take requests, by its reports.
+    /// When a replica of `hall` last began or stopped taking requests, by its reports.
     pub fn last_availability_change(&self, hall: &str) -> Option<Time> {
-        self.of_hall(hall).map(Replica::turned_at).max()
+        self.of_hall(hall)
+            .map(Replica::availability_changed_at)
+            .max()
     }
 
-    /// The halls that replicas stand in.
+    /// Halls that have replicas.
     pub fn halls(&self) -> BTreeSet<Arc<str>> {
         let replicas = self.replicas.values();
         replicas
@@ -233,412 +239,437 @@
         replicas.filter(move |replica| *replica.record.hall == *hall)
     }
 
-    /// The hosts of a hall's model replicas without a fresh report.
+    /// Hosts of the model replicas in `hall` without a fresh report.
     pub fn unreported_hosts(&self, hall: &str, now: Time) -> Vec<IpAddr> {
-        let silent = self
-            .of_hall(hall)
-            .filter(|replica| !replica.record.models.is_empty() && replica.reported(now).is_none());
+        let silent = self.of_hall(hall).filter(|replica| {
+            !replica.record.models.is_empty() && replica.fresh_report(now).is_none()
+        });
         let mut hosts: Vec<IpAddr> = silent.map(|replica| replica.record.address.ip()).collect();
         hosts.sort_unstable();
         hosts.dedup();
         hosts
     }
 
-    /// The process beside a replica did not answer; with `silent`, its link may be held up.
+    /// Records that a replica's sidecar did not answer. With `silent`, its link may be delayed.
     pub fn mark_unresponsive(&mut self, key: Key, silent: bool, now: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.unheard(silent, now);
+            replica.mark_unresponsive(silent, now);
         }
     }
 
-    /// Whether a replica has a queue, which explains that it is silent.
+    /// Whether a replica has a queue, which explains a missing event.
     pub fn has_queue(&self, key: Key, now: Time) -> bool {
         self.replicas
             .get(key)
-            .is_some_and(|replica| replica.queues(now))
+            .is_some_and(|replica| replica.has_queue(now))
     }
 
-    /// Whether the process beside a replica is to be asked for a place.
+    /// Whether to ask the replica's sidecar for a lease.
     pub fn grants_leases(&self, key: Key, now: Time) -> bool {
         self.replicas
             .get(key)
-            .is_some_and(|replica| replica.gives_places(now))
+            .is_some_and(|replica| replica.grants_leases(now))
     }
 
-    /// The replicas of `halls` are to get nothing more, and those of no others.
+    /// Sets the evacuated halls, whose replicas get no more requests. Replaces the previous set.
     pub fn set_evacuated(&mut self, halls: BTreeSet<Arc<str>>) {
         self.evacuated = halls;
     }
 
-    /// Takes how long replicas say that they are cold.
+    /// Applies the remaining cold time that the list shows for each replica.
     pub fn refresh_cold(&mut self, now: Time) {
         for replica in self.replicas.values_mut() {
-            replica.tell_cold(now);
+            replica.refresh_cold(now);
         }
     }
 
-    /// The process beside a cold replica has dealt out what that bears.
+    /// Records that the sidecar of a cold replica has granted all that the replica can take for
+    /// now.
     pub fn mark_cold_exhausted(&mut self, key: Key, now: Time) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.dealt_out(now);
+            replica.mark_cold_exhausted(now);
         }
     }
 
-    /// Takes a request to the replica `key` from this entry's part of what it bears while it is cold,
-    /// `per_s` a second, if it may be sent.
+    /// Takes a token from this entry's share of a cold replica's rate, `per_s` per second. Returns
+    /// whether the request may be sent; always true if the replica is not cold.
     pub fn take_cold_token(&mut self, key: Key, per_s: f64, now: Time) -> bool {
         let replica = self.replicas.get_mut(key);
-        replica.is_none_or(|replica| replica.take_cold(per_s, now))
+        replica.is_none_or(|replica| replica.take_cold_token(per_s, now))
     }
 
-    /// A replica is not the one that is listed any more: nothing more goes there.
+    /// Marks a replica as not being the listed one any more. It gets no more requests.
     pub fn invalidate(&mut self, key: Key) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.denied = true;
+            replica.invalidated = true;
         }
     }
 
-    /// The replica `key` told `notice`, in its life `life`. Returns whether that is news.
+    /// Applies a notice that the replica `key` sent as `instance`. Returns whether it changed
+    /// anything.
     pub fn apply_notice(
         &mut self,
         key: Key,
-        life: &Incarnation,
+        instance: &Incarnation,
         notice: Notice,
         now: Time,
     ) -> bool {
         if notice.is_empty() {
             return false;
         }
-        let mut wish = self.wishes.of(life);
-        let news = wish.apply(notice, now);
-        self.wishes.remember(life.clone(), wish, now);
+        let mut suspension = self.suspensions.get(instance);
+        let changed = suspension.apply(notice, now);
+        self.suspensions.insert(instance.clone(), suspension, now);
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.wish.apply(notice, now);
+            replica.suspension.apply(notice, now);
         }
-        news
+        changed
     }
 
-    /// For how long nothing can be served because all replicas that are fit asked for rest, if they did.
-    pub fn backoff(&self, ask: Query<'_>, now: Time) -> Option<Duration> {
-        let able = self
-            .by_service(ask.service)
+    /// Time until the first eligible replica ends its backoff, if all of them are backing off.
+    pub fn backoff(&self, query: Query<'_>, now: Time) -> Option<Duration> {
+        let eligible = self
+            .by_service(query.service)
             .iter()
             .map(|&key| &self.replicas[key]);
-        let able = able.filter(|replica| self.there(replica, ask) && self.able(replica, ask, now));
-        let rest = able.map(|replica| replica.wish.backoff(now)).min()?;
-        (!rest.is_zero()).then_some(rest)
+        let eligible = eligible.filter(|replica| {
+            self.location_allowed(replica, query) && self.eligible(replica, query, now)
+        });
+        let backoff = eligible
+            .map(|replica| replica.suspension.backoff(now))
+            .min()?;
+        (!backoff.is_zero()).then_some(backoff)
     }
 
     /// Chooses a replica.
     pub fn choose(
         &self,
-        ask: Query<'_>,
+        query: Query<'_>,
         now: Time,
         rng: &mut impl Rng,
     ) -> Result<Choice, Unavailable> {
-        let listed = self.by_service(ask.service);
+        let listed = self.by_service(query.service);
         if listed.is_empty() {
             return Err(Unavailable::NoneListed);
         }
-        let there: Vec<Key> = listed
+        let allowed: Vec<Key> = listed
             .iter()
             .copied()
-            .filter(|&key| self.there(&self.replicas[key], ask))
+            .filter(|&key| self.location_allowed(&self.replicas[key], query))
             .collect();
-        if there.is_empty() {
+        if allowed.is_empty() {
             return Err(Unavailable::NoneAllowed);
         }
-        let fit: Vec<Key> = there
+        let selectable: Vec<Key> = allowed
             .into_iter()
-            .filter(|&key| self.able(&self.replicas[key], ask, now))
+            .filter(|&key| self.eligible(&self.replicas[key], query, now))
             .collect();
-        if fit.is_empty() {
+        if selectable.is_empty() {
             return Err(Unavailable::NoneEligible);
         }
-        let fit: Vec<Key> = fit
+        let selectable: Vec<Key> = selectable
             .into_iter()
-            .filter(|&key| self.replicas[key].bears(ask.cold_per_s, now))
+            .filter(|&key| self.replicas[key].cold_permits(query.cold_per_s, now))
             .collect();
-        if fit.is_empty() {
+        if selectable.is_empty() {
             return Err(Unavailable::Cold);
         }
-        let first = fit
+        let first = selectable
             .iter()
-            .map(|&key| self.replicas[key].wish.backoff(now))
+            .map(|&key| self.replicas[key].suspension.backoff(now))
             .min();
-        let fit: Vec<Key> = fit
+        let selectable: Vec<Key> = selectable
             .into_iter()
-            .filter(|&key| !self.replicas[key].wish.rejects(now))
+            .filter(|&key| !self.replicas[key].suspension.rejects(now))
             .collect();
-        if fit.is_empty() {
-            let rest = first.unwrap_or_default();
-            return Err(Unavailable::BackingOff { remaining: rest });
+        if selectable.is_empty() {
+            let remaining = first.unwrap_or_default();
+            return Err(Unavailable::BackingOff { remaining });
         }
-        let untried: Vec<Key> = fit
+        let untried: Vec<Key> = selectable
             .into_iter()
-            .filter(|key| !ask.tried.contains(key))
+            .filter(|key| !query.tried.contains(key))
             .collect();
         if untried.is_empty() {
             return Err(Unavailable::AllTried);
         }
         let connected: Vec<Key> = untried
             .into_iter()
-            .filter(|&key| self.replicas[key].own() < ask.connections_max)
+            .filter(|&key| self.replicas[key].own_requests() < query.connections_max)
             .collect();
         if connected.is_empty() {
             return Err(Unavailable::Connections);
         }
-        let well: Vec<Key> = connected
+        let not_paused: Vec<Key> = connected
             .iter()
             .copied()
             .filter(|&key| !self.replicas[key].health.paused(now))
             .collect();
-        // When all are paused, one of them is better than none.
-        let candidates = if well.is_empty() { connected } else { well };
-        let open: Vec<Key> = candidates
+        // If all are paused, one of them is better than none.
+        let candidates = if not_paused.is_empty() {
+            connected
+        } else {
+            not_paused
+        };
+        let with_free_slot: Vec<Key> = candidates
             .iter()
             .copied()
-            .filter(|key| !ask.full.contains(key))
+            .filter(|key| !query.full.contains(key))
             .collect();
-        // The least full one is better than none.
-        let candidates = if open.is_empty() { candidates } else { open };
-        self.cheapest(&candidates, ask, now, rng)
+        // If none has a free slot, the cheapest is better than none.
+        let candidates = if with_free_slot.is_empty() {
+            candidates
+        } else {
+            with_free_slot
+        };
+        self.cheapest(&candidates, query, now, rng)
             .ok_or(Unavailable::NoneEligible)
     }
 
-    /// Whether a replica stands where the request may be served.
-    fn there(&self, replica: &Replica, ask: Query<'_>) -> bool {
+    /// Whether a replica is in an allowed region and its hall is not evacuated.
+    fn location_allowed(&self, replica: &Replica, query: Query<'_>) -> bool {
         let hall = &replica.record.hall;
-        !self.evacuated.contains(hall) && ask.residency.allows(ask.regions.get(hall))
+        !self.evacuated.contains(hall) && query.residency.allows(query.regions.get(hall))
     }
 
-    fn fit(&self, replica: &Replica, ask: Query<'_>, now: Time) -> bool {
-        let rests = replica.wish.rejects(now);
-        !rests && self.there(replica, ask) && self.able(replica, ask, now)
+    fn selectable(&self, replica: &Replica, query: Query<'_>, now: Time) -> bool {
+        let is_suspended = replica.suspension.rejects(now);
+        !is_suspended && self.location_allowed(replica, query) && self.eligible(replica, query, now)
     }
 
-    /// Whether a replica takes the request, wherever it stands.
-    fn able(&self, replica: &Replica, ask: Query<'_>, now: Time) -> bool {
-        let leaving = replica.record.leaving || replica.wish.leaving();
-        if leaving || replica.denied || replica.dead(now) {
+    /// Whether a replica can take the request, regardless of its location.
+    fn eligible(&self, replica: &Replica, query: Query<'_>, now: Time) -> bool {
+        let leaving = replica.record.leaving || replica.suspension.leaving();
+        if leaving || replica.invalidated || replica.is_dead(now) {
             return false;
         }
-        let Some(need) = ask.model else {
+        let Some(wanted_model) = query.model else {
             return true;
         };
-        let Some(version) = replica.version(need.model, now) else {
+        let Some(version) = replica.version(wanted_model.model, now) else {
             return false;
         };
-        let wanted =
-            version >= need.min_version && need.pinned_version.is_none_or(|only| only == version);
-        // What waits there too long would start on a version that is not allowed any more.
-        let starts = || now + self.expected(replica, ask, now);
-        let change = replica.change(need.model, now);
-        wanted && change.is_none_or(|change| starts() + start_margin(replica, now) < change.bound)
+        let wanted = version >= wanted_model.min_version
+            && wanted_model
+                .pinned_version
+                .is_none_or(|only| only == version);
+        // A request that waits there too long would start on a version that is no longer allowed.
+        let expected_start = || now + self.expected(replica, query, now);
+        let change = replica.change(wanted_model.model, now);
+        wanted
+            && change
+                .is_none_or(|change| expected_start() + start_margin(replica, now) < change.cutoff)
     }
 
     fn cheapest(
         &self,
         candidates: &[Key],
-        ask: Query<'_>,
+        query: Query<'_>,
         now: Time,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
         let costs: Vec<(Duration, Key)> = candidates
             .iter()
-            .map(|&key| (self.cost(&self.replicas[key], ask, now), key))
+            .map(|&key| (self.cost(&self.replicas[key], query, now), key))
             .collect();
         let least = costs.iter().map(|(cost, _)| *cost).min()?;
-        let near: Vec<&(Duration, Key)> = costs
+        let near_best: Vec<&(Duration, Key)> = costs
             .iter()
             .filter(|(cost, _)| *cost <= least + self.policy.cost_tolerance)
             .collect();
-        // The better of two at random: all entries see the same reports, and would all choose the
-        // best.
-        let drawn = [(); 2].map(|()| near[rng.random_range(0..near.len())]);
-        let (_, key) = **drawn.iter().min_by_key(|(cost, _)| *cost)?;
+        // Chooses the better of two at random. All entries see the same reports and would otherwise
+        // all choose the same replica.
+        let sampled = [(); 2].map(|()| near_best[rng.random_range(0..near_best.len())]);
+        let (_, key) = **sampled.iter().min_by_key(|(cost, _)| *cost)?;
         let replica = &self.replicas[key];
         Some(Choice {
             key,
-            expected: self.expected(replica, ask, now),
+            expected: self.expected(replica, query, now),
             requests: replica.requests(now),
         })
     }
 
-    /// When the first event is expected of a request that is sent to the replica `key` now, if it may
-    /// be sent there.
-    pub fn estimate(&self, key: Key, ask: Query<'_>, now: Time) -> Option<Choice> {
+    /// Estimates the first event of a request sent to the replica `key` now, if it may be sent
+    /// there.
+    pub fn estimate(&self, key: Key, query: Query<'_>, now: Time) -> Option<Choice> {
         let replica = self.replicas.get(key)?;
-        self.fit(replica, ask, now).then(|| Choice {
+        self.selectable(replica, query, now).then(|| Choice {
             key,
-            expected: self.expected(replica, ask, now),
+            expected: self.expected(replica, query, now),
             requests: replica.requests(now),
         })
     }
 
-    /// The limits within which a replica's process, which knows its engine's load only, is to expect
-    /// a first event so that it comes within `limit`: what is known of its link and of the engine's
-    /// figures is left out. The tight one is that of an engine with a place free and little to read.
-    pub fn limits(&self, key: Key, ask: Query<'_>, limit: Duration, now: Time) -> Option<Limits> {
-        let (replica, engine) = (self.replicas.get(key)?, ask.engine?);
-        let late = self.late(replica, now);
-        let whole = self.uncorrected(ask.service, engine, limit.saturating_sub(late));
+    /// Limits for the sidecar of the replica `key`, chosen so that the first event comes within
+    /// `limit`. The sidecar knows only its engine's load, so the known link delay and the
+    /// correction of the engine's figures are taken out. The immediate limit is that of an engine
+    /// with a free slot and little to prefill.
+    pub fn limits(&self, key: Key, query: Query<'_>, limit: Duration, now: Time) -> Option<Limits> {
+        let (replica, engine) = (self.replicas.get(key)?, query.engine?);
+        let delay = self.extra_delay(replica, now);
+        let queued = self.uncorrected(query.service, engine, limit.saturating_sub(delay));
         let light = Backlog {
             requests: engine.slots.saturating_sub(1),
-            prompt_tokens: engine.mean_prompt_tokens * LIGHT_PROMPTS,
+            prompt_tokens: engine.mean_prompt_tokens * IMMEDIATE_PROMPTS,
             pace: 1.0,
         };
         let spread = self.policy.queue_spread;
-        let tight = estimate::first_event(engine, light, ask.demand, spread);
+        let immediate = estimate::first_event(engine, light, query.demand, spread);
         Some(Limits {
-            immediate: tight.min(whole),
-            queued: whole,
+            immediate: immediate.min(queued),
+            queued,
         })
     }
 
-    /// The estimate `told` by the process beside the replica `key`, with what is known here of its link and
-    /// of the engine's figures.
+    /// Corrects the `estimate` of the sidecar of the replica `key` by the known link delay and
+    /// the correction of the engine's figures.
     pub fn corrected_estimate(
         &self,
         key: Key,
-        ask: Query<'_>,
-        told: Duration,
+        query: Query<'_>,
+        estimate: Duration,
         now: Time,
     ) -> Option<Duration> {
-        let (replica, engine) = (self.replicas.get(key)?, ask.engine?);
-        Some(self.corrected(ask.service, engine, told) + self.late(replica, now))
+        let (replica, engine) = (self.replicas.get(key)?, query.engine?);
+        Some(self.corrected(query.service, engine, estimate) + self.extra_delay(replica, now))
     }
 
-    /// The limit on an estimate by the engine's figures, where `limit` is that on the corrected one.
+    /// The limit on an uncorrected estimate that corresponds to `limit` on the corrected one.
     fn uncorrected(&self, service: &str, engine: &Engine, limit: Duration) -> Duration {
         let known = self.corrections.get(service).filter(|_| engine.incomplete);
         known.map_or(limit, |correction| correction.undo(limit))
     }
 
-    fn late(&self, replica: &Replica, now: Time) -> Duration {
-        let held_up = if self.policy.link_delay {
-            replica.link_delay(now).min(LINK_DELAY_COUNTED)
+    fn extra_delay(&self, replica: &Replica, now: Time) -> Duration {
+        let link_delay = if self.policy.link_delay {
+            replica.link_delay(now).min(LINK_DELAY_MAX)
         } else {
             Duration::ZERO
         };
-        replica.late(now).max(held_up)
+        replica.lag(now).max(link_delay)
     }
 
-    fn cost(&self, replica: &Replica, ask: Query<'_>, now: Time) -> Duration {
-        let crowding = self.policy.slot_cost * replica.requests(now);
-        let far = if replica.record.hall == self.own_hall {
+    fn cost(&self, replica: &Replica, query: Query<'_>, now: Time) -> Duration {
+        let slot_cost = self.policy.slot_cost * replica.requests(now);
+        let remote_penalty = if replica.record.hall == self.own_hall {
             Duration::ZERO
         } else {
             self.policy.remote_penalty
         };
-        let expected = self.expected(replica, ask, now);
-        expected + crowding + far + self.overrun(replica, ask, expected, now) / OVERRUN
+        let expected = self.expected(replica, query, now);
+        expected
+            + slot_cost
+            + remote_penalty
+            + self.overrun(replica, query, expected, now) / OVERRUN_DIVISOR
     }
 
-    /// How much longer than until its next change of version a replica would work on a request:
-    /// for so long it would take nothing new.
+    /// How long a request would run beyond the replica's next version change. For that long the
+    /// replica would take no new requests.
     fn overrun(
         &self,
         replica: &Replica,
-        ask: Query<'_>,
+        query: Query<'_>,
         expected: Duration,
         now: Time,
     ) -> Duration {
-        let change = ask.model.and_then(|need| replica.change(need.model, now));
-        let (Some(due), Some(engine)) = (change, ask.engine) else {
+        let change = query
+            .model
+            .and_then(|wanted_model| replica.change(wanted_model.model, now));
+        let (Some(change), Some(engine)) = (change, query.engine) else {
             return Duration::ZERO;
         };
-        if due.at <= now {
-            // Its weights are late, and it changes whenever they come: that says nothing against it, and
-            // the replicas whose time is yet to come cannot carry the work of all others.
+        if change.drain_at <= now {
+            // Its weights are late, and it changes version whenever they arrive. That is no reason
+            // to avoid it: the replicas whose change is still to come cannot carry the load of all
+            // others.
             return Duration::ZERO;
         }
-        let work = self.work(replica, engine, now);
-        let ends = now + expected + estimate::decode(engine, work, ask.demand);
-        ends.since(due.at)
+        let backlog = self.backlog(replica, engine, now);
+        let ends = now + expected + estimate::decode(engine, backlog, query.demand);
+        ends.since(change.drain_at)
     }
 
-    fn work(&self, replica: &Replica, engine: &Engine, now: Time) -> Backlog {
+    fn backlog(&self, replica: &Replica, engine: &Engine, now: Time) -> Backlog {
         Backlog {
             requests: replica.requests(now),
-            prompt_tokens: replica.unread(engine.mean_prompt_tokens, now),
+            prompt_tokens: replica.pending_prompt_tokens(engine.mean_prompt_tokens, now),
             pace: replica.pace(now),
         }
     }
 
-    /// When the first event (or the answer) of a request that is sent now is expected.
-    fn expected(&self, replica: &Replica, ask: Query<'_>, now: Time) -> Duration {
-        let Some(engine) = ask.engine else {
-            let usual = replica.health.latency().unwrap_or(USUAL_UNKNOWN);
+    /// Expected time until the first event, or until the response of a plain service.
+    fn expected(&self, replica: &Replica, query: Query<'_>, now: Time) -> Duration {
+        let Some(engine) = query.engine else {
+            let latency = replica.health.latency().unwrap_or(DEFAULT_LATENCY);
             let slots = replica.record.slots.max(1);
             let waiting = replica.requests(now).saturating_sub(slots - 1);
-            return usual + usual * waiting / slots;
+            return latency + latency * waiting / slots;
         };
-        let work = self.work(replica, engine, now);
+        let backlog = self.backlog(replica, engine, now);
         let spread = self.policy.queue_spread;
-        let first = estimate::first_event(engine, work, ask.demand, spread);
-        let expected = self.corrected(ask.service, engine, first) + self.late(replica, now);
+        let first = estimate::first_event(engine, backlog, query.demand, spread);
+        let expected =
+            self.corrected(query.service, engine, first) + self.extra_delay(replica, now);
         if !replica.switching(now) {
             return expected;
         }
-        // It finishes what runs before it takes anything new.
-        expected + estimate::completion_interval(engine, work.pace) * engine.slots / 2
+        // It finishes its running requests before it takes new ones.
+        expected + estimate::completion_interval(engine, backlog.pace) * engine.slots / 2
     }
 
-    /// The estimate `first` of an engine of `service`, corrected if its figures are guesses.
+    /// Corrects the estimate `first` if the engine's figures are guesses.
     fn corrected(&self, service: &str, engine: &Engine, first: Duration) -> Duration {
         let known = self.corrections.get(service).filter(|_| engine.incomplete);
         known.map_or(first, |correction| correction.apply(first))
     }
 
-    /// Whether a third of a service's replicas or more turned out not to be what the list says: they
-    /// have lost their weights, and the list does not know it yet.
+    /// Whether a third or more of a service's replicas turned out not to be the listed ones: they
+    /// have lost their weights, and the list does not show it yet.
     pub fn mostly_invalidated(&self, service: &str) -> bool {
         let listed = self.by_service(service);
-        let denied = listed.iter().filter(|&&key| self.replicas[key].denied);
-        let denied = denied.count() as u32;
-        denied > 0 && denied * DENIED_PART >= listed.len() as u32
+        let invalidated = listed.iter().filter(|&&key| self.replicas[key].invalidated);
+        let invalidated = invalidated.count() as u32;
+        invalidated > 0 && invalidated * INVALIDATED_DIVISOR >= listed.len() as u32
     }
 
-    /// When weights are expected at the replicas of a service that lack them: at half of those that
-    /// tell how far they are.
+    /// Time until weights are expected at half of the service's replicas that report a transfer of
+    /// missing weights.
     pub fn weights_eta(&self, service: &str, now: Time) -> Option<Duration> {
         let replicas = self
             .by_service(service)
             .iter()
             .map(|&key| &self.replicas[key]);
         let mut arrivals: Vec<Duration> = replicas
-            .filter_map(|replica| replica.arrival(now))
+            .filter_map(|replica| replica.weights_eta(now))
             .collect();
         arrivals.sort_unstable();
         arrivals.get(arrivals.len() / 2).copied()
     }
 
-    /// Taken places of a service's fit replicas, and all of them.
-    pub fn occupancy(&self, ask: Query<'_>, now: Time) -> (u32, u32) {
-        let fit = self
-            .by_service(ask.service)
+    /// Taken slots and all slots of a service's selectable replicas.
+    pub fn occupancy(&self, query: Query<'_>, now: Time) -> (u32, u32) {
+        let selectable = self
+            .by_service(query.service)
             .iter()
             .map(|&key| &self.replicas[key]);
-        fit.filter(|replica| self.fit(replica, ask, now)).fold(
-            (0, 0),
-            |(taken, places), replica| {
+        selectable
+            .filter(|replica| self.selectable(replica, query, now))
+            .fold((0, 0), |(taken, total), replica| {
                 let slots = replica.record.slots;
-                (taken + replica.requests(now).min(slots), places + slots)
-            },
-        )
+                (taken + replica.requests(now).min(slots), total + slots)
+            })
     }
 
-    /// A request was sent to a replica. Returns the number by which its start is told.
+    /// Records that a request was sent to a replica. Returns the number that identifies it.
     pub fn begin(&mut self, key: Key, demand: Demand, expected: Duration, now: Time) -> u64 {
-        self.begun += 1;
+        self.requests_begun += 1;
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.begin(self.begun, demand, now, now + expected);
+            replica.begin(self.requests_begun, demand, now, now + expected);
         }
-        self.begun
+        self.requests_begun
     }
 
-    /// A request's first event came; `false` if it ended without one.
+    /// Records a request's first event, or with `came` false that it ended without one.
     pub fn record_first_event(
         &mut self,
         key: Key,
@@ -650,7 +681,7 @@
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        if let Some((expected, took)) = replica.started(number, demand, came, now) {
+        if let Some((expected, took)) = replica.record_first_event(number, demand, came, now) {
             let service = replica.record.service.clone();
             self.corrections
                 .entry(service)
@@ -659,37 +690,39 @@
         }
     }
 
-    /// A request at a replica ended.
+    /// Records that a request at a replica ended.
     pub fn end(&mut self, key: Key, number: u64) {
         if let Some(replica) = self.replicas.get_mut(key) {
             replica.end(number);
         }
     }
 
-    /// Replicas that a report has come of.
+    /// Number of replicas with a fresh report.
     pub fn reporting(&self, now: Time) -> usize {
         let replicas = self.replicas.values();
-        let reported = replicas.filter_map(|replica| replica.reported(now));
-        reported.count()
+        let fresh_report = replicas.filter_map(|replica| replica.fresh_report(now));
+        fresh_report.count()
     }
 
-    /// Attempts of this entry that have not ended.
+    /// Attempts of this entry in flight.
     pub fn in_flight(&self) -> u32 {
         let replicas = self.replicas.values();
-        replicas.map(|replica| replica.under_way()).sum()
+        replicas.map(|replica| replica.in_flight()).sum()
     }
 
-    /// Something was learned of a replica's health.
-    pub fn record_health(&mut self, key: Key, sign: Signal, now: Time) {
+    /// Records a signal about a replica's health.
+    pub fn record_health(&mut self, key: Key, signal: Signal, now: Time) {
         let Some(replica) = self.replicas.get(key) else {
             return;
         };
-        let fellows = self.fellows_rate(key, &replica.record.service);
-        self.replicas[key].health.record(sign, fellows, now);
+        let peer_failure_rate = self.peer_failure_rate(key, &replica.record.service);
+        self.replicas[key]
+            .health
+            .record(signal, peer_failure_rate, now);
     }
 
-    /// Rate of failures of a service's other replicas: the middle one of theirs.
-    fn fellows_rate(&self, key: Key, service: &str) -> f64 {
+    /// Failure rate of a service's other replicas: their median.
+    fn peer_failure_rate(&self, key: Key, service: &str) -> f64 {
         let mut rates: Vec<f64> = self
             .by_service(service)
             .iter()
--- a/src/route/replica.rs
+++ b/src/route/replica.rs
@@ -1,4 +1,5 @@
-//! One replica as an entry knows it: what the list and reports say, and what this entry sent there.
+//! One replica as an entry knows it, from the replica list, from reports, and from the entry's own
+//! requests.
 
 use std::time::Duration;
 
@@ -13,125 +14,127 @@
 use crate::member::replica::{self, LoadedModel, Record};
 use crate::version::ACTIVATION_TIME;
 
-/// A report older than this says nothing of the load any more.
-const STALE: Duration = Duration::from_millis(3_000);
+/// A report older than this no longer counts.
+const REPORT_STALE_AFTER: Duration = Duration::from_millis(3_000);
 
-/// Greatest age of a report of a process in reach: it reports each second, another hall is asked
-/// and a hall is told each half.
+/// Oldest report to expect from a reachable sidecar: it reports every second, and halls are polled
+/// and notified every half second.
 const REPORT_AGE_MAX: Duration = Duration::from_millis(2_100);
 
-/// Longest round trip over a link that weights are drawn through, but that is not held up.
-const ROUND_TRIP_USUAL: Duration = Duration::from_millis(80);
+/// Longest normal round trip over a link that transfers weights without being delayed.
+const ROUND_TRIP_NORMAL_MAX: Duration = Duration::from_millis(80);
 
-/// How long a process that did not answer is not asked again: as long as it may take to report.
-const UNHEARD: Duration = Duration::from_millis(1_000);
+/// How long an unresponsive sidecar is not asked again: the time that it may take to report.
+const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Delay of a link over which a process did not answer a question in time.
-const UNHEARD_DELAY: Duration = Duration::from_millis(250);
+/// Assumed delay of a link over which a sidecar did not answer in time.
+const UNRESPONSIVE_DELAY: Duration = Duration::from_millis(250);
 
-/// How long a cold replica is passed over whose process has dealt out what it bears. At 14 to 26 requests a
-/// second the next one is allowed after 40 to 70 ms.
-const DEALS_AGAIN: Duration = Duration::from_millis(50);
+/// How long a cold replica is skipped after its sidecar has granted all that it can take. At 14 to
+/// 26 requests per second, the next one is allowed after 40 to 70 ms.
+const COLD_EXHAUSTED_PAUSE: Duration = Duration::from_millis(50);
 
-/// Time in which what is known of a replica's lag loses half of its weight.
-const LAG_HALF: Duration = Duration::from_millis(1_500);
+/// Time in which the known lag of a replica decays by half.
+const LAG_HALF_LIFE: Duration = Duration::from_millis(1_500);
 
-/// Weight of the newest lag: one in this many.
-const LAG_SMOOTHING: u32 = 4;
+/// The newest lag enters the moving average with a weight of one in this many.
+const LAG_SMOOTHING_DIVISOR: u32 = 4;
 
-/// What the process beside a replica reports of it.
+/// State that a sidecar reports of its replica.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Load {
-    /// The life of the replica that it is about, as [`Record::born`]; 0 if it does not tell.
+    /// Instance of the replica that the report is about, as [`Record::born`]; 0 if unknown.
     pub born: u64,
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests in the queue.
     pub queued: u32,
-    /// Factor on the replica's times; above 1 it is slow.
+    /// Factor on the replica's times; slow above 1.
     pub pace: f64,
-    /// The models that it holds.
+    /// Models that are loaded.
     pub models: Vec<LoadedModel>,
-    /// Whether it is about to change its weights, or does so, and takes nothing new meanwhile.
+    /// Whether it is about to switch or is switching its weights, and takes no new requests
+    /// meanwhile.
     pub switching: bool,
     /// Whether it answers.
     pub alive: bool,
-    /// Milliseconds that the shortest late exchange of its process with an entry took.
+    /// Duration of the shortest recent exchange between the sidecar and an entry, in milliseconds.
     pub round_trip_ms: u64,
-    /// Chunks of the wanted weights that its process holds, while the replica lacks them.
+    /// Chunks of the wanted weights that the sidecar holds, while the replica lacks them.
     pub chunks_held: u32,
-    /// All chunks of them; 0 if it lacks none, or they are not known yet.
+    /// All chunks of the wanted weights; 0 if the replica lacks none, or if they are not known yet.
     pub chunks: u32,
-    /// Whether it told that it leaves.
+    /// Whether it sent a notice that it is leaving.
     pub leaving: bool,
-    /// Milliseconds for which it told that it wants nothing.
+    /// Remaining backoff that it asked for, in milliseconds.
     pub rest_ms: u32,
 }
 
 impl Load {
-    /// Requests in progress.
+    /// Requests in progress, running or queued.
     pub fn in_progress(&self) -> u32 {
         self.running + self.queued
     }
 
-    /// Whether it takes requests for any model, according to the report of its process.
+    /// Whether it takes requests for any model, according to the report.
     pub fn accepts_requests(&self) -> bool {
         self.alive && !self.switching && !self.leaving && !self.models.is_empty()
     }
 
-    /// What the replica wants, as its process told it.
+    /// The notice that the report passes on.
     pub fn notice(&self) -> Notice {
         Notice::new(self.leaving, Some(f64::from(self.rest_ms) / 1_000.0))
     }
 
-    /// Whether it takes requests of the same versions as by `other`.
+    /// Whether it takes requests for the same versions as with the report `other`.
     pub fn same_availability(&self, other: &Self) -> bool {
         let same_state = self.switching == other.switching && self.alive == other.alive;
-        let rests = |load: &Self| load.rest_ms > 0;
-        let same_wish = self.leaving == other.leaving && rests(self) == rests(other);
-        same_state && same_wish && self.models == other.models
+        let is_backing_off = |load: &Self| load.rest_ms > 0;
+        let same_notice =
+            self.leaving == other.leaving && is_backing_off(self) == is_backing_off(other);
+        same_state && same_notice && self.models == other.models
     }
 }
 
-/// A replica.
+/// A replica and what this entry knows of it.
 #[derive(Debug, Clone)]
 pub struct Replica {
-    /// What the list says.
+    /// Its entry in the replica list.
     pub record: Record,
     pub(super) health: Health,
     load: Option<(Load, Time)>,
-    own: Vec<Sent>,
+    own_requests: Vec<Sent>,
     own_at_report: u32,
-    turned_at: Time,
-    unheard: Option<Unheard>,
-    unread: Unread,
-    unread_at_report: u32,
+    availability_changed_at: Time,
+    unresponsive: Option<Unresponsive>,
+    pending: PendingRequests,
+    pending_at_report: u32,
     lag: Lag,
-    arriving: Option<Arriving>,
+    transfer: Option<Transfer>,
     cold: Cold,
-    /// Requests of this entry that may be sent while it is cold and nobody beside it deals them out.
-    allowance: TokenBucket,
-    /// Until when the process beside it has no request of a cold replica to deal out.
-    dealt_out: Time,
-    pub(super) due: Option<Schedule>,
-    pub(super) denied: bool,
-    pub(super) wish: Suspension,
+    /// Limits this entry's requests while the replica is cold and no sidecar distributes them.
+    token_bucket: TokenBucket,
+    /// Until when the sidecar has no more requests of a cold replica to grant.
+    cold_exhausted_until: Time,
+    pub(super) schedule: Option<Schedule>,
+    pub(super) invalidated: bool,
+    pub(super) suspension: Suspension,
 }
 
-/// Own requests that have had no event yet.
+/// Requests of this entry without a first event yet.
 #[derive(Debug, Clone, Default)]
-struct Unread {
-    requests: Vec<Pending>,
+struct PendingRequests {
+    requests: Vec<PendingRequest>,
     tokens: u64,
 }
 
-impl Unread {
+impl PendingRequests {
     fn count(&self) -> u32 {
         self.requests.len() as u32
     }
 
-    /// By how much the most overdue of them is late.
+    /// How far the most overdue of them is behind its expected first event.
     fn overdue(&self, now: Time) -> Duration {
         let late = self.requests.iter().map(|pending| now.since(pending.due));
         late.max().unwrap_or_default()
@@ -145,22 +148,22 @@
     at: Time,
 }
 
-/// A request without an event yet.
+/// A request without a first event yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Pending {
+struct PendingRequest {
     number: u64,
     at: Time,
     due: Time,
 }
 
-/// The process beside a replica did not answer.
+/// A sidecar that did not answer.
 #[derive(Debug, Clone, Copy)]
-struct Unheard {
+struct Unresponsive {
     at: Time,
     silent: bool,
 }
 
-/// How much later than expected a replica's first events come.
+/// Moving average of how much later than expected first events come.
 #[derive(Debug, Clone, Copy, Default)]
 struct Lag {
     mean: Duration,
@@ -168,318 +171,331 @@
 }
 
 impl Lag {
-    fn now(&self, now: Time) -> Duration {
-        let halvings = now.since(self.at).as_secs_f64() / LAG_HALF.as_secs_f64();
+    fn decayed(&self, now: Time) -> Duration {
+        let halvings = now.since(self.at).as_secs_f64() / LAG_HALF_LIFE.as_secs_f64();
         self.mean.mul_f64(0.5f64.powf(halvings))
     }
 
-    fn note(&mut self, late: Duration, now: Time) {
-        let known = self.now(now);
-        self.mean = (known * (LAG_SMOOTHING - 1) + late) / LAG_SMOOTHING;
+    fn record(&mut self, late: Duration, now: Time) {
+        let known = self.decayed(now);
+        self.mean = (known * (LAG_SMOOTHING_DIVISOR - 1) + late) / LAG_SMOOTHING_DIVISOR;
         self.at = now;
     }
 }
 
-/// Weights on their way to a replica.
+/// Transfer of missing weights to a replica, by its reports.
 #[derive(Debug, Clone, Copy)]
-struct Arriving {
+struct Transfer {
     first: Time,
-    held_first: u32,
+    held_at_first: u32,
     last: Time,
     held: u32,
-    all: u32,
+    total: u32,
 }
 
-impl Arriving {
-    /// When the replica is expected to serve, at the pace so far.
-    fn rest(&self, now: Time) -> Option<Duration> {
-        let gained = self.held - self.held_first;
-        let missing = self.all.saturating_sub(self.held);
+impl Transfer {
+    /// Time until the replica is expected to serve, extrapolated from the progress so far.
+    fn remaining(&self, now: Time) -> Option<Duration> {
+        let gained = self.held - self.held_at_first;
+        let missing = self.total.saturating_sub(self.held);
         if missing > 0 && gained == 0 {
             return None;
         }
-        let drawing = self.last.since(self.first) * missing / gained.max(1);
-        Some((drawing + ACTIVATION_TIME).saturating_sub(now.since(self.last)))
+        let transfer_time = self.last.since(self.first) * missing / gained.max(1);
+        Some((transfer_time + ACTIVATION_TIME).saturating_sub(now.since(self.last)))
     }
 }
 
-/// The versions that were named for a replica's model, and its place in the rollout.
+/// Versions published for a replica's model, and the replica's times in their rollout.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Schedule {
     /// The versions, oldest first.
     pub versions: Vec<DesiredVersion>,
-    /// Time from a version's naming until the replica takes nothing new any more.
+    /// Time from a version's publication until the replica takes no new requests.
     pub drain_after: Duration,
-    /// Time from a version's naming until nothing may start on an older one any more.
+    /// Time from a version's publication until no request may start on an older one.
     pub cutoff: Duration,
 }
 
-/// A change of version that a replica has before it.
+/// The next version change of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Change {
-    /// When the replica takes nothing new any more.
-    pub at: Time,
-    /// When nothing may start on its version any more.
-    pub bound: Time,
+    /// When the replica stops taking new requests.
+    pub drain_at: Time,
+    /// From when on no request may start on the current version.
+    pub cutoff: Time,
 }
 
 impl Replica {
-    /// A replica of which only its entry is known.
+    /// Creates a replica of which only the list entry is known.
     pub fn new(record: Record) -> Self {
         Self {
             record,
             load: None,
-            own: Vec::new(),
+            own_requests: Vec::new(),
             own_at_report: 0,
-            turned_at: Time::default(),
-            unheard: None,
-            unread: Unread::default(),
-            unread_at_report: 0,
+            availability_changed_at: Time::default(),
+            unresponsive: None,
+            pending: PendingRequests::default(),
+            pending_at_report: 0,
             lag: Lag::default(),
-            arriving: None,
+            transfer: None,
             cold: Cold::default(),
-            allowance: TokenBucket::default(),
-            dealt_out: Time::default(),
-            due: None,
+            token_bucket: TokenBucket::default(),
+            cold_exhausted_until: Time::default(),
+            schedule: None,
             health: Health::default(),
-            denied: false,
-            wish: Suspension::default(),
+            invalidated: false,
+            suspension: Suspension::default(),
         }
     }
 
-    /// What it wants, by its own words.
+    /// The suspension that it asked for.
     pub fn suspension(&self) -> Suspension {
-        self.wish
+        self.suspension
     }
 
-    /// The last report and its time, unless it says nothing any more.
-    pub(super) fn reported(&self, now: Time) -> Option<(&Load, Time)> {
+    /// The last report and its time, unless it is stale.
+    pub(super) fn fresh_report(&self, now: Time) -> Option<(&Load, Time)> {
         let (load, at) = self.load.as_ref()?;
-        (now.since(*at) < STALE).then_some((load, *at))
+        (now.since(*at) < REPORT_STALE_AFTER).then_some((load, *at))
     }
 
-    fn fresh(&self, now: Time) -> Option<&Load> {
-        self.reported(now).map(|(load, _)| load)
+    fn fresh_load(&self, now: Time) -> Option<&Load> {
+        self.fresh_report(now).map(|(load, _)| load)
     }
 
-    /// Requests in progress there, as far as this entry can tell.
+    /// Estimated requests in progress: those of others by the last report, plus this entry's own.
     pub fn requests(&self, now: Time) -> u32 {
-        let reported = self.fresh(now).map_or(0, Load::in_progress);
-        reported.saturating_sub(self.own_at_report) + self.own()
+        let reported = self.fresh_load(now).map_or(0, Load::in_progress);
+        reported.saturating_sub(self.own_at_report) + self.own_requests()
     }
 
-    /// The version of `model` that it holds, by the newer of report and list.
+    /// The loaded version of `model`, by the last report or else by the replica list.
     pub fn version(&self, model: &str, now: Time) -> Option<u64> {
         let reported = self
-            .fresh(now)
+            .fresh_load(now)
             .map(|load| replica::version_of(&load.models, model));
         reported.unwrap_or_else(|| self.record.version(model))
     }
 
-    /// Prompt tokens that wait to be read there, as far as this entry can tell.
-    pub(super) fn unread(&self, usual_prompt: f64, now: Time) -> f64 {
-        let reported = self.fresh(now).map_or(0, |load| load.queued);
-        let others = reported.saturating_sub(self.unread_at_report);
-        f64::from(others) * usual_prompt + self.unread.tokens as f64
+    /// Estimated prompt tokens that wait for prefill there.
+    pub(super) fn pending_prompt_tokens(&self, mean_prompt_tokens: f64, now: Time) -> f64 {
+        let reported = self.fresh_load(now).map_or(0, |load| load.queued);
+        let others = reported.saturating_sub(self.pending_at_report);
+        f64::from(others) * mean_prompt_tokens + self.pending.tokens as f64
     }
 
-    /// The change of version that it has before it: the oldest that it lacks sets the times.
+    /// The next version change. The oldest version that the replica lacks determines its times.
     pub(super) fn change(&self, model: &str, now: Time) -> Option<Change> {
-        let due = self.due.as_ref()?;
-        let since = catalog::first_missing(&due.versions, self.version(model, now)?)?.since;
+        let schedule = self.schedule.as_ref()?;
+        let since = catalog::first_missing(&schedule.versions, self.version(model, now)?)?.since;
         Some(Change {
-            at: since + due.drain_after,
-            bound: since + due.cutoff,
+            drain_at: since + schedule.drain_after,
+            cutoff: since + schedule.cutoff,
         })
     }
 
-    /// How much later than estimated first events come from there.
-    pub(super) fn late(&self, now: Time) -> Duration {
-        self.lag.now(now).max(self.unread.overdue(now))
+    /// How much later than estimated its first events come.
+    pub(super) fn lag(&self, now: Time) -> Duration {
+        self.lag.decayed(now).max(self.pending.overdue(now))
     }
 
-    /// How long its link seems to hold up what is sent there, beyond the usual: exchanges take long
-    /// that the process beside it has with entries, or its reports are missing.
+    /// How much its link seems to delay messages beyond the normal: exchanges between its sidecar
+    /// and entries take long, or its reports are missing.
     pub(super) fn link_delay(&self, now: Time) -> Duration {
         let Some((load, at)) = &self.load else {
             return Duration::ZERO;
         };
-        let trip = Duration::from_millis(load.round_trip_ms).saturating_sub(ROUND_TRIP_USUAL);
+        let trip = Duration::from_millis(load.round_trip_ms).saturating_sub(ROUND_TRIP_NORMAL_MAX);
         let silent = now.since(*at).saturating_sub(REPORT_AGE_MAX);
-        let unheard = self.unheard_lately(now).filter(|unheard| unheard.silent);
-        let unheard = unheard.map_or(Duration::ZERO, |_| UNHEARD_DELAY);
-        trip.max(silent).max(unheard)
+        let unresponsive = self
+            .recently_unresponsive(now)
+            .filter(|unresponsive| unresponsive.silent);
+        let unresponsive = unresponsive.map_or(Duration::ZERO, |_| UNRESPONSIVE_DELAY);
+        trip.max(silent).max(unresponsive)
     }
 
-    fn unheard_lately(&self, now: Time) -> Option<Unheard> {
-        self.unheard
-            .filter(|unheard| now.since(unheard.at) < UNHEARD)
+    fn recently_unresponsive(&self, now: Time) -> Option<Unresponsive> {
+        self.unresponsive
+            .filter(|unresponsive| now.since(unresponsive.at) < UNRESPONSIVE_PAUSE)
     }
 
-    /// The process beside it did not answer; with `silent`, its link may be held up.
-    pub(super) fn unheard(&mut self, silent: bool, now: Time) {
-        self.unheard = Some(Unheard { at: now, silent });
+    /// Records that its sidecar did not answer. With `silent`, its link may be delayed.
+    pub(super) fn mark_unresponsive(&mut self, silent: bool, now: Time) {
+        self.unresponsive = Some(Unresponsive { at: now, silent });
     }
 
-    /// Whether it has a queue, or takes nothing new while it changes its weights.
-    pub(super) fn queues(&self, now: Time) -> bool {
-        self.fresh(now).is_some_and(|load| {
+    /// Whether it has a queue, or takes no new requests because it is switching weights.
+    pub(super) fn has_queue(&self, now: Time) -> bool {
+        self.fresh_load(now).is_some_and(|load| {
             let full = load.in_progress() >= self.record.slots;
             load.alive && (load.switching || full)
         })
     }
 
-    /// Whether the process beside it is to be asked for a place.
-    pub(super) fn gives_places(&self, now: Time) -> bool {
-        self.unheard_lately(now).is_none() && self.fresh(now).is_some_and(|load| load.alive)
+    /// Whether to ask its sidecar for a lease.
+    pub(super) fn grants_leases(&self, now: Time) -> bool {
+        self.recently_unresponsive(now).is_none()
+            && self.fresh_load(now).is_some_and(|load| load.alive)
     }
 
     /// Factor on its times.
     pub(super) fn pace(&self, now: Time) -> f64 {
-        self.fresh(now).map_or(1.0, |load| load.pace)
+        self.fresh_load(now).map_or(1.0, |load| load.pace)
     }
 
-    /// Whether it takes nothing new because of a change of version.
+    /// Whether it takes no new requests because of a version change.
     pub(super) fn switching(&self, now: Time) -> bool {
-        self.fresh(now).is_some_and(|load| load.switching)
+        self.fresh_load(now).is_some_and(|load| load.switching)
     }
 
-    /// Takes how long it says that it is cold.
-    pub(super) fn tell_cold(&mut self, now: Time) {
+    /// Applies the remaining cold time that the replica list shows.
+    pub(super) fn refresh_cold(&mut self, now: Time) {
         let warm = self.cold_remaining(now).is_zero();
-        self.cold.tell(self.record.cold_ms, now);
+        self.cold.update(self.record.cold_ms, now);
         if warm {
-            self.allowance = TokenBucket::new(now);
+            self.token_bucket = TokenBucket::new(now);
         }
     }
 
-    /// For how long it is still cold.
+    /// Time until it is warm.
     pub fn cold_remaining(&self, now: Time) -> Duration {
-        self.cold.rest(now)
+        self.cold.remaining(now)
     }
 
-    /// Whether its being cold bounds what it gets, where it bears `per_s` requests a second then.
-    fn bound(&self, per_s: f64, now: Time) -> bool {
+    /// Whether it is cold and limited to `per_s` requests per second.
+    fn is_cold_limited(&self, per_s: f64, now: Time) -> bool {
         per_s > 0.0 && !self.cold_remaining(now).is_zero()
     }
 
-    /// Whether a request may be on its way to it soon, as far as it is cold: the process beside it
-    /// deals out what it bears, or else this entry's part, `per_s` a second, allows one.
-    pub(super) fn bears(&self, per_s: f64, now: Time) -> bool {
-        if !self.bound(per_s, now) {
+    /// Whether its being cold allows a request now. The sidecar distributes the permitted requests;
+    /// without one, this entry's share of `per_s` per second has to allow it.
+    pub(super) fn cold_permits(&self, per_s: f64, now: Time) -> bool {
+        if !self.is_cold_limited(per_s, now) {
             return true;
         }
-        if self.gives_places(now) {
-            return self.dealt_out <= now;
+        if self.grants_leases(now) {
+            return self.cold_exhausted_until <= now;
         }
-        self.allowance.allows(per_s, now)
+        self.token_bucket.allows(per_s, now)
     }
 
-    /// Takes one request from this entry's part of what a cold replica bears.
-    pub(super) fn take_cold(&mut self, per_s: f64, now: Time) -> bool {
-        !self.bound(per_s, now) || self.allowance.take(per_s, now)
+    /// Takes a token from this entry's share of a cold replica's rate.
+    pub(super) fn take_cold_token(&mut self, per_s: f64, now: Time) -> bool {
+        !self.is_cold_limited(per_s, now) || self.token_bucket.take(per_s, now)
     }
 
-    /// The process beside it has dealt out what a cold replica bears.
-    pub(super) fn dealt_out(&mut self, now: Time) {
-        self.dealt_out = now + DEALS_AGAIN;
+    /// Records that its sidecar has granted all that the cold replica can take for now.
+    pub(super) fn mark_cold_exhausted(&mut self, now: Time) {
+        self.cold_exhausted_until = now + COLD_EXHAUSTED_PAUSE;
     }
 
-    /// Whether the process beside it finds nobody there.
-    pub(super) fn dead(&self, now: Time) -> bool {
-        self.fresh(now).is_some_and(|load| !load.alive)
+    /// Whether its sidecar finds that it does not answer.
+    pub(super) fn is_dead(&self, now: Time) -> bool {
+        self.fresh_load(now).is_some_and(|load| !load.alive)
     }
 
-    /// This entry's attempts here that have not ended.
-    pub(super) fn under_way(&self) -> u32 {
-        self.own.len() as u32
+    /// Attempts of this entry in flight.
+    pub(super) fn in_flight(&self) -> u32 {
+        self.own_requests.len() as u32
     }
 
-    /// The process beside it reported.
+    /// Applies a report of its sidecar.
     pub(super) fn report(&mut self, load: &Load, at: Time) {
         if self.load.as_ref().is_some_and(|(_, known)| *known > at) {
             return;
         }
-        self.note_arriving(load, at);
+        self.record_transfer(load, at);
         let known = self.load.as_ref();
         if known.is_none_or(|(known, _)| !known.same_availability(load)) {
-            self.turned_at = at;
+            self.availability_changed_at = at;
         }
         self.load = Some((load.clone(), at));
-        self.own_at_report = self.own.iter().filter(|sent| sent.at <= at).count() as u32;
-        let unread = self.unread.requests.iter();
-        self.unread_at_report = unread.filter(|pending| pending.at <= at).count() as u32;
+        self.own_at_report = self
+            .own_requests
+            .iter()
+            .filter(|sent| sent.at <= at)
+            .count() as u32;
+        let pending = self.pending.requests.iter();
+        self.pending_at_report = pending.filter(|pending| pending.at <= at).count() as u32;
     }
 
-    fn note_arriving(&mut self, load: &Load, at: Time) {
+    fn record_transfer(&mut self, load: &Load, at: Time) {
         if load.chunks == 0 {
-            self.arriving = None;
+            self.transfer = None;
             return;
         }
         let known = self
-            .arriving
-            .filter(|known| known.held_first <= load.chunks_held);
-        let (first, held_first) = known.map_or((at, load.chunks_held), |known| {
-            (known.first, known.held_first)
+            .transfer
+            .filter(|known| known.held_at_first <= load.chunks_held);
+        let (first, held_at_first) = known.map_or((at, load.chunks_held), |known| {
+            (known.first, known.held_at_first)
         });
-        self.arriving = Some(Arriving {
+        self.transfer = Some(Transfer {
             first,
-            held_first,
+            held_at_first,
             last: at,
             held: load.chunks_held,
-            all: load.chunks,
+            total: load.chunks,
         });
     }
 
-    /// When it is expected to serve, if weights are on their way to it.
-    pub(super) fn arrival(&self, now: Time) -> Option<Duration> {
-        self.arriving.as_ref()?.rest(now)
+    /// Time until it is expected to serve, if weights are being transferred to it.
+    pub(super) fn weights_eta(&self, now: Time) -> Option<Duration> {
+        self.transfer.as_ref()?.remaining(now)
     }
 
-    /// When it last began or ended to take requests, by its reports.
-    pub(super) fn turned_at(&self) -> Time {
-        self.turned_at
+    /// When it last began or stopped taking requests, by its reports.
+    pub(super) fn availability_changed_at(&self) -> Time {
+        self.availability_changed_at
     }
 
     /// This entry's requests in progress there.
-    pub(super) fn own(&self) -> u32 {
-        self.own.len() as u32
+    pub(super) fn own_requests(&self) -> u32 {
+        self.own_requests.len() as u32
     }
 
-    /// This entry sends it the request of that number, whose first event is due then.
+    /// Records that this entry sends it a request, whose first event is expected at `due`.
     pub(super) fn begin(&mut self, number: u64, demand: Demand, at: Time, due: Time) {
-        self.own.push(Sent { number, at });
-        self.unread.requests.push(Pending { number, at, due });
-        self.unread.tokens += u64::from(demand.prompt);
+        self.own_requests.push(Sent { number, at });
+        self.pending
+            .requests
+            .push(PendingRequest { number, at, due });
+        self.pending.tokens += u64::from(demand.prompt);
     }
 
-    /// A request's first event came; `false` if it ended without one. Returns how long the first
-    /// event was expected to take, and how long it took.
-    pub(super) fn started(
+    /// Records a request's first event, or with `came` false that it ended without one. Returns how
+    /// long the first event was expected to take, and how long it took.
+    pub(super) fn record_first_event(
         &mut self,
         number: u64,
         demand: Demand,
         came: bool,
         now: Time,
     ) -> Option<(Duration, Duration)> {
-        let unread = &mut self.unread;
-        let mut pending = unread.requests.iter();
-        let place = pending.position(|known| known.number == number)?;
-        let pending = unread.requests.swap_remove(place);
-        unread.tokens = unread.tokens.saturating_sub(u64::from(demand.prompt));
-        self.unread_at_report = self.unread_at_report.min(unread.count());
+        let pending = &mut self.pending;
+        let mut requests = pending.requests.iter();
+        let index = requests.position(|known| known.number == number)?;
+        let request = pending.requests.swap_remove(index);
+        pending.tokens = pending.tokens.saturating_sub(u64::from(demand.prompt));
+        self.pending_at_report = self.pending_at_report.min(pending.count());
         if !came {
             return None;
         }
-        self.lag.note(now.since(pending.due), now);
-        Some((pending.due.since(pending.at), now.since(pending.at)))
+        self.lag.record(now.since(request.due), now);
+        Some((request.due.since(request.at), now.since(request.at)))
     }
 
-    /// A request of this entry ended there.
+    /// Records that a request of this entry ended.
     pub(super) fn end(&mut self, number: u64) {
-        if let Some(place) = self.own.iter().position(|sent| sent.number == number) {
-            self.own.swap_remove(place);
+        if let Some(index) = self
+            .own_requests
+            .iter()
+            .position(|sent| sent.number == number)
+        {
+            self.own_requests.swap_remove(index);
         }
-        self.own_at_report = self.own_at_report.min(self.own());
+        self.own_at_report = self.own_at_report.min(self.own_requests());
     }
 }
