--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,12 +1,13 @@
-//! Places at a replica, given by the one process that knows what is under way there.
+//! Slot leases at a replica, granted by its sidecar, the one process that knows the replica's
+//! current load.
 //!
-//! Reports are old when they are read, and all entries read the same ones: with 8 places at each of
-//! 120 replicas and 149 entries, a third of all arrivals were turned away while places were free
-//! elsewhere. The process beside a replica sees its engine without a lag, so an entry asks there
-//! before it sends a request, and what was promised to others meanwhile is counted.
+//! Reports are outdated when they are read, and all entries read the same ones: with 8 slots at
+//! each of 120 replicas and 149 entries, a third of all arrivals were turned away while slots were
+//! free elsewhere. The sidecar sees its engine without delay, so an entry asks it before sending a
+//! request, and the sidecar counts what it has granted to others meanwhile.
 //!
-//! A place that was given is a lease. It ends when the engine shows its request, or by its time if
-//! the entry that asked for it is gone.
+//! A lease ends when its request shows up at the engine, or when it expires, if the entry that
+//! asked for it is gone.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -21,110 +22,113 @@
 use crate::route::estimate;
 use crate::route::replica::Load;
 
-/// Path of an [`Ask`].
+/// Path of a [`Request`].
 pub const PATH: &str = "/v1/place";
 
-/// How long a request takes at most from its place to the engine: a few milliseconds in a hall and
-/// between halls, and a turn of a busy process at either end. An engine that was looked at later
-/// than that shows it.
-const ARRIVES: Duration = Duration::from_millis(60);
+/// Longest time from a lease to the arrival of its request at the engine: a few milliseconds within
+/// and between halls, and one turn of a busy process's event loop at either end. An engine state
+/// that is observed later than that includes the request.
+const ARRIVAL_MAX: Duration = Duration::from_millis(60);
 
-/// The passes of an engine, as the prompts make them that were let in.
+/// Iterations of an engine, by the prompts of the requests that were admitted.
 ///
-/// An engine reads what has come since its present pass began in the next one, and whoever comes waits for
-/// the end of the present one. With prompts of up to 3,900 tokens a pass takes 48 to 400 ms, which no
-/// report tells; taken for half a plain pass, the wait was off by more than 110 ms for one in ten.
+/// In an iteration, the engine prefills the prompts that arrived during the previous one, and a new
+/// request waits for the end of the current one. With prompts of up to 3,900 tokens an iteration
+/// takes 48 to 400 ms, which no report shows. Assuming half an iteration without prefill put the
+/// wait off by more than 110 ms for one request in ten.
 #[derive(Debug, Default)]
-struct Passes {
-    /// When the present pass ends, if prompts are read in it.
-    ends: Time,
-    /// Prompts that are read in the next one, in tokens.
-    next: Vec<u32>,
+struct Iterations {
+    /// When the current iteration ends, if it includes prefill.
+    current_end: Time,
+    /// Prompts that the next iteration prefills, in tokens.
+    next_prompts: Vec<u32>,
 }
 
-impl Passes {
-    /// Time from `now` until a prompt of so many tokens is read; `requests` are there already.
+impl Iterations {
+    /// Time from `now` until a prompt of `prompt` tokens is prefilled, behind the requests in
+    /// `load`.
     fn first_event(&mut self, engine: &Engine, prompt: u32, load: &Load, now: Time) -> Duration {
         self.advance(engine, load, now);
-        let own = estimate::prefill(engine, prompt, load.pace);
-        self.rest(engine, load, now) + self.next_pass(engine, load) + own
+        let own_prefill = estimate::prefill(engine, prompt, load.pace);
+        self.current_remaining(engine, load, now) + self.next_iteration(engine, load) + own_prefill
     }
 
-    /// A request with a prompt of so many tokens comes.
-    fn enter(&mut self, engine: &Engine, prompt: u32, load: &Load, now: Time) {
+    /// Adds a request with a prompt of `prompt` tokens.
+    fn admit(&mut self, engine: &Engine, prompt: u32, load: &Load, now: Time) {
         self.advance(engine, load, now);
-        self.ends = now + self.rest(engine, load, now);
-        self.next.push(prompt);
+        self.current_end = now + self.current_remaining(engine, load, now);
+        self.next_prompts.push(prompt);
     }
 
     fn advance(&mut self, engine: &Engine, load: &Load, now: Time) {
-        if self.ends > now || self.next.is_empty() {
+        if self.current_end > now || self.next_prompts.is_empty() {
             return;
         }
-        self.ends = self.ends + self.next_pass(engine, load);
-        self.next.clear();
+        self.current_end = self.current_end + self.next_iteration(engine, load);
+        self.next_prompts.clear();
     }
 
-    /// Time of the next pass, as far as is known what is read in it.
-    fn next_pass(&self, engine: &Engine, load: &Load) -> Duration {
-        let read = |prompt: &u32| estimate::prefill(engine, *prompt, load.pace);
-        let reads: Duration = self.next.iter().map(read).sum();
-        estimate::iteration(engine, load.in_progress(), load.pace) + reads
+    /// Duration of the next iteration, including the prefill known so far.
+    fn next_iteration(&self, engine: &Engine, load: &Load) -> Duration {
+        let prefill_time = |prompt: &u32| estimate::prefill(engine, *prompt, load.pace);
+        let prefill_times: Duration = self.next_prompts.iter().map(prefill_time).sum();
+        estimate::iteration(engine, load.in_progress(), load.pace) + prefill_times
     }
 
-    /// What is left of the present pass: of one in which nothing is read, half of it on average.
-    fn rest(&self, engine: &Engine, load: &Load, now: Time) -> Duration {
-        if self.ends > now {
-            return self.ends.since(now);
+    /// Rest of the current iteration: on average half of it if it includes no prefill.
+    fn current_remaining(&self, engine: &Engine, load: &Load, now: Time) -> Duration {
+        if self.current_end > now {
+            return self.current_end.since(now);
         }
         estimate::iteration(engine, load.in_progress(), load.pace)
             .mul_f64(estimate::ITERATION_WAIT_FRACTION)
     }
 }
 
-/// What a cold replica bears.
+/// Rate limit of a cold replica.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Throttle {
-    /// Milliseconds for which it is cold.
+    /// Remaining cold time, in milliseconds.
     pub rest_ms: u64,
-    /// Requests a second that it bears meanwhile.
+    /// Requests per second that the replica can take meanwhile.
     pub per_s: f64,
 }
 
-/// An entry asks for a place.
+/// An entry's request for a slot lease.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Request {
-    /// The entry that asks, if it tells.
+    /// Address of the asking entry, if it gives one.
     #[serde(default)]
     pub from: Option<SocketAddr>,
-    /// Tokens to read.
+    /// Prompt tokens.
     pub prompt: u32,
-    /// Tokens to write, as far as can be told beforehand.
+    /// Output tokens, as far as they can be told beforehand.
     pub output: u32,
-    /// Milliseconds within which the first event has to be expected.
+    /// Limit on the expected time until the first event, in milliseconds.
     pub limit_ms: u64,
-    /// Hundredths of the mean time in an engine's queue that are expected.
+    /// Factor on the mean queueing time, in percent.
     pub queue_spread: u32,
-    /// The request, unless it is known that its caller was refused before.
+    /// Fingerprint of the request, unless it is already known to be a retry.
     #[serde(default)]
     pub request: Option<Fingerprint>,
-    /// Milliseconds that are the limit wherever the first event comes from: a place is asked for within
-    /// less at first.
+    /// Full limit on the first event, in milliseconds. The first attempts ask with a lower
+    /// `limit_ms`.
     #[serde(default)]
     pub whole_ms: u64,
-    /// Milliseconds that are the limit if its caller was refused before and is late.
+    /// Limit for a retry that can no longer meet the objective, in milliseconds.
     #[serde(default)]
     pub late_ms: u64,
-    /// Requests that the asker refused lately.
+    /// Requests that the entry refused recently.
     #[serde(default)]
     pub refused: Vec<Rejection>,
-    /// What the replica bears, if the asker knows that it is cold.
+    /// Rate limit of the replica, if the entry knows that it is cold.
     #[serde(default)]
     pub cold: Option<Throttle>,
 }
 
 impl Request {
-    /// The limit, where the caller's first try was so long ago, if it was refused before.
+    /// Limit on the first event. `tried_before` is the time since the first try if the request is a
+    /// retry.
     fn limit(&self, tried_before: Option<Duration>) -> Duration {
         let at = Duration::from_millis(self.limit_ms);
         let Some(age) = tried_before else {
@@ -136,118 +140,124 @@
     }
 }
 
-/// The answer.
+/// A sidecar's response to a [`Request`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Response {
-    /// Whether there is a place, which is kept for a moment.
+    /// Whether the lease is granted. It is kept for a moment.
     pub given: bool,
-    /// How the replica does, other requests on their way to it included.
+    /// The replica's load, including granted leases.
     pub load: Load,
-    /// Milliseconds until the first event of the request as it is expected there, if that can be told.
+    /// Expected time until the first event, in milliseconds, if it can be estimated.
     #[serde(default)]
     pub expected_ms: Option<u64>,
-    /// Milliseconds since the caller's first try, if it is known here that it was refused.
+    /// Time since the caller's first try, in milliseconds, if the request is a known retry.
     #[serde(default)]
     pub tried_before_ms: Option<u64>,
-    /// Requests that other entries refused lately.
+    /// Requests that other entries refused recently.
     #[serde(default)]
     pub refused: Vec<Rejection>,
-    /// Whether the replica is cold, and bears no more at the moment.
+    /// Whether the replica is cold and at its rate limit.
     #[serde(default)]
     pub dealt_out: bool,
 }
 
-/// A place that was given.
+/// A granted lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Lease {
     at: Time,
 }
 
-/// The places that were given at one replica.
+/// Leases granted at one replica.
 #[derive(Debug, Default)]
 pub struct Ledger {
     leases: VecDeque<Lease>,
-    present: u32,
-    passes: Passes,
-    refusals: Rejections,
+    in_progress: u32,
+    iterations: Iterations,
+    rejections: Rejections,
     cold: Option<(Throttle, Time)>,
-    allowance: TokenBucket,
+    token_bucket: TokenBucket,
 }
 
 impl Ledger {
-    /// The engine shows so many requests, running and waiting, at `at`. A lease ends with each one
-    /// more than before, and once its request is sure to be among them.
-    pub fn observe(&mut self, present: u32, at: Time) {
-        let more = present.saturating_sub(self.present) as usize;
-        self.leases.drain(..more.min(self.leases.len()));
-        self.leases.retain(|lease| at.since(lease.at) < ARRIVES);
-        self.present = present;
+    /// Takes the number of requests, running or queued, that the engine showed at `at`. One lease
+    /// ends with each additional request, and any lease that is old enough for its request to be
+    /// included.
+    pub fn observe(&mut self, in_progress: u32, at: Time) {
+        let additional = in_progress.saturating_sub(self.in_progress) as usize;
+        self.leases.drain(..additional.min(self.leases.len()));
+        self.leases.retain(|lease| at.since(lease.at) < ARRIVAL_MAX);
+        self.in_progress = in_progress;
     }
 
-    /// The engine is gone, with all that it had.
+    /// Drops all state of an engine that is gone.
     pub fn reset(&mut self) {
         self.leases.clear();
-        self.present = 0;
-        self.passes = Passes::default();
+        self.in_progress = 0;
+        self.iterations = Iterations::default();
         self.cold = None;
     }
 
-    /// What one entry knows of the replica's being cold binds all: others may not know it yet.
-    fn hear_cold(&mut self, told: Option<Throttle>, now: Time) {
-        let until = |told: Throttle| now + Duration::from_millis(told.rest_ms);
+    /// Takes a cold replica's rate limit from one entry. It applies to all entries, since others
+    /// may not know of it yet.
+    fn update_throttle(&mut self, throttle: Option<Throttle>, now: Time) {
+        let until = |throttle: Throttle| now + Duration::from_millis(throttle.rest_ms);
         let known = self.cold.map(|(_, until)| until);
-        let Some(told) = told.filter(|told| known.is_none_or(|known| known < until(*told))) else {
+        let Some(throttle) =
+            throttle.filter(|throttle| known.is_none_or(|known| known < until(*throttle)))
+        else {
             return;
         };
         if known.is_none_or(|known| known <= now) {
-            self.allowance = TokenBucket::new(now);
+            self.token_bucket = TokenBucket::new(now);
         }
-        self.cold = Some((told, until(told)));
+        self.cold = Some((throttle, until(throttle)));
     }
 
-    /// Whether the replica bears one more request, as far as it is cold; if so, that is counted.
-    fn bears(&mut self, now: Time) -> bool {
+    /// Takes a token if the replica is cold. Returns whether it can take another request.
+    fn take_cold_token(&mut self, now: Time) -> bool {
         match self.cold {
-            Some((ration, until)) if now < until => self.allowance.take(ration.per_s, now),
+            Some((throttle, until)) if now < until => self.token_bucket.take(throttle.per_s, now),
             _ => true,
         }
     }
 
-    /// Requests that are on their way.
+    /// Requests that hold a lease and have not arrived yet.
     pub fn leased(&self) -> u32 {
         self.leases.len() as u32
     }
 
-    /// Answers `ask` at a replica that does as `load` says, without those on their way. `engine` has
-    /// its figures, if they are known.
+    /// Answers a request for a lease. `load` is the replica's load without leases, and `engine` has
+    /// the engine's figures, if known.
     pub fn answer(
         &mut self,
-        ask: &Request,
+        message: &Request,
         load: Load,
         engine: Option<&Engine>,
         now: Time,
     ) -> Response {
-        let told = ask.from.map(|from| self.refusals.take_pending(from, now));
-        self.refusals.merge_and_forward(&ask.refused, now);
-        let first = ask
+        let rejections_to_send = message
+            .from
+            .map(|from| self.rejections.take_pending(from, now));
+        self.rejections.merge_and_forward(&message.refused, now);
+        let first = message
             .request
-            .and_then(|request| self.refusals.first_try(request, now));
+            .and_then(|request| self.rejections.first_try(request, now));
         let tried_before = first.map(|first| now.since(first));
-        let limit = ask.limit(tried_before);
+        let limit = message.limit(tried_before);
         let load = Load {
             queued: load.queued + self.leased(),
             ..load
         };
-        let expected = engine.map(|engine| self.expected(ask, &load, engine, now));
-        let takes = load.alive && !load.switching && !load.models.is_empty();
-        let takes = takes && load.notice().is_empty();
-        let takes = takes && expected.is_none_or(|expected| expected <= limit);
-        self.hear_cold(ask.cold, now);
-        let given = takes && self.bears(now);
+        let expected = engine.map(|engine| self.expected(message, &load, engine, now));
+        let accepts = load.alive && !load.switching && !load.models.is_empty();
+        let accepts = accepts && load.notice().is_empty();
+        let accepts = accepts && expected.is_none_or(|expected| expected <= limit);
+        self.update_throttle(message.cold, now);
+        let given = accepts && self.take_cold_token(now);
         if given {
             self.leases.push_back(Lease { at: now });
             if let Some(engine) = engine {
-                self.passes.enter(engine, ask.prompt, &load, now);
+                self.iterations.admit(engine, message.prompt, &load, now);
             }
         }
         Response {
@@ -255,15 +265,18 @@
             load,
             expected_ms: expected.map(|expected| expected.as_millis() as u64),
             tried_before_ms: tried_before.map(|age| age.as_millis() as u64),
-            refused: told.unwrap_or_default(),
-            dealt_out: takes && !given,
+            refused: rejections_to_send.unwrap_or_default(),
+            dealt_out: accepts && !given,
         }
     }
 
-    /// When the first event of a request that comes now is expected, where `load` includes those on
-    /// their way.
-    fn expected(&mut self, ask: &Request, load: &Load, engine: &Engine, now: Time) -> Duration {
-        let queue = estimate::queue_wait(engine, load.in_progress(), load.pace, ask.queue_spread);
-        queue + self.passes.first_event(engine, ask.prompt, load, now)
+    /// Expected time until the first event of a new request, where `load` includes granted leases.
+    fn expected(&mut self, message: &Request, load: &Load, engine: &Engine, now: Time) -> Duration {
+        let queue =
+            estimate::queue_wait(engine, load.in_progress(), load.pace, message.queue_spread);
+        queue
+            + self
+                .iterations
+                .first_event(engine, message.prompt, load, now)
     }
 }
