--- a/src/limit.rs
+++ b/src/limit.rs
@@ -1,4 +1,5 @@
-//! Limits: what a target or a customer may have in progress, judged before any queue.
+//! Limits on the requests that a target or a customer may have in progress, checked before any
+//! queueing.
 
 pub mod admission;
 pub mod retry;
@@ -10,17 +11,17 @@
 use crate::template::fleet::Priority;
 use crate::weight::Digest;
 
-/// Weight of the newest measurement: one in this many.
-const SMOOTHING: u32 = 16;
+/// The newest measurement enters the moving average with a weight of one in this many.
+const SMOOTHING_DIVISOR: u32 = 16;
 
-/// Requests that may wait at a target for each one that it works on.
+/// Queued requests allowed per request that a target processes concurrently.
 const QUEUE_FACTOR: u32 = 4;
 
-/// Requests that a target of unknown capacity may have.
-const CAPACITY_UNKNOWN: u32 = 32;
+/// Capacity assumed for a target that has not declared one.
+const DEFAULT_CAPACITY: u32 = 32;
 
-/// The part of its deadline that a request may spend waiting, in hundredths.
-fn patience(priority: Priority) -> u32 {
+/// Share of its remaining time that a request may spend in the queue, in percent.
+fn wait_share_percent(priority: Priority) -> u32 {
     match priority {
         Priority::Low => 25,
         Priority::Normal => 50,
@@ -28,8 +29,8 @@
     }
 }
 
-/// The part of a target's queue that a priority may fill, in hundredths.
-fn queue_share(priority: Priority) -> u32 {
+/// Share of a target's queue that a priority may fill, in percent.
+fn queue_share_percent(priority: Priority) -> u32 {
     match priority {
         Priority::Low => 50,
         Priority::Normal => 80,
@@ -37,81 +38,81 @@
     }
 }
 
-/// Why a request is not taken.
+/// Why a request is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// The queue is full for its priority.
+    /// The queue is full for the request's priority.
     #[error("queue is full")]
     Full {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
-    /// It could not be answered within its deadline.
+    /// The request could not be answered within its deadline.
     #[error("deadline cannot be met")]
     Deadline {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
     },
     /// The customer has as many requests in progress as its limit allows.
     #[error("customer is at its limit of {limit} requests in progress")]
     Customer {
-        /// The limit.
+        /// The customer's limit.
         limit: u32,
     },
 }
 
-/// What one target has in progress.
+/// Requests in progress at one target.
 #[derive(Debug, Default)]
 pub struct Target {
     capacity: u32,
     total: u32,
     by_version: BTreeMap<Digest, usize>,
-    usual: Option<Duration>,
+    latency: Option<Duration>,
 }
 
 impl Target {
-    /// Sets how many requests the target works on at once.
+    /// Sets how many requests the target processes concurrently.
     pub fn set_capacity(&mut self, capacity: u32) {
         self.capacity = capacity;
     }
 
     fn capacity(&self) -> u32 {
         if self.capacity == 0 {
-            CAPACITY_UNKNOWN
+            DEFAULT_CAPACITY
         } else {
             self.capacity
         }
     }
 
-    /// Requests in progress.
+    /// Requests in progress or queued.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// Requests in progress on one version.
+    /// Requests in progress for one version.
     pub fn on_version(&self, version: Digest) -> usize {
         self.by_version.get(&version).copied().unwrap_or(0)
     }
 
-    /// Judges a request with `remaining` until its deadline.
+    /// Checks whether a request with `remaining` time until its deadline may be admitted.
     pub fn check(&self, priority: Priority, remaining: Duration) -> Result<(), Refusal> {
         let capacity = self.capacity();
         if self.total < capacity {
             return Ok(());
         }
-        let waiting = self.total - capacity + 1;
-        let usual = self.usual.unwrap_or_default();
-        let wait = usual * waiting / capacity;
-        if waiting > capacity * QUEUE_FACTOR * queue_share(priority) / 100 {
+        let queued = self.total - capacity + 1;
+        let latency = self.latency.unwrap_or_default();
+        let wait = latency * queued / capacity;
+        if queued > capacity * QUEUE_FACTOR * queue_share_percent(priority) / 100 {
             return Err(Refusal::Full { retry_after: wait });
         }
-        if wait > remaining * patience(priority) / 100 {
+        if wait > remaining * wait_share_percent(priority) / 100 {
             return Err(Refusal::Deadline { retry_after: wait });
         }
         Ok(())
     }
 
-    /// A request was handed to the target.
+    /// Counts a request that was handed to the target.
     pub fn begin(&mut self, version: Option<Digest>) {
         self.total += 1;
         if let Some(version) = version {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// A request ended; `took` if it ran to its end.
+    /// Counts a request as ended; `took` is its duration if it ran to completion.
     pub fn end(&mut self, version: Option<Digest>, took: Option<Duration>) {
         self.total -= 1;
         if let Some(version) = version
@@ -131,22 +132,22 @@
             }
         }
         if let Some(took) = took {
-            self.usual = Some(match self.usual {
+            self.latency = Some(match self.latency {
                 None => took,
-                Some(usual) => (usual * (SMOOTHING - 1) + took) / SMOOTHING,
+                Some(latency) => (latency * (SMOOTHING_DIVISOR - 1) + took) / SMOOTHING_DIVISOR,
             });
         }
     }
 }
 
-/// What each customer has in progress at one entry.
+/// Requests in progress of each customer at one entry.
 #[derive(Debug, Default)]
 pub struct Customers {
     in_flight: BTreeMap<Arc<str>, u32>,
 }
 
 impl Customers {
-    /// Takes a request of `customer` within its limit.
+    /// Counts a request of `customer`, unless the customer is at its limit.
     pub fn begin(&mut self, customer: &Arc<str>, limit: u32) -> Result<(), Refusal> {
         let count = self.in_flight.entry(customer.clone()).or_default();
         if *count >= limit {
@@ -156,7 +157,7 @@
         Ok(())
     }
 
-    /// A request of `customer` ended.
+    /// Counts a request of `customer` as ended.
     pub fn end(&mut self, customer: &Arc<str>) {
         if let Some(count) = self.in_flight.get_mut(customer) {
             *count -= 1;
