--- a/src/limit/admission.rs
+++ b/src/limit/admission.rs
@@ -1,98 +1,100 @@
-//! Whether a request that has no replica yet is sent, waits, or is refused.
+//! Admission of a request that has no replica yet: send, wait or refuse.
 //!
-//! A refusal that comes at once leaves its caller time to try again; one that comes late is worth
-//! less than none. So a request waits here for a short part of its objective only.
+//! An immediate refusal leaves its caller time to try again; a late one is worse than none. So a
+//! request waits here for a short part of its objective only.
 
 use std::time::Duration;
 
-/// Part of its objective that a request may wait here, in hundredths.
-const WAIT_MAX: u32 = 15;
+/// Share of its objective that a request may wait here, in percent.
+const WAIT_MAX_PERCENT: u32 = 15;
 
-/// How long a waiting request waits before it is judged again.
+/// How long a waiting request waits before it is evaluated again.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(12);
 
-/// Shortest time that a refused caller is asked to stay away.
-const RETRY_MIN: Duration = Duration::from_millis(60);
+/// Shortest retry delay given to a refused caller.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(60);
 
-/// Longest time that a refused caller is asked to stay away.
-const RETRY_MAX: Duration = Duration::from_millis(1_500);
+/// Longest retry delay given to a refused caller.
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(1_500);
 
-/// Time over which callers are spread who come back when weights are there: an engine reads the
-/// prompts of all its slots in about half of it.
-const SPREAD: Duration = Duration::from_millis(1_000);
+/// Time over which the retries of refused callers are spread once weights have arrived. An engine
+/// prefills the prompts for all its slots in about half of it.
+const RETRY_SPREAD: Duration = Duration::from_millis(1_000);
 
-/// Part of the time left for which a caller heeds when to come back, in hundredths: a little under
-/// the third of the platform's protocol.
-const HEEDED: u32 = 32;
+/// Share of its remaining time up to which a caller respects the retry delay, in percent: a little
+/// less than the third in the platform's protocol.
+const RETRY_DELAY_SHARE_PERCENT: u32 = 32;
 
-/// What is known of a request when it is judged.
+/// State of a request to be evaluated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Input {
-    /// Time since its head came.
+    /// Time since the request's head arrived.
     pub elapsed: Duration,
     /// Time until its deadline.
     pub remaining: Duration,
-    /// When the first event is expected if it is sent now; `None` without a replica.
+    /// Expected time until the first event if it is sent now; `None` without a replica.
     pub expected: Option<Duration>,
 }
 
-/// The bounds by which a request is judged, counted from when its head came.
+/// Bounds for a request, counted from the arrival of its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// When the first event has to be expected.
+    /// Limit on the expected first event.
     pub limit: Duration,
-    /// How long it may wait for that.
+    /// Limit on the wait for a replica that meets it.
     pub wait: Duration,
 }
 
 impl Bounds {
-    /// The bounds of a request whose first event has to be expected within `limit`.
+    /// Creates the bounds of a request whose first event has to be expected within `limit`.
     pub fn new(objective: Duration, limit: Duration) -> Self {
         Self {
             limit,
-            wait: objective * WAIT_MAX / 100,
+            wait: objective * WAIT_MAX_PERCENT / 100,
         }
     }
 }
 
-/// What is done with it.
+/// Decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is sent.
+    /// Send it.
     Send,
-    /// It waits for so long and is judged again.
+    /// Wait for this time and evaluate it again.
     Wait(Duration),
-    /// It is refused.
+    /// Refuse it.
     Refuse {
-        /// When its caller should come back.
+        /// Retry delay for its caller.
         retry_after: Duration,
     },
 }
 
-/// Judges a request.
-pub fn evaluate(case: Input, bounds: Bounds) -> Verdict {
-    if let Some(expected) = case.expected
-        && case.elapsed + expected <= bounds.limit
+/// Decides whether a request is sent, waits or is refused.
+pub fn evaluate(input: Input, bounds: Bounds) -> Verdict {
+    if let Some(expected) = input.expected
+        && input.elapsed + expected <= bounds.limit
     {
         return Verdict::Send;
     }
-    if case.elapsed + POLL_INTERVAL <= bounds.wait {
+    if input.elapsed + POLL_INTERVAL <= bounds.wait {
         return Verdict::Wait(POLL_INTERVAL);
     }
-    let surplus = case.expected.map_or(RETRY_MAX / 3, |expected| {
+    let excess = input.expected.map_or(RETRY_DELAY_MAX / 3, |expected| {
         expected.saturating_sub(bounds.limit / 2)
     });
-    let longest = RETRY_MAX.min(case.remaining / 4).max(RETRY_MIN);
+    let longest = RETRY_DELAY_MAX
+        .min(input.remaining / 4)
+        .max(RETRY_DELAY_MIN);
     Verdict::Refuse {
-        retry_after: surplus.clamp(RETRY_MIN, longest),
+        retry_after: excess.clamp(RETRY_DELAY_MIN, longest),
     }
 }
 
-/// When a caller should come back who was refused for want of weights that are expected after
-/// `arrival`, if that can be told. `spread`, between 0 and 1, keeps those who return apart.
+/// Retry delay for a caller that was refused because weights are missing. They are expected after
+/// `arrival`, if known. `spread`, between 0 and 1, spreads the retries over time.
 pub fn retry_after(arrival: Option<Duration>, remaining: Duration, spread: f64) -> Duration {
-    let longest = (remaining * HEEDED / 100).max(RETRY_MIN);
-    let apart = SPREAD.mul_f64(spread);
-    let after = arrival.map_or(longest, |arrival| arrival + apart);
-    after.clamp(RETRY_MIN, longest)
+    let longest = (remaining * RETRY_DELAY_SHARE_PERCENT / 100).max(RETRY_DELAY_MIN);
+    let offset = RETRY_SPREAD.mul_f64(spread);
+    let delay = arrival.map_or(longest, |arrival| arrival + offset);
+    delay.clamp(RETRY_DELAY_MIN, longest)
 }
