--- a/src/limit/retry.rs
+++ b/src/limit/retry.rs
@@ -1,10 +1,10 @@
-//! Who comes back after a refusal, known by what was refused.
+//! Recognition of retries, by fingerprints of refused requests.
 //!
-//! While engines are full, a place for a caller who is late already is one less for a caller who can
-//! still be in time. A deadline does not tell the two apart: callers have deadlines of many lengths
-//! of their own. So entries remember what they refused by a fingerprint of what stays the same when a
-//! caller tries again, and tell it with the questions for places that they ask anyway. Whoever comes
-//! back is then known at whichever entry and replica of the hall.
+//! While engines are full, a slot for a caller that is already late is one less for a caller that
+//! can still be served in time. A deadline does not tell the two apart, since callers set deadlines
+//! of very different lengths. So entries remember what they refused, by a fingerprint of what
+//! stays the same when the caller tries again, and pass it on with the lease requests that they
+//! send anyway. A retry is then recognized by every entry and replica of the hall.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,42 +15,44 @@
 use crate::clock::Time;
 use crate::hash;
 
-/// Refused requests that are remembered, the newest of them: 2,000 a second for two seconds each.
+/// Number of rejections that are remembered, the newest ones: 2,000 per second for two seconds
+/// each.
 const REMEMBERED_MAX: usize = 4_096;
 
-/// Refused requests that are told with one message, the newest of them: 11 bytes each. A hall of 13
-/// entries that refuses 70 requests a second is told of all of them within a third of a second.
-const TOLD_MAX: usize = 24;
+/// Number of rejections passed on with one message, the newest ones, at 11 bytes each. A hall of 13
+/// entries that refuses 70 requests per second passes all of them on within a third of a second.
+const MESSAGE_MAX: usize = 24;
 
-/// Processes to which the log remembers what it told, far more than replicas of a hall.
-const LISTENERS_MAX: usize = 1_024;
+/// Number of peers for which the outbox remembers what it sent, far more than a hall has replicas.
+const PEERS_MAX: usize = 1_024;
 
-/// What stays the same of a request when its caller tries again. Two different requests have the
-/// same once in four billion pairs.
+/// Fingerprint of the parts of a request that stay the same when its caller tries again. Two
+/// different requests collide once in four billion pairs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Fingerprint(u32);
 
 impl Fingerprint {
-    /// The fingerprint of `parts`.
+    /// Computes the fingerprint of `parts`.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         Self(hash::of(parts) as u32)
     }
 }
 
-/// A refused request as one process tells another.
+/// A refused request, as one process reports it to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u32)", into = "(u32, u32, u32)")]
 pub struct Rejection {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Milliseconds since its caller's first try.
+    /// Milliseconds since the caller's first try.
     pub age_ms: u32,
-    /// Milliseconds until its caller can't be back any more.
+    /// Milliseconds after which the caller can no longer retry.
     pub left_ms: u32,
 }
 
 impl Rejection {
-    /// When its caller tried first, and until when it can be back, where that was told at `now`.
+    /// Returns the time of the first try and the end of possible retries, for a report received at
+    /// `now`.
     pub fn times(&self, now: Time) -> (Time, Time) {
         let age = Duration::from_millis(self.age_ms.into());
         let left = Duration::from_millis(self.left_ms.into());
@@ -69,33 +71,33 @@
 }
 
 impl From<Rejection> for (u32, u32, u32) {
-    fn from(refused: Rejection) -> Self {
-        (refused.request.0, refused.age_ms, refused.left_ms)
+    fn from(rejection: Rejection) -> Self {
+        (rejection.request.0, rejection.age_ms, rejection.left_ms)
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Try {
+struct Attempts {
     first: Time,
     until: Time,
 }
 
-/// Requests that were refused lately.
+/// Recently refused requests.
 #[derive(Debug, Default)]
 pub struct History {
-    tries: BTreeMap<Fingerprint, Try>,
+    tries: BTreeMap<Fingerprint, Attempts>,
     order: VecDeque<Fingerprint>,
 }
 
 impl History {
-    /// A request was refused whose caller tried first at `first`, and can be back up to `until`.
+    /// Records a rejection. The caller tried first at `first` and can retry up to `until`.
     pub fn record(&mut self, request: Fingerprint, first: Time, until: Time) {
         let remembered = self.tries.get(&request).copied();
-        // Whoever asks for the same after that is another caller, or the same one for the first time again.
+        // The same request after that is from another caller, or a new first try of the same one.
         let known = remembered.filter(|known| first <= known.until);
         let first = known.map_or(first, |known| known.first.min(first));
         let until = known.map_or(until, |known| known.until.max(until));
-        self.tries.insert(request, Try { first, until });
+        self.tries.insert(request, Attempts { first, until });
         if remembered.is_some() {
             return;
         }
@@ -107,22 +109,22 @@
         }
     }
 
-    /// Another process told of a refused request. Returns whether that is news.
-    pub fn merge(&mut self, refused: Rejection, now: Time) -> bool {
-        let (first, until) = refused.times(now);
-        let known = self.tries.get(&refused.request);
-        let news = known.is_none_or(|known| first > known.until);
-        self.record(refused.request, first, until);
-        news
+    /// Merges a rejection reported by another process. Returns whether it is new.
+    pub fn merge(&mut self, rejection: Rejection, now: Time) -> bool {
+        let (first, until) = rejection.times(now);
+        let known = self.tries.get(&rejection.request);
+        let is_new = known.is_none_or(|known| first > known.until);
+        self.record(rejection.request, first, until);
+        is_new
     }
 
-    /// When the caller of a request tried first, if it was refused and can be back.
+    /// Time of the first try, if the request was refused and its caller can still be retrying.
     pub fn first_try(&self, request: Fingerprint, now: Time) -> Option<Time> {
         let known = self.tries.get(&request)?;
         (now <= known.until).then_some(known.first)
     }
 
-    /// Requests that it remembers.
+    /// Number of remembered requests.
     pub fn remembered(&self) -> usize {
         self.tries.len()
     }
@@ -132,94 +134,94 @@
 struct Entry {
     number: u64,
     request: Fingerprint,
-    tried: Try,
+    attempts: Attempts,
 }
 
-/// What is to be told of refused requests, and who was told what.
+/// Rejections to pass on, and what each peer has been sent.
 #[derive(Debug, Default)]
 pub struct Outbox {
     entries: VecDeque<Entry>,
-    next: u64,
-    told: BTreeMap<SocketAddr, u64>,
+    last_number: u64,
+    sent: BTreeMap<SocketAddr, u64>,
 }
 
 impl Outbox {
-    /// A request was refused, as for [`Memory::refused`].
+    /// Records a rejection, as [`History::record`].
     pub fn record(&mut self, request: Fingerprint, first: Time, until: Time) {
-        self.next += 1;
+        self.last_number += 1;
         self.entries.push_back(Entry {
-            number: self.next,
+            number: self.last_number,
             request,
-            tried: Try { first, until },
+            attempts: Attempts { first, until },
         });
-        if self.entries.len() > TOLD_MAX {
+        if self.entries.len() > MESSAGE_MAX {
             self.entries.pop_front();
         }
     }
 
-    /// What the process at `listener` is told now: what it was not told, and matters yet.
-    pub fn take_pending(&mut self, listener: SocketAddr, now: Time) -> Vec<Rejection> {
-        if self.told.len() > LISTENERS_MAX {
-            self.told.clear();
+    /// Returns the rejections that `peer` has not been sent and whose callers can still retry.
+    pub fn take_pending(&mut self, peer: SocketAddr, now: Time) -> Vec<Rejection> {
+        if self.sent.len() > PEERS_MAX {
+            self.sent.clear();
         }
-        let before = self.told.insert(listener, self.next).unwrap_or(0);
+        let before = self.sent.insert(peer, self.last_number).unwrap_or(0);
         let new = self.entries.iter().filter(|entry| entry.number > before);
-        let matters = new.filter(|entry| now <= entry.tried.until);
-        matters
+        let relevant = new.filter(|entry| now <= entry.attempts.until);
+        relevant
             .map(|entry| Rejection {
                 request: entry.request,
-                age_ms: now.since(entry.tried.first).as_millis() as u32,
-                left_ms: entry.tried.until.since(now).as_millis() as u32,
+                age_ms: now.since(entry.attempts.first).as_millis() as u32,
+                left_ms: entry.attempts.until.since(now).as_millis() as u32,
             })
             .collect()
     }
 }
 
-/// Requests that were refused lately, as one process knows them, and what it tells of them.
+/// Rejections known to one process, and those to pass on.
 #[derive(Debug, Default)]
 pub struct Rejections {
-    memory: History,
-    log: Outbox,
+    history: History,
+    outbox: Outbox,
 }
 
 impl Rejections {
-    /// A request was refused here, as for [`Memory::refused`]: others are told.
+    /// Records a rejection made here and queues it for other processes, as [`History::record`].
     pub fn record(&mut self, request: Fingerprint, first: Time, until: Time) {
-        self.memory.record(request, first, until);
-        self.log.record(request, first, until);
+        self.history.record(request, first, until);
+        self.outbox.record(request, first, until);
     }
 
-    /// Others told of refused requests.
-    pub fn merge(&mut self, told: &[Rejection], now: Time) {
-        for refused in told {
-            self.memory.merge(*refused, now);
+    /// Merges rejections reported by other processes.
+    pub fn merge(&mut self, received: &[Rejection], now: Time) {
+        for rejection in received {
+            self.history.merge(*rejection, now);
         }
     }
 
-    /// Others told of refused requests; what is news is told on.
-    pub fn merge_and_forward(&mut self, told: &[Rejection], now: Time) {
-        for refused in told {
-            if self.memory.merge(*refused, now) {
-                let (first, until) = refused.times(now);
-                self.log.record(refused.request, first, until);
+    /// Merges rejections reported by other processes, and queues the new ones to be passed on.
+    pub fn merge_and_forward(&mut self, received: &[Rejection], now: Time) {
+        for rejection in received {
+            if self.history.merge(*rejection, now) {
+                let (first, until) = rejection.times(now);
+                self.outbox.record(rejection.request, first, until);
             }
         }
     }
 
-    /// When the caller of a request tried first, as for [`Memory::first_try`].
+    /// Time of the first try, as [`History::first_try`].
     pub fn first_try(&self, request: Fingerprint, now: Time) -> Option<Time> {
-        self.memory.first_try(request, now)
+        self.history.first_try(request, now)
     }
 
-    /// What the process at `listener` is told, as for [`Log::tell`].
-    pub fn take_pending(&mut self, listener: SocketAddr, now: Time) -> Vec<Rejection> {
-        self.log.take_pending(listener, now)
+    /// Returns the rejections to send to `peer`, as [`Outbox::take_pending`].
+    pub fn take_pending(&mut self, peer: SocketAddr, now: Time) -> Vec<Rejection> {
+        self.outbox.take_pending(peer, now)
     }
 }
 
-/// The limit on the first event of a request whose caller tried first `age` ago, where `whole` is that
-/// of a first try: what is left of it, so that whoever can be in time is treated like any other, and
-/// `late` for whoever cannot.
+/// Limit on the first event of a retry whose first try was `age` ago. `whole` is the limit of a
+/// first try. A retry that can still be in time gets what is left of it, so that it is treated like
+/// any other request; one that cannot gets `late`.
 pub fn remaining_limit(whole: Duration, late: Duration, age: Duration) -> Duration {
     whole.saturating_sub(age).max(late.min(whole))
 }
