--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,8 +1,9 @@
-//! Which boxes carry which weights: a pure function of configuration, boxes and their capacity.
+//! Assignment of weights to boxes: a pure function of the configuration and of the boxes and their
+//! capacity.
 //!
-//! Every process computes it alone and comes to the same result from the same input. In each hall
-//! a version's boxes are ranked by rendezvous hashing within each rack, and taken from the racks
-//! in turn, so that replicas spread over racks and a box that comes or goes moves few others.
+//! Every process computes it on its own and gets the same result from the same input. In each hall,
+//! a version's boxes are ranked by rendezvous hashing within each rack and taken from the racks in
+//! turn. So replicas spread over racks, and a box that joins or leaves moves few others.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,77 +16,79 @@
 use crate::template::fleet::{Fleet, Model, Version};
 use crate::weight::Digest;
 
-/// Replicas of one version that one hall should carry.
+/// Replicas of one version that one hall should hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Demand {
-    /// The customer.
+    /// Name of the customer.
     pub customer: Arc<str>,
-    /// The model's name.
+    /// Name of the model.
     pub model: Arc<str>,
-    /// The version.
+    /// Digest of the version.
     pub version: Digest,
-    /// Bytes of the version.
+    /// Size of the version, in bytes.
     pub bytes: u64,
-    /// Adapters that go with it.
+    /// Digests and sizes of the adapters that go with the version.
     pub adapters: Vec<(Digest, u64)>,
-    /// The data hall.
+    /// Name of the data hall.
     pub hall: Arc<str>,
-    /// Replicas wanted there.
+    /// Number of replicas wanted there.
     pub replicas: u32,
-    /// What weighs more while it spreads.
+    /// Whether their distribution favours time or origin traffic.
     pub favour: Favour,
 }
 
-/// Weights that one box should carry.
+/// Weights assigned to one box.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Artifact {
-    /// The weights' digest: a version's or an adapter's.
+    /// Digest of a version or an adapter.
     pub digest: Digest,
-    /// Their size.
+    /// Size in bytes.
     pub bytes: u64,
-    /// The customer they are carried for.
+    /// Customer that the weights belong to.
     pub customer: Arc<str>,
-    /// The model's name.
+    /// Name of the model.
     pub model: Arc<str>,
-    /// What weighs more while they spread.
+    /// Whether their distribution favours time or origin traffic.
     pub favour: Favour,
 }
 
 /// A demand that could not be met in full.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shortfall {
-    /// The customer.
+    /// Name of the customer.
     pub customer: Arc<str>,
-    /// The model's name.
+    /// Name of the model.
     pub model: Arc<str>,
-    /// The data hall.
+    /// Name of the data hall.
     pub hall: Arc<str>,
-    /// Replicas wanted.
+    /// Number of replicas wanted.
     pub wanted: u32,
-    /// Replicas placed.
+    /// Number of replicas placed.
     pub placed: u32,
 }
 
-/// Who carries what.
+/// Result of a placement.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Assignment {
-    /// What each box carries, by box name.
+    /// Weights assigned to each box, by box name.
     pub boxes: BTreeMap<Arc<str>, Vec<Artifact>>,
-    /// Demands that were not met in full.
+    /// Demands that could not be met in full.
     pub shortfalls: Vec<Shortfall>,
 }
 
 impl Assignment {
-    /// The boxes that carry `digest`.
+    /// Names of the boxes that hold `digest`.
     pub fn holders(&self, digest: Digest) -> impl Iterator<Item = &Arc<str>> {
         self.boxes
             .iter()
-            .filter(move |(_, carried)| carried.iter().any(|carry| carry.digest == digest))
+            .filter(move |(_, artifacts)| {
+                artifacts.iter().any(|artifact| artifact.digest == digest)
+            })
             .map(|(name, _)| name)
     }
 }
 
-/// The demands of all customers in force.
+/// Demands of all customers in the active configuration.
 pub fn demands(book: &Configuration) -> Vec<Demand> {
     book.customers()
         .iter()
@@ -93,7 +96,7 @@
         .collect()
 }
 
-/// The demands of one customer's fleet.
+/// Demands of one customer's fleet.
 pub fn fleet_demands(customer: &str, fleet: &Fleet) -> Vec<Demand> {
     let customer: Arc<str> = customer.into();
     let mut all = Vec::new();
@@ -124,30 +127,30 @@
     }
 }
 
-/// A box while it is being filled.
-struct Load {
+/// Free capacity and contents of a box during placement.
+struct Allocation {
     free: u64,
-    held: BTreeSet<Digest>,
-    carried: Vec<Artifact>,
+    digests: BTreeSet<Digest>,
+    artifacts: Vec<Artifact>,
 }
 
 /// Places `demands` on `boxes`.
 pub fn assign<'a>(demands: &[Demand], boxes: impl Iterator<Item = &'a Descriptor>) -> Assignment {
     let boxes: Vec<&Descriptor> = boxes.collect();
-    let mut loads: BTreeMap<Arc<str>, Load> = boxes
+    let mut allocations: BTreeMap<Arc<str>, Allocation> = boxes
         .iter()
-        .map(|listed| {
-            let load = Load {
-                free: listed.capacity_bytes,
-                held: BTreeSet::new(),
-                carried: Vec::new(),
+        .map(|candidate| {
+            let allocation = Allocation {
+                free: candidate.capacity_bytes,
+                digests: BTreeSet::new(),
+                artifacts: Vec::new(),
             };
-            (listed.name.clone(), load)
+            (candidate.name.clone(), allocation)
         })
         .collect();
     let mut shortfalls = Vec::new();
     for demand in demands {
-        let placed = place(demand, &boxes, &mut loads);
+        let placed = place(demand, &boxes, &mut allocations);
         if placed < demand.replicas {
             shortfalls.push(Shortfall {
                 customer: demand.customer.clone(),
@@ -159,22 +162,26 @@
         }
     }
     Assignment {
-        boxes: loads
+        boxes: allocations
             .into_iter()
-            .map(|(name, load)| (name, load.carried))
+            .map(|(name, allocation)| (name, allocation.artifacts))
             .collect(),
         shortfalls,
     }
 }
 
-fn place(demand: &Demand, boxes: &[&Descriptor], loads: &mut BTreeMap<Arc<str>, Load>) -> u32 {
+fn place(
+    demand: &Demand,
+    boxes: &[&Descriptor],
+    allocations: &mut BTreeMap<Arc<str>, Allocation>,
+) -> u32 {
     let mut placed = 0;
-    for listed in candidates(demand, boxes) {
+    for candidate in candidates(demand, boxes) {
         if placed == demand.replicas {
             break;
         }
-        if let Some(load) = loads.get_mut(&listed.name)
-            && fill(demand, load)
+        if let Some(allocation) = allocations.get_mut(&candidate.name)
+            && try_add(demand, allocation)
         {
             placed += 1;
         }
@@ -182,7 +189,7 @@
     placed
 }
 
-/// The hall's boxes in the order in which they are tried: the best of each rack, then the second
+/// Boxes of the demand's hall in the order of preference: the best of each rack, then the second
 /// best of each, and so on.
 fn candidates<'a>(demand: &Demand, boxes: &[&'a Descriptor]) -> Vec<&'a Descriptor> {
     let score = |kind: &[u8], name: &str| {
@@ -192,38 +199,44 @@
         )
     };
     let mut racks: BTreeMap<&str, Vec<(u64, &'a Descriptor)>> = BTreeMap::new();
-    for listed in boxes.iter().filter(|listed| listed.hall == demand.hall) {
-        let entry = (score(b"place", &listed.name), *listed);
-        racks.entry(&listed.rack).or_default().push(entry);
+    for candidate in boxes
+        .iter()
+        .filter(|candidate| candidate.hall == demand.hall)
+    {
+        let entry = (score(b"place", &candidate.name), *candidate);
+        racks.entry(&candidate.rack).or_default().push(entry);
     }
     let mut order = Vec::new();
     for (rack, mut ranked) in racks {
         ranked.sort_unstable_by_key(|(score, _)| std::cmp::Reverse(*score));
         let rack_score = score(b"rack", rack);
-        for (round, (_, listed)) in ranked.into_iter().enumerate() {
-            order.push((round, rack_score, listed));
+        for (round, (_, candidate)) in ranked.into_iter().enumerate() {
+            order.push((round, rack_score, candidate));
         }
     }
     order.sort_by_key(|(round, rack_score, _)| (*round, *rack_score));
-    order.into_iter().map(|(_, _, listed)| listed).collect()
+    order
+        .into_iter()
+        .map(|(_, _, candidate)| candidate)
+        .collect()
 }
 
-/// Puts a version and its adapters on a box if all of them fit.
-fn fill(demand: &Demand, load: &mut Load) -> bool {
+/// Adds a version and its adapters to a box if all of them fit.
+fn try_add(demand: &Demand, allocation: &mut Allocation) -> bool {
     let mut wanted = vec![(demand.version, demand.bytes)];
     wanted.extend(&demand.adapters);
     let needed: u64 = wanted
         .iter()
-        .filter(|(digest, _)| !load.held.contains(digest))
+        .filter(|(digest, _)| !allocation.digests.contains(digest))
         .map(|(_, bytes)| bytes)
         .sum();
-    if needed > load.free {
+    if needed > allocation.free {
         return false;
     }
-    load.free -= needed;
+    allocation.free -= needed;
     for (digest, bytes) in wanted {
-        load.held.insert(digest);
-        load.carried.push(Artifact {
+        allocation.digests.insert(digest);
+        allocation.artifacts.push(Artifact {
             digest,
             bytes,
             customer: demand.customer.clone(),
