--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,66 +1,66 @@
-//! The mechanisms of the policy that can be set apart, each with the value that was measured best.
+//! Policy settings that can be changed one by one, and their defaults.
 //!
-//! Programs take `--policy NAME=VALUE`, several times, so that what a mechanism is worth can be
-//! measured by switching it off: 0 does that for each of them. docs/POLICY.md has the figures.
+//! Programs take `--policy NAME=VALUE`, repeatedly. A value of 0 switches any setting off, so that
+//! its effect can be measured. docs/POLICY.md has the figures.
 
 use std::time::Duration;
 
-/// Why a policy cannot be set.
+/// Why a policy setting is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// There is no mechanism of that name.
-    #[error("`{0}` is no mechanism; those are: {names}", names = names().collect::<Vec<_>>().join(", "))]
+    /// There is no setting of that name.
+    #[error("unknown policy setting `{0}`; known settings: {names}", names = names().collect::<Vec<_>>().join(", "))]
     Unknown(String),
-    /// The value is no number that fits.
-    #[error("`{0}` is not NAME=NUMBER, the number being whole and not negative")]
+    /// The value is not a number in range.
+    #[error("`{0}` is not of the form NAME=NUMBER with a non-negative whole number")]
     Value(String),
 }
 
-/// The settings of all mechanisms.
+/// All policy settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// Entries take part in bursts as relays, because their links are wide.
+    /// Whether entries take part in bursts as relays, since they have fast links.
     pub relays: bool,
-    /// Processes beside replicas that are asked for a place before a request is judged.
+    /// Number of sidecars that are asked for a lease before a request is evaluated.
     pub lease_requests: u32,
-    /// Replicas whose cost is over the least by no more than this are as good: what is known of
-    /// them is up to a second old, in which a replica takes some six requests.
+    /// Replicas whose cost exceeds the lowest by no more than this are treated as equal: what is
+    /// known of them is up to a second old, in which a replica takes about six requests.
     pub cost_tolerance: Duration,
     /// Whether the delay of a replica's link is part of its estimate.
     pub link_delay: bool,
-    /// Cost of each taken slot: a fuller engine writes more slowly.
+    /// Cost of each taken slot, since a fuller engine decodes more slowly.
     pub slot_cost: Duration,
-    /// Handicap of a replica in another hall.
+    /// Cost of a replica in another hall.
     pub remote_penalty: Duration,
-    /// Hundredths of the mean time in an engine's queue that are expected: whoever waits has to be
-    /// in time mostly, not just on average.
+    /// Factor on the mean queueing time, in percent. Above 100, since a queued request has to be in
+    /// time mostly, not just on average.
     pub queue_spread: u32,
-    /// Waves in which replicas change their version; 0 for as many as there is time for.
+    /// Number of waves in which replicas change their version; 0 for as many as fit into the time.
     pub waves: u32,
-    /// Whether each sponsor of a burst begins with other chunks.
+    /// Whether each sponsor of a burst starts with different chunks.
     pub chunk_order: bool,
-    /// Whether nobody draws from the origin what a peer is drawing there.
+    /// Whether a process leaves a chunk that a peer is already fetching from the origin to that
+    /// peer.
     pub claims: bool,
-    /// Whether few entries of a hall read the store for the others.
+    /// Whether a few entries of a hall read the store for the others.
     pub few_readers: bool,
-    /// Whether halls exchange digests, and agents tell their own hall only.
+    /// Whether halls exchange digests, and agents report to their own hall only.
     pub digests: bool,
-    /// Whether removals shortly after trouble of the store are doubted.
+    /// Whether removals shortly after a failure of the store are provisional.
     pub removal_grace: bool,
-    /// Whether a failed attempt is made again elsewhere.
+    /// Whether a failed attempt is repeated on another replica.
     pub retries: bool,
-    /// Whether a broken stream is taken up elsewhere.
+    /// Whether a broken stream is resumed on another replica.
     pub resume: bool,
-    /// Whether processes beside replicas keep what streams bring, so that whoever reads them may change the connection.
+    /// Whether sidecars buffer streams, so that a reader can continue on another connection.
     pub stream_buffering: bool,
-    /// Hundredths of the limit within which the first event has to be expected.
+    /// Share of the limit within which the first event has to be expected, in percent.
     pub admit_percent: u32,
-    /// Whether the limit is the tightest objective of a service for all kinds of request.
+    /// Whether all kinds of request of a service share the limit of its tightest objective.
     pub shared_limit: bool,
-    /// Hundredths of the limit for a request whose caller has been away already: those who come for
-    /// the first time go first.
+    /// Share of the limit for a retry, in percent. It is lower, so that first tries go first.
     pub retry_admit_percent: u32,
-    /// Whether a refusal for want of weights tells when they are expected.
+    /// Whether a refusal because of missing weights tells when they are expected.
     pub retry_after_eta: bool,
 }
 
@@ -92,19 +92,19 @@
 }
 
 impl Policy {
-    /// The default with the given changes, each `NAME=NUMBER`.
+    /// Returns the default with `changes`, each as `NAME=NUMBER`.
     pub fn with<'a>(changes: impl IntoIterator<Item = &'a str>) -> Result<Self, Error> {
         let mut policy = Self::default();
         for change in changes {
-            let wrong = || Error::Value(change.to_owned());
-            let (name, value) = change.split_once('=').ok_or_else(wrong)?;
-            policy.set(name, value.parse().map_err(|_| wrong())?)?;
+            let invalid = || Error::Value(change.to_owned());
+            let (name, value) = change.split_once('=').ok_or_else(invalid)?;
+            policy.set(name, value.parse().map_err(|_| invalid())?)?;
         }
         Ok(policy)
     }
 
     fn set(&mut self, name: &str, value: u32) -> Result<(), Error> {
-        let mut known = MECHANISMS.iter();
+        let mut known = SETTINGS.iter();
         let (_, set) = known
             .find(|(known, _)| *known == name)
             .ok_or_else(|| Error::Unknown(name.to_owned()))?;
@@ -113,38 +113,54 @@
     }
 }
 
-/// Sets one mechanism.
+/// Sets one setting.
 type Set = fn(&mut Policy, u32);
 
-/// The mechanisms by the names that `--policy` takes.
-const MECHANISMS: [(&str, Set); 20] = [
-    ("relays", |set, to| set.relays = to > 0),
-    ("asks", |set, to| set.lease_requests = to),
-    ("window-ms", |set, to| set.cost_tolerance = millis(to)),
-    ("link-delay", |set, to| set.link_delay = to > 0),
-    ("crowding-ms", |set, to| set.slot_cost = millis(to)),
-    ("remote-ms", |set, to| set.remote_penalty = millis(to)),
-    ("queue-spread", |set, to| set.queue_spread = to),
-    ("waves", |set, to| set.waves = to),
-    ("chunk-order", |set, to| set.chunk_order = to > 0),
-    ("claims", |set, to| set.claims = to > 0),
-    ("few-readers", |set, to| set.few_readers = to > 0),
-    ("digests", |set, to| set.digests = to > 0),
-    ("doubt", |set, to| set.removal_grace = to > 0),
-    ("retries", |set, to| set.retries = to > 0),
-    ("resume", |set, to| set.resume = to > 0),
-    ("kept", |set, to| set.stream_buffering = to > 0),
-    ("admit", |set, to| set.admit_percent = to),
-    ("shared-limit", |set, to| set.shared_limit = to > 0),
-    ("return-admit", |set, to| set.retry_admit_percent = to),
-    ("named-return", |set, to| set.retry_after_eta = to > 0),
+/// Settings by their names for `--policy`.
+const SETTINGS: [(&str, Set); 20] = [
+    ("relays", |policy, value| policy.relays = value > 0),
+    ("asks", |policy, value| policy.lease_requests = value),
+    ("window-ms", |policy, value| {
+        policy.cost_tolerance = millis(value)
+    }),
+    ("link-delay", |policy, value| policy.link_delay = value > 0),
+    ("crowding-ms", |policy, value| {
+        policy.slot_cost = millis(value)
+    }),
+    ("remote-ms", |policy, value| {
+        policy.remote_penalty = millis(value)
+    }),
+    ("queue-spread", |policy, value| policy.queue_spread = value),
+    ("waves", |policy, value| policy.waves = value),
+    ("chunk-order", |policy, value| {
+        policy.chunk_order = value > 0
+    }),
+    ("claims", |policy, value| policy.claims = value > 0),
+    ("few-readers", |policy, value| {
+        policy.few_readers = value > 0
+    }),
+    ("digests", |policy, value| policy.digests = value > 0),
+    ("doubt", |policy, value| policy.removal_grace = value > 0),
+    ("retries", |policy, value| policy.retries = value > 0),
+    ("resume", |policy, value| policy.resume = value > 0),
+    ("kept", |policy, value| policy.stream_buffering = value > 0),
+    ("admit", |policy, value| policy.admit_percent = value),
+    ("shared-limit", |policy, value| {
+        policy.shared_limit = value > 0
+    }),
+    ("return-admit", |policy, value| {
+        policy.retry_admit_percent = value
+    }),
+    ("named-return", |policy, value| {
+        policy.retry_after_eta = value > 0
+    }),
 ];
 
 fn millis(value: u32) -> Duration {
     Duration::from_millis(u64::from(value))
 }
 
-/// The names of all mechanisms.
+/// Names of all settings.
 pub fn names() -> impl Iterator<Item = &'static str> {
-    MECHANISMS.iter().map(|(name, _)| *name)
+    SETTINGS.iter().map(|(name, _)| *name)
 }
