--- a/src/timeout.rs
+++ b/src/timeout.rs
@@ -1,8 +1,9 @@
-//! Waiting for a transfer as long as it moves.
+//! Timeouts for transfers, which wait as long as data arrives.
 //!
-//! A limit on a whole transfer has to guess its length and the link's rate. Above some length it
-//! ends every transfer, whoever begins anew takes the link from those that might have ended, and
-//! none ends any more. So the limit is on silence: what still comes in is waited for.
+//! A limit on the total time of a transfer has to guess its length and the link's rate. Above some
+//! length it aborts every transfer, each retry takes bandwidth from those that could have
+//! completed, and none completes any more. So the main limit is on idle time: a transfer that still
+//! receives data is waited for.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -15,40 +16,41 @@
 use crate::clock::Time;
 use crate::exchange;
 
-/// How often it is looked whether bytes came: silence is noticed so much later at most.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval of the checks for progress, and so the longest delay in noticing an idle transfer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When bytes of a transfer came last. Clones tell of the same transfer.
+/// Time of a transfer's last progress, shared by all clones.
 #[derive(Debug, Clone, Default)]
 pub struct Progress {
     last: Rc<Cell<Option<Instant>>>,
 }
 
 impl Progress {
-    /// Bytes came now.
+    /// Records that bytes arrived now.
     pub fn touch(&self) {
         self.last.set(Some(Instant::now()));
     }
 
-    /// When bytes came last, if any did.
+    /// When bytes last arrived, if any did.
     pub fn last(&self) -> Option<Instant> {
         self.last.get()
     }
 }
 
-/// How long a transfer is waited for.
+/// Limits of a transfer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Config {
-    /// Until its first byte.
+    /// Limit until the first byte.
     pub first_byte: Duration,
-    /// From one byte to the next.
+    /// Limit between two arrivals of bytes.
     pub idle: Duration,
-    /// In all: a peer that hands out a byte now and then holds nobody for ever.
+    /// Limit on the whole transfer, so that a peer that sends a byte now and then cannot hold it
+    /// open forever.
     pub total: Duration,
 }
 
 impl Config {
-    /// The default for a transfer whose first byte is due within `first`.
+    /// Returns the defaults for a transfer whose first byte is due within `first`.
     pub fn with_first_byte(first: Duration) -> Self {
         Self {
             first_byte: first,
@@ -58,8 +60,8 @@
 }
 
 impl Default for Config {
-    /// The pause is that after which the kernel gives a silent peer up. In the longest time a
-    /// document of a megabyte crosses a link of half a megabit per second.
+    /// The idle limit is the time after which the kernel gives up on a silent peer. Within the
+    /// total limit, a document of one megabyte crosses a link of half a megabit per second.
     fn default() -> Self {
         Self {
             first_byte: Duration::from_millis(1_000),
@@ -69,86 +71,86 @@
     }
 }
 
-/// Why a transfer was not waited for any longer.
+/// Why a transfer was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Nothing came.
+    /// No data arrived.
     #[error("no answer within {} ms", after.as_millis())]
     NoAnswer {
-        /// How long it was waited for.
+        /// The exceeded limit.
         after: Duration,
     },
-    /// It stopped.
-    #[error("nothing more came for {} ms", after.as_millis())]
+    /// No more data arrived.
+    #[error("transfer stalled: no more data for {} ms", after.as_millis())]
     Stalled {
-        /// How long it was waited for more.
+        /// The exceeded limit.
         after: Duration,
     },
-    /// It took too long in all.
-    #[error("not whole after {} ms", after.as_millis())]
+    /// The transfer exceeded its total limit.
+    #[error("transfer incomplete after {} ms", after.as_millis())]
     TooLong {
-        /// How long it was waited for.
+        /// The exceeded limit.
         after: Duration,
     },
-    /// Whoever waited does not need it any more.
-    #[error("not needed any more")]
+    /// The result is not needed any more.
+    #[error("transfer cancelled: its result is not needed any more")]
     Cancelled,
 }
 
-/// Waits for `transfer`, which notes its `progress`.
+/// Waits for `transfer`, which records its `progress`.
 pub async fn wait<F: Future>(
     transfer: F,
     progress: &Progress,
-    setting: Config,
+    config: Config,
 ) -> Result<F::Output, Error> {
-    wait_while(transfer, progress, setting, || {}, || true).await
+    wait_while(transfer, progress, config, || {}, || true).await
 }
 
-/// Waits for `transfer`, which notes its `progress`. `moved` is called when it has moved since the
-/// last look, and `needed` says at each look whether to go on.
+/// Waits for `transfer`, which records its `progress`. `on_progress` is called after each check that
+/// finds progress, and `is_needed` tells at each check whether to go on.
 pub async fn wait_while<F: Future>(
     transfer: F,
     progress: &Progress,
-    setting: Config,
-    mut moved: impl FnMut(),
-    needed: impl Fn() -> bool,
+    config: Config,
+    mut on_progress: impl FnMut(),
+    is_needed: impl Fn() -> bool,
 ) -> Result<F::Output, Error> {
     let mut transfer = pin!(transfer);
     let began = Instant::now();
-    let mut seen = None;
+    let mut last_seen = None;
     loop {
-        match select(transfer, pin!(sleep(LOOK))).await {
+        match select(transfer, pin!(sleep(CHECK_INTERVAL))).await {
             Either::Left((ended, _)) => return Ok(ended),
             Either::Right((_, rest)) => transfer = rest,
         }
-        if progress.last() != seen {
-            seen = progress.last();
-            moved();
+        if progress.last() != last_seen {
+            last_seen = progress.last();
+            on_progress();
         }
-        if let Some(error) = given_up(setting, began, seen) {
+        if let Some(error) = exceeded(config, began, last_seen) {
             return Err(error);
         }
-        if !needed() {
+        if !is_needed() {
             return Err(Error::Cancelled);
         }
     }
 }
 
-/// How late it may be noticed that a limit is over because the machine was suspended.
-const SUSPENDED_LOOK: Duration = Duration::from_millis(400);
+/// Longest delay in noticing that a limit expired while the machine was suspended.
+const SUSPENSION_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Waits for `step` for as long as `limit`, by the clock that `now` reads. The runtime's timers stand still while the
-/// machine is suspended: whoever waits for seconds looks at the clock meanwhile.
+/// Waits for `operation` up to `limit`, by the clock that `now` reads. The runtime's timers stop while
+/// the machine is suspended, so the clock is checked during longer waits.
 pub async fn within<T>(
     now: impl Fn() -> Time,
     limit: Duration,
-    step: impl Future<Output = T>,
+    operation: impl Future<Output = T>,
 ) -> Option<T> {
-    let mut step = pin!(step);
+    let mut operation = pin!(operation);
     let end = now() + limit;
     loop {
-        let left = end.since(now()).min(SUSPENDED_LOOK);
-        if let Ok(done) = timeout(left, &mut step).await {
+        let remaining = end.since(now()).min(SUSPENSION_CHECK_INTERVAL);
+        if let Ok(done) = timeout(remaining, &mut operation).await {
             return Some(done);
         }
         if now() >= end {
@@ -157,17 +159,17 @@
     }
 }
 
-fn given_up(setting: Config, began: Instant, last: Option<Instant>) -> Option<Error> {
+fn exceeded(config: Config, began: Instant, last: Option<Instant>) -> Option<Error> {
     let Config {
-        first_byte: first,
-        idle: pause,
-        total: whole,
-    } = setting;
-    if began.elapsed() >= whole {
-        return Some(Error::TooLong { after: whole });
+        first_byte,
+        idle,
+        total,
+    } = config;
+    if began.elapsed() >= total {
+        return Some(Error::TooLong { after: total });
     }
     match last {
-        None => (began.elapsed() >= first).then_some(Error::NoAnswer { after: first }),
-        Some(last) => (last.elapsed() >= pause).then_some(Error::Stalled { after: pause }),
+        None => (began.elapsed() >= first_byte).then_some(Error::NoAnswer { after: first_byte }),
+        Some(last) => (last.elapsed() >= idle).then_some(Error::Stalled { after: idle }),
     }
 }
