--- a/src/policy.rs
+++ b/src/policy.rs
@@ -118,42 +118,26 @@
 
 /// Settings by their names for `--policy`.
 const SETTINGS: [(&str, Set); 20] = [
-    ("relays", |policy, value| policy.relays = value > 0),
-    ("asks", |policy, value| policy.lease_requests = value),
-    ("window-ms", |policy, value| {
-        policy.cost_tolerance = millis(value)
-    }),
-    ("link-delay", |policy, value| policy.link_delay = value > 0),
-    ("crowding-ms", |policy, value| {
-        policy.slot_cost = millis(value)
-    }),
-    ("remote-ms", |policy, value| {
-        policy.remote_penalty = millis(value)
-    }),
-    ("queue-spread", |policy, value| policy.queue_spread = value),
-    ("waves", |policy, value| policy.waves = value),
-    ("chunk-order", |policy, value| {
-        policy.chunk_order = value > 0
-    }),
-    ("claims", |policy, value| policy.claims = value > 0),
-    ("few-readers", |policy, value| {
-        policy.few_readers = value > 0
-    }),
-    ("digests", |policy, value| policy.digests = value > 0),
-    ("doubt", |policy, value| policy.removal_grace = value > 0),
-    ("retries", |policy, value| policy.retries = value > 0),
-    ("resume", |policy, value| policy.resume = value > 0),
-    ("kept", |policy, value| policy.stream_buffering = value > 0),
-    ("admit", |policy, value| policy.admit_percent = value),
-    ("shared-limit", |policy, value| {
-        policy.shared_limit = value > 0
-    }),
-    ("return-admit", |policy, value| {
-        policy.retry_admit_percent = value
-    }),
-    ("named-return", |policy, value| {
-        policy.retry_after_eta = value > 0
-    }),
+    ("relays", |p, value| p.relays = value > 0),
+    ("asks", |p, value| p.lease_requests = value),
+    ("window-ms", |p, value| p.cost_tolerance = millis(value)),
+    ("link-delay", |p, value| p.link_delay = value > 0),
+    ("crowding-ms", |p, value| p.slot_cost = millis(value)),
+    ("remote-ms", |p, value| p.remote_penalty = millis(value)),
+    ("queue-spread", |p, value| p.queue_spread = value),
+    ("waves", |p, value| p.waves = value),
+    ("chunk-order", |p, value| p.chunk_order = value > 0),
+    ("claims", |p, value| p.claims = value > 0),
+    ("few-readers", |p, value| p.few_readers = value > 0),
+    ("digests", |p, value| p.digests = value > 0),
+    ("doubt", |p, value| p.removal_grace = value > 0),
+    ("retries", |p, value| p.retries = value > 0),
+    ("resume", |p, value| p.resume = value > 0),
+    ("kept", |p, value| p.stream_buffering = value > 0),
+    ("admit", |p, value| p.admit_percent = value),
+    ("shared-limit", |p, value| p.shared_limit = value > 0),
+    ("return-admit", |p, value| p.retry_admit_percent = value),
+    ("named-return", |p, value| p.retry_after_eta = value > 0),
 ];
 
 fn millis(value: u32) -> Duration {
--- a/src/route/notice.rs
+++ b/src/route/notice.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 
 /// Longest backoff that a notice may ask for.
 const BACKOFF_MAX: Duration = Duration::from_secs(600);
@@ -112,17 +112,17 @@
 
 /// Suspensions by replica instance, listed or not.
 #[derive(Debug, Default)]
-pub struct Suspensions(BTreeMap<Incarnation, (Suspension, Time)>);
+pub struct Suspensions(BTreeMap<Instance, (Suspension, Time)>);
 
 impl Suspensions {
     /// Stores the suspension of an instance, and drops expired ones.
-    pub fn insert(&mut self, instance: Incarnation, suspension: Suspension, now: Time) {
+    pub fn insert(&mut self, instance: Instance, suspension: Suspension, now: Time) {
         self.0.retain(|_, (_, at)| now.since(*at) < RETENTION);
         self.0.insert(instance, (suspension, now));
     }
 
     /// Returns the stored suspension of an instance, or an empty one.
-    pub fn get(&self, instance: &Incarnation) -> Suspension {
+    pub fn get(&self, instance: &Instance) -> Suspension {
         self.0
             .get(instance)
             .map(|(suspension, _)| *suspension)
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -20,7 +20,7 @@
 use crate::clock::Time;
 use crate::config::residency::{Regions, Residency};
 use crate::config::routing::Engine;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 use crate::policy::Policy;
 use crate::wire::sync::ReplicaStatus;
 
@@ -310,7 +310,7 @@
     pub fn apply_notice(
         &mut self,
         key: Key,
-        instance: &Incarnation,
+        instance: &Instance,
         notice: Notice,
         now: Time,
     ) -> bool {
--- a/src/route/pool/instance.rs
+++ b/src/route/pool/instance.rs
@@ -52,7 +52,7 @@
                     let mut replica = Replica::new(listed.record.clone());
                     // The list entry of an instance may expire and come back; its suspension
                     // persists.
-                    replica.suspension = self.suspensions.get(&listed.record.incarnation());
+                    replica.suspension = self.suspensions.get(&listed.record.instance());
                     let key = self.replicas.insert(replica);
                     self.ids.insert(id.clone(), key);
                     key
@@ -142,7 +142,7 @@
         for key in replicas {
             let record = &self.replicas[key].record;
             if load.born == 0 || load.born == record.born {
-                let instance = record.incarnation();
+                let instance = record.instance();
                 self.apply_notice(key, &instance, load.notice(), at);
                 self.replicas[key].report(load, at);
             } else if !known && record.born < load.born {
