--- a/tests/where.rs
+++ b/tests/where.rs
@@ -1,5 +1,5 @@
-//! Where requests may go at all: regions that customers and routes are bound to, halls that operators
-//! evacuate, and replicas that are cold after their start while everyone calls them back.
+//! Constraints on where requests may be sent: regions that customers and routes are bound to, halls
+//! that operators evacuate, and the rate limits of cold replicas.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     }
 }
 
-/// An entry of the hall north-a, with two replicas in each of three halls of two regions.
+/// An entry in the hall north-a, with two replicas in each of three halls in two regions.
 struct Entry {
     catalog: Catalog,
     pool: Pool,
@@ -67,9 +67,9 @@
             cold_per_s: 0.0,
         };
         for (index, hall) in ["north-a", "north-b", "south-a"].iter().enumerate() {
-            for twin in 0..2 {
-                let index = 2 * index as u8 + twin;
-                entry.learn(
+            for copy in 0..2 {
+                let index = 2 * index as u8 + copy;
+                entry.apply(
                     1 + u64::from(index),
                     Fact::Replica(record(index, hall, 0)),
                     NOW,
@@ -79,7 +79,7 @@
         entry
     }
 
-    fn learn(&mut self, revision: u64, fact: Fact, now: Time) -> Effect {
+    fn apply(&mut self, revision: u64, fact: Fact, now: Time) -> Effect {
         let effect = self
             .catalog
             .apply(Revisioned { revision, fact }, now, false);
@@ -92,7 +92,7 @@
 
     fn evacuate(&mut self, revision: u64, hall: &str, asked: bool) -> Effect {
         let hall = hall.into();
-        self.learn(
+        self.apply(
             revision,
             Fact::Evacuation {
                 hall,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The halls to which a hundred requests go, or why they go nowhere.
+    /// Halls that a hundred requests go to, or the error if there is none.
     fn halls(&self, residency: &Residency, now: Time) -> Result<BTreeSet<String>, Unavailable> {
         (0..100)
             .map(|seed| {
@@ -133,18 +133,21 @@
 }
 
 #[test]
-fn bound_requests_reach_no_replica_of_another_region_however_near_it_is() {
+fn region_bound_requests_never_leave_their_region() {
     let entry = Entry::new();
     let south = entry.halls(&only(&["south"]), NOW);
     assert_eq!(south, Ok(["south-a".to_owned()].into()));
     let nowhere = entry.halls(&only(&["west"]), NOW);
     assert_eq!(nowhere, Err(Unavailable::NoneAllowed));
     let anywhere = entry.halls(&Residency::Anywhere, NOW).unwrap();
-    assert!(!anywhere.contains("south-a"), "the own region is nearer");
+    assert!(
+        !anywhere.contains("south-a"),
+        "replicas in the entry's region are preferred"
+    );
 }
 
 #[test]
-fn a_replica_whose_region_is_not_known_serves_nobody_who_is_bound() {
+fn a_replica_in_an_unknown_region_gets_no_region_bound_requests() {
     let mut entry = Entry::new();
     entry.regions = Regions::default();
     let bound = entry.halls(&only(&["south"]), NOW);
@@ -153,7 +156,7 @@
 }
 
 #[test]
-fn a_place_that_was_chosen_is_dropped_when_its_hall_is_not_allowed() {
+fn no_estimate_is_given_for_a_replica_in_a_disallowed_hall() {
     let mut entry = Entry::new();
     let south = only(&["south"]);
     let key = entry.pool.by_service("desk")[0];
@@ -175,7 +178,7 @@
 }
 
 #[test]
-fn route_and_customer_bind_both() {
+fn residency_is_the_intersection_of_route_and_customer() {
     let route = only(&["north", "south"]);
     assert_eq!(
         route.intersection(&only(&["south", "west"])),
@@ -188,7 +191,7 @@
 }
 
 #[test]
-fn an_evacuated_hall_gets_nothing_until_that_is_taken_back() {
+fn an_evacuated_hall_gets_no_requests_until_the_evacuation_ends() {
     let mut entry = Entry::new();
     assert_eq!(entry.evacuate(20, "north-a", true), Effect::Evacuations);
     let halls = entry.halls(&Residency::Anywhere, NOW).unwrap();
@@ -202,7 +205,7 @@
     assert_eq!(halls, Ok(["north-a".to_owned()].into()));
 }
 
-fn told(revision: u64, asked: bool) -> Evacuation {
+fn evacuation(revision: u64, asked: bool) -> Evacuation {
     Evacuation {
         hall: "north-a".into(),
         active: asked,
@@ -211,13 +214,13 @@
 }
 
 #[test]
-fn the_newest_word_on_a_hall_wins_in_whatever_order_it_comes() {
+fn the_newest_evacuation_revision_wins_in_any_order() {
     fn property(steps: Vec<(u8, bool)>) -> bool {
         let mut known = Evacuations::default();
         let mut newest: Option<(u64, bool)> = None;
         for (revision, asked) in steps {
             let revision = u64::from(revision) + 1;
-            known.apply(told(revision, asked));
+            known.apply(evacuation(revision, asked));
             if newest.is_none_or(|(known, _)| known < revision) {
                 newest = Some((revision, asked));
             }
@@ -230,17 +233,20 @@
 }
 
 #[test]
-fn a_store_that_forgot_its_history_ends_evacuations_that_are_not_there_any_more() {
+fn a_full_read_ends_evacuations_that_the_store_no_longer_has() {
     let mut known = Evacuations::default();
-    assert!(known.apply(told(10, true)));
+    assert!(known.apply(evacuation(10, true)));
     assert!(!known.apply_list(&["north-a".into()], 30));
-    assert!(!known.apply_list(&[], 9), "a read of before says nothing");
+    assert!(!known.apply_list(&[], 9), "an older read is ignored");
     assert!(known.apply_list(&[], 30));
     assert_eq!(known.active().count(), 0);
-    assert!(!known.apply(told(10, true)), "late news of it");
+    assert!(
+        !known.apply(evacuation(10, true)),
+        "a late report of it is ignored"
+    );
 }
 
-/// Most of `sent` within any one second.
+/// Largest number of entries of `sent` within any one second.
 fn busiest_second(sent: &[u64]) -> usize {
     let within = |from: u64| {
         let second = from..from + 1_000;
@@ -249,14 +255,14 @@
     sent.iter().map(|from| within(*from)).max().unwrap_or(0)
 }
 
-/// The rate that a replica of 12 places bears while it is cold, as fleets of them tell it.
+/// Requests per second that a replica of 12 slots can take while it is cold.
 const COLD_PER_S: f64 = 14.0;
 
-/// Requests in a second above which a cold replica falls over: half as many again, and five.
-const COLD_MOST: usize = 26;
+/// Requests per second above which a cold replica fails: 1.5 times its rate plus five.
+const COLD_FAILURE_RATE: usize = 26;
 
 #[test]
-fn everyone_returns_to_a_cold_replica_at_once_and_it_is_dealt_out_what_it_bears() {
+fn leases_at_a_cold_replica_stay_within_its_rate_limit() {
     let mut ledger = Ledger::default();
     let load = Load {
         alive: true,
@@ -268,7 +274,7 @@
         ..Load::default()
     };
     let mut given = Vec::new();
-    // Forty entries ask every 5 ms each; one in ten knows already that it is cold.
+    // Forty entries ask every 5 ms each. One in ten already knows that the replica is cold.
     for ms in (0..3_000).step_by(5) {
         for entry in 0..40 {
             let cold = (entry % 10 == 0).then_some(Throttle {
@@ -288,7 +294,7 @@
         }
     }
     assert!(
-        busiest_second(&given) <= COLD_MOST,
+        busiest_second(&given) <= COLD_FAILURE_RATE,
         "{}",
         busiest_second(&given)
     );
@@ -302,30 +308,30 @@
 }
 
 #[test]
-fn entries_without_a_process_beside_the_replica_share_what_a_cold_one_bears() {
+fn entries_without_a_sidecar_share_the_rate_of_a_cold_replica() {
     fn property(entries: u8, per_s: u8) -> bool {
         let (entries, per_s) = (usize::from(entries % 40) + 1, f64::from(per_s % 30) + 1.0);
-        let mut own = vec![TokenBucket::default(); entries];
-        let part = per_s / entries as f64;
+        let mut buckets = vec![TokenBucket::default(); entries];
+        let share = per_s / entries as f64;
         let mut sent = Vec::new();
         for ms in (0..4_000).step_by(10) {
-            let each = own.iter_mut();
-            let taken = each.filter_map(|own| own.take(part, at(ms)).then_some(ms));
+            let each = buckets.iter_mut();
+            let taken = each.filter_map(|bucket| bucket.take(share, at(ms)).then_some(ms));
             sent.extend(taken);
         }
-        // Each may have one request saved up.
+        // Each bucket may hold one saved token.
         busiest_second(&sent) <= (per_s * 1.25).ceil() as usize + entries
     }
     quickcheck(property as fn(u8, u8) -> bool);
 }
 
 #[test]
-fn a_cold_replica_without_anyone_to_ask_is_passed_over_until_it_may_get_something() {
+fn a_cold_replica_without_a_sidecar_is_skipped_until_a_token_is_available() {
     let mut entry = Entry::new();
     entry.cold_per_s = 2.0;
     for index in 0..4 {
         let hall = if index < 2 { "north-a" } else { "north-b" };
-        entry.learn(
+        entry.apply(
             30 + u64::from(index),
             Fact::Replica(record(index, hall, 3_000)),
             NOW,
@@ -337,20 +343,20 @@
     assert!(!entry.pool.take_cold_token(key, 2.0, at(100)));
     assert!(entry.pool.take_cold_token(key, 2.0, at(600)));
     assert!(!entry.pool.take_cold_token(key, 2.0, at(610)));
-    // Its heartbeats tell the same again, and later that it is warm.
-    entry.learn(40, Fact::Replica(record(0, "north-a", 3_000)), at(1_200));
+    // Heartbeats repeat the same cold time, and later report that the replica is warm.
+    entry.apply(40, Fact::Replica(record(0, "north-a", 3_000)), at(1_200));
     assert!(!entry.pool.take_cold_token(key, 2.0, at(1_050)));
     assert!(entry.halls(&north, at(3_100)).is_ok());
-    entry.learn(41, Fact::Replica(record(1, "north-a", 0)), at(1_300));
+    entry.apply(41, Fact::Replica(record(1, "north-a", 0)), at(1_300));
     assert!(entry.halls(&north, at(1_300)).is_ok());
 }
 
 #[test]
-fn where_nobody_deals_them_out_an_entry_sends_its_part_of_what_a_cold_replica_bears() {
+fn an_entry_sends_its_share_to_a_cold_replica_without_a_sidecar() {
     let mut entry = Entry::new();
     entry.cold_per_s = 2.0;
     for index in 0..2 {
-        entry.learn(
+        entry.apply(
             30 + u64::from(index),
             Fact::Replica(record(index, "north-a", 3_000)),
             NOW,
@@ -368,14 +374,14 @@
 }
 
 #[test]
-fn a_later_life_is_not_cold_because_an_earlier_one_was() {
+fn a_later_instance_does_not_inherit_the_cold_phase() {
     let mut entry = Entry::new();
     let first = Record {
         born: 1,
         ..record(0, "north-a", 3_000)
     };
     let address = first.address;
-    entry.learn(30, Fact::Replica(first), NOW);
+    entry.apply(30, Fact::Replica(first), NOW);
     let cold = |entry: &Entry| {
         let keys = entry.pool.by_service("desk").iter();
         let mut replicas = keys.filter_map(|key| entry.pool.get(*key));
