--- a/tests/notice.rs
+++ b/tests/notice.rs
@@ -1,4 +1,5 @@
-//! What replicas want by their own words: read, remembered for a life, and kept to.
+//! Notices of replicas: parsing, retention per instance, and their effect on the choice of
+//! replicas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,12 +20,12 @@
 
 const NOW: Time = Time::from_millis(3_600_000);
 
-const LEAVES: Notice = Notice {
+const LEAVING: Notice = Notice {
     leaving: true,
     backoff: None,
 };
 
-fn rest(millis: u64) -> Notice {
+fn backoff(millis: u64) -> Notice {
     Notice {
         leaving: false,
         backoff: Some(Duration::from_millis(millis)),
@@ -49,7 +50,7 @@
     }
 }
 
-fn list(pool: &mut Pool, records: &[Record]) {
+fn update_list(pool: &mut Pool, records: &[Record]) {
     let list: BTreeMap<Arc<str>, ListedReplica> = records
         .iter()
         .map(|record| {
@@ -67,7 +68,7 @@
 
 fn pool(records: &[Record]) -> Pool {
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    list(&mut pool, records);
+    update_list(&mut pool, records);
     pool
 }
 
@@ -92,8 +93,8 @@
     pool.choose(ask, now, &mut rng).map(|choice| choice.key)
 }
 
-/// Has the replica that is chosen tell `notice`.
-fn tell(pool: &mut Pool, notice: Notice, now: Time) -> Key {
+/// Applies `notice` to the replica that is chosen.
+fn receive(pool: &mut Pool, notice: Notice, now: Time) -> Key {
     let key = choose(pool, now).unwrap();
     let instance = pool.get(key).unwrap().record.instance();
     assert!(pool.apply_notice(key, &instance, notice, now));
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn a_time_that_is_none_is_no_wish_for_rest() {
+fn an_invalid_backoff_is_ignored() {
     let of = |seconds| Notice::new(false, Some(seconds)).backoff;
     for seconds in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
         assert_eq!(of(seconds), None, "{seconds}");
@@ -111,47 +112,47 @@
 }
 
 #[test]
-fn a_shorter_rest_does_not_end_a_longer_one() {
-    let mut wish = Suspension::default();
-    assert!(wish.apply(rest(3_000), NOW));
-    assert!(!wish.apply(rest(500), after(100)));
-    assert!(wish.rejects(after(2_999)));
-    assert!(!wish.rejects(after(3_000)));
+fn a_shorter_backoff_does_not_end_a_longer_one() {
+    let mut suspension = Suspension::default();
+    assert!(suspension.apply(backoff(3_000), NOW));
+    assert!(!suspension.apply(backoff(500), after(100)));
+    assert!(suspension.rejects(after(2_999)));
+    assert!(!suspension.rejects(after(3_000)));
 }
 
 #[test]
-fn one_that_rests_is_passed_over_until_its_rest_is_over() {
+fn a_replica_is_skipped_until_its_backoff_ends() {
     let mut pool = pool(&[record(1, 0), record(2, 0)]);
-    let resting = tell(&mut pool, rest(3_000), NOW);
-    assert_ne!(choose(&pool, after(1)).unwrap(), resting);
-    tell(&mut pool, rest(1_000), after(1));
-    let shortage = choose(&pool, after(501)).unwrap_err();
+    let backing_off = receive(&mut pool, backoff(3_000), NOW);
+    assert_ne!(choose(&pool, after(1)).unwrap(), backing_off);
+    receive(&mut pool, backoff(1_000), after(1));
+    let unavailable = choose(&pool, after(501)).unwrap_err();
     let first = Duration::from_millis(500);
-    assert_eq!(shortage, Unavailable::BackingOff { remaining: first });
+    assert_eq!(unavailable, Unavailable::BackingOff { remaining: first });
     assert!(choose(&pool, after(1_001)).is_ok());
 }
 
 #[test]
-fn one_that_leaves_is_passed_over_for_its_life_whatever_the_list_says() {
+fn a_leaving_instance_is_skipped_whatever_the_list_shows() {
     let mut pool = pool(&[record(1, 5)]);
-    tell(&mut pool, LEAVES, NOW);
+    receive(&mut pool, LEAVING, NOW);
     let later = after(3_000_000);
     assert_eq!(choose(&pool, later), Err(Unavailable::NoneEligible));
-    list(&mut pool, &[]);
-    list(&mut pool, &[record(1, 5)]);
+    update_list(&mut pool, &[]);
+    update_list(&mut pool, &[record(1, 5)]);
     assert_eq!(choose(&pool, later), Err(Unavailable::NoneEligible));
 }
 
 #[test]
-fn what_one_life_wanted_does_not_bind_the_next() {
+fn a_notice_does_not_bind_the_next_instance() {
     let mut pool = pool(&[record(1, 5)]);
-    tell(&mut pool, LEAVES, NOW);
-    list(&mut pool, &[record(1, 6)]);
+    receive(&mut pool, LEAVING, NOW);
+    update_list(&mut pool, &[record(1, 6)]);
     assert!(choose(&pool, NOW).is_ok());
 }
 
 #[test]
-fn entries_hear_it_from_the_process_beside_the_replica() {
+fn entries_learn_of_notices_from_sidecar_reports() {
     let mut pool = pool(&[record(1, 5), record(2, 5)]);
     let load = Load {
         born: 5,
@@ -160,39 +161,39 @@
         ..Load::default()
     };
     pool.report("10.0.0.1:80".parse().unwrap(), &load, NOW);
-    let leaves = Load {
+    let leaving_load = Load {
         leaving: true,
         rest_ms: 0,
         ..load
     };
-    pool.report("10.0.0.2:80".parse().unwrap(), &leaves, NOW);
+    pool.report("10.0.0.2:80".parse().unwrap(), &leaving_load, NOW);
     let first = Duration::from_millis(700);
-    let shortage = choose(&pool, after(100)).unwrap_err();
-    assert_eq!(shortage, Unavailable::BackingOff { remaining: first });
-    let one = pool.get(choose(&pool, after(900)).unwrap()).unwrap();
-    assert_eq!(&*one.record.id, "i-1");
+    let unavailable = choose(&pool, after(100)).unwrap_err();
+    assert_eq!(unavailable, Unavailable::BackingOff { remaining: first });
+    let replica = pool.get(choose(&pool, after(900)).unwrap()).unwrap();
+    assert_eq!(&*replica.record.id, "i-1");
 }
 
 quickcheck! {
-    fn what_is_written_is_read(leaving: bool, millis: u16) -> bool {
+    fn a_notice_is_parsed_as_written(leaving: bool, millis: u16) -> bool {
         let notice = Notice::new(leaving, Some(f64::from(millis) / 1_000.0));
         Notice::parse(&notice.to_string()) == notice
     }
 
-    fn what_is_no_notice_tells_nothing_or_less(text: String) -> bool {
+    fn malformed_notices_are_bounded(text: String) -> bool {
         let notice = Notice::parse(&text);
-        notice.backoff.is_none_or(|rest| rest <= Duration::from_secs(600))
+        notice.backoff.is_none_or(|backoff| backoff <= Duration::from_secs(600))
     }
 
-    /// A rest is over when the longest of those asked for is.
-    fn rests_are_kept_to_the_end_of_the_last(told: Vec<(u16, u16)>) -> bool {
-        let mut told = told;
-        told.sort_unstable();
-        let (mut wish, mut until) = (Suspension::default(), Time::default());
-        for (at, millis) in told {
-            wish.apply(rest(u64::from(millis)), after(at.into()));
+    /// A backoff ends when the longest of those asked for does.
+    fn backoffs_last_until_the_longest_ends(notices: Vec<(u16, u16)>) -> bool {
+        let mut notices = notices;
+        notices.sort_unstable();
+        let (mut suspension, mut until) = (Suspension::default(), Time::default());
+        for (at, millis) in notices {
+            suspension.apply(backoff(u64::from(millis)), after(at.into()));
             until = until.max(after(u64::from(at) + u64::from(millis)));
         }
-        until == Time::default() || (wish.backoff(until).is_zero() && wish.rejects(until - Duration::from_millis(1)))
+        until == Time::default() || (suspension.backoff(until).is_zero() && suspension.rejects(until - Duration::from_millis(1)))
     }
 }
