--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Admission beyond the usual: callers who come back, limits that adapt, guesses that are corrected.
+//! Admission: retries of refused requests, limits, corrected estimates and policy settings.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,85 +22,93 @@
     Fingerprint::of([b"/path".as_slice(), &number.to_le_bytes()])
 }
 
-/// Callers whose deadlines are 0.3 to 3 times the usual one, all of them for the first time, while a fifth of
-/// what comes is refused. Taken for callers who come back by their deadlines, most were refused at once
-/// while engines had places for all.
+/// Guards against first tries being mistaken for retries. All callers here try for the first time,
+/// with deadlines of 0.3 to 3 times the usual one, while a fifth of the requests is refused. When
+/// retries were recognized by their deadlines, most of these were refused at once while engines had
+/// free slots for all.
 #[test]
-fn first_comers_are_served_alike_whatever_their_deadlines() {
-    let mut memory = History::default();
+fn first_tries_are_not_mistaken_for_retries_whatever_their_deadlines() {
+    let mut history = History::default();
     for number in 0..2_000 {
         let deadline = millis(1_800 + u64::from(number) * 17 % 16_200);
         let now = NOW + millis(u64::from(number));
-        assert_eq!(memory.first_try(request(number), now), None);
+        assert_eq!(history.first_try(request(number), now), None);
         if number % 5 == 0 {
-            memory.record(request(number), now, now + deadline);
+            history.record(request(number), now, now + deadline);
         }
     }
 }
 
 #[test]
-fn who_was_refused_is_known_until_it_cannot_be_back_and_its_first_try_counts() {
-    let mut memory = History::default();
-    memory.record(request(1), NOW, NOW + millis(900));
-    let back = NOW + millis(300);
-    assert_eq!(memory.first_try(request(1), back), Some(NOW));
-    memory.record(request(1), back, NOW + millis(900));
-    assert_eq!(memory.first_try(request(1), back + millis(200)), Some(NOW));
-    assert_eq!(memory.first_try(request(1), NOW + millis(901)), None);
-    // The same asked again a minute later is a first try, and its own refusal counts from there.
-    let anew = NOW + millis(60_000);
-    memory.record(request(1), anew, anew + millis(900));
-    assert_eq!(memory.first_try(request(1), anew + millis(100)), Some(anew));
-    // 250 ms of 400 are gone: 150 are left. Later it is one of those who cannot be in time.
+fn a_retry_is_recognized_until_its_deadline_and_counts_from_the_first_try() {
+    let mut history = History::default();
+    history.record(request(1), NOW, NOW + millis(900));
+    let retry_at = NOW + millis(300);
+    assert_eq!(history.first_try(request(1), retry_at), Some(NOW));
+    history.record(request(1), retry_at, NOW + millis(900));
+    assert_eq!(
+        history.first_try(request(1), retry_at + millis(200)),
+        Some(NOW)
+    );
+    assert_eq!(history.first_try(request(1), NOW + millis(901)), None);
+    // The same request a minute later is a first try, and its own refusal counts from there.
+    let second_first_try = NOW + millis(60_000);
+    history.record(request(1), second_first_try, second_first_try + millis(900));
+    assert_eq!(
+        history.first_try(request(1), second_first_try + millis(100)),
+        Some(second_first_try)
+    );
+    // 250 of 400 ms are gone, so 150 ms are left. Later the retry can no longer be in time.
     let limit = |age| retry::remaining_limit(millis(400), millis(100), millis(age));
     assert_eq!(limit(250), millis(150));
     assert_eq!(limit(2_000), millis(100));
 }
 
-/// An overload of 2,000 refusals a second for a minute, at one hall.
+/// An overload of 2,000 refusals per second for a minute, in one hall.
 #[test]
-fn what_was_refused_is_remembered_within_bounds_and_mistaken_for_nothing_else() {
-    let mut memory = History::default();
+fn the_history_is_bounded_and_rarely_matches_other_requests() {
+    let mut history = History::default();
     for number in 0..120_000 {
         let now = NOW + millis(u64::from(number) / 2);
-        memory.record(request(number), now, now + millis(2_000));
-        assert!(memory.remembered() <= 4_096);
+        history.record(request(number), now, now + millis(2_000));
+        assert!(history.remembered() <= 4_096);
     }
     let now = NOW + millis(60_000);
-    let strangers = (1_000_000..1_200_000).map(request);
-    let mistaken = strangers.filter(|stranger| memory.first_try(*stranger, now).is_some());
-    assert!(mistaken.count() < 200, "one in a thousand");
+    let others = (1_000_000..1_200_000).map(request);
+    let matches_found = others.filter(|other| history.first_try(*other, now).is_some());
+    assert!(matches_found.count() < 200, "one in a thousand");
 }
 
-/// Three entries refuse and ask 15 processes for places, each a few times a second.
+/// Sized for three entries that refuse requests and ask 15 sidecars for leases, each a few times
+/// per second.
 #[test]
-fn a_refusal_is_told_with_the_next_questions_to_each_process_once() {
-    let listener = |number: u8| SocketAddr::from(([10, 0, 0, number], 80));
-    let mut log = Outbox::default();
-    log.record(request(1), NOW, NOW + millis(3_000));
+fn each_refusal_is_passed_on_to_each_peer_once() {
+    let peer = |number: u8| SocketAddr::from(([10, 0, 0, number], 80));
+    let mut outbox = Outbox::default();
+    outbox.record(request(1), NOW, NOW + millis(3_000));
     let later = NOW + millis(80);
-    let told = log.take_pending(listener(1), later);
-    assert_eq!(told.len(), 1);
-    assert_eq!(log.take_pending(listener(1), later), []);
-    assert_eq!(log.take_pending(listener(2), later), told);
-    let mut memory = History::default();
-    memory.merge(told[0], later + millis(1));
+    let pending = outbox.take_pending(peer(1), later);
+    assert_eq!(pending.len(), 1);
+    assert_eq!(outbox.take_pending(peer(1), later), []);
+    assert_eq!(outbox.take_pending(peer(2), later), pending);
+    let mut history = History::default();
+    history.merge(pending[0], later + millis(1));
     assert_eq!(
-        memory.first_try(request(1), later + millis(1)),
+        history.first_try(request(1), later + millis(1)),
         Some(NOW + millis(1))
     );
     for number in 0..1_000 {
-        log.record(request(number), later, later + millis(3_000));
+        outbox.record(request(number), later, later + millis(3_000));
     }
-    let told = log.take_pending(listener(1), later);
-    let bytes = rmp_serde::to_vec_named(&told).unwrap();
+    let pending = outbox.take_pending(peer(1), later);
+    let bytes = rmp_serde::to_vec_named(&pending).unwrap();
     assert!(bytes.len() <= 24 * 12 + 3, "{} bytes", bytes.len());
-    // Nobody is told of callers who can't be back.
-    assert_eq!(log.take_pending(listener(3), later + millis(3_001)), []);
+    // Refusals are not passed on once their callers can no longer retry.
+    assert_eq!(outbox.take_pending(peer(3), later + millis(3_001)), []);
 }
 
 #[test]
-fn who_is_to_come_back_heeds_it_and_is_spread() {
+fn retry_delays_are_short_enough_and_spread() {
     fn property(arrival: u16, remaining: u16, one: u8, other: u8) -> bool {
         let arrival = millis(u64::from(arrival));
         let remaining = millis(u64::from(remaining) + 300);
@@ -108,18 +116,18 @@
             let part = f64::from(draw) / 255.0;
             admission::retry_after(Some(arrival), remaining, part)
         };
-        let heeded = spread(one) <= remaining / 3;
+        let within_third = spread(one) <= remaining / 3;
         let (low, high) = (one.min(other), one.max(other));
-        heeded && spread(low) <= spread(high)
+        within_third && spread(low) <= spread(high)
     }
     quickcheck(property as fn(u16, u16, u8, u8) -> bool);
     assert!(admission::retry_after(Some(millis(900)), TIMEOUT, 0.0) == millis(900));
 }
 
 #[test]
-fn a_limit_is_kept_whatever_its_case() {
+fn verdicts_keep_the_limit() {
     fn property(elapsed: u16, expected: u16, limit: u16, wait: u16) -> bool {
-        let case = Input {
+        let input = Input {
             elapsed: millis(elapsed.into()),
             remaining: TIMEOUT,
             expected: Some(millis(expected.into())),
@@ -128,9 +136,9 @@
             limit: millis(limit.into()),
             wait: millis(wait.into()),
         };
-        match admission::evaluate(case, bounds) {
-            Verdict::Send => case.elapsed + millis(expected.into()) <= bounds.limit,
-            Verdict::Wait(pause) => case.elapsed + pause <= bounds.wait,
+        match admission::evaluate(input, bounds) {
+            Verdict::Send => input.elapsed + millis(expected.into()) <= bounds.limit,
+            Verdict::Wait(pause) => input.elapsed + pause <= bounds.wait,
             Verdict::Refuse { retry_after } => !retry_after.is_zero(),
         }
     }
@@ -138,19 +146,22 @@
 }
 
 #[test]
-fn estimates_from_guesses_come_near_what_is_observed() {
+fn corrected_guesses_approach_observed_times() {
     let truth = millis(260);
     let mut correction = Correction::default();
     let guess = millis(80);
     for _ in 0..80 {
         correction.record(correction.apply(guess), truth);
     }
-    let learnt = correction.apply(guess);
-    assert!(learnt > millis(230) && learnt < millis(290), "{learnt:?}");
+    let corrected = correction.apply(guess);
+    assert!(
+        corrected > millis(230) && corrected < millis(290),
+        "{corrected:?}"
+    );
 }
 
 #[test]
-fn every_mechanism_can_be_switched_off_by_its_name() {
+fn every_policy_setting_can_be_changed_by_its_name() {
     for name in policy::names() {
         let change = format!("{name}=0");
         let changed = Policy::with([change.as_str()]).unwrap();
