--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,4 +1,5 @@
-//! The pure decisions about requests: outcomes, keys, routes, limits, proofs, the version gate.
+//! Pure decisions about requests: outcomes, idempotency keys, routes, limits, proofs and the
+//! version gate.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -28,11 +29,11 @@
         Interruption::MidAnswer,
     ];
     let mut all = Vec::new();
-    for found in breaks {
+    for interruption in breaks {
         for bits in 0..64u32 {
             let bit = |place: u32| bits >> place & 1 == 1;
             all.push((
-                found,
+                interruption,
                 Situation {
                     repeatable: bit(0),
                     keyed: bit(1),
@@ -49,21 +50,21 @@
 }
 
 #[test]
-fn in_every_situation_not_run_is_sure_and_nothing_unsure_runs_again() {
-    for (found, situation) in every_situation() {
-        let next = after_interruption(found, situation, &mut RetryBudget::default());
+fn not_run_is_certain_and_uncertain_requests_never_run_again() {
+    for (interruption, situation) in every_situation() {
+        let next = after_interruption(interruption, situation, &mut RetryBudget::default());
         let may_have_run = situation.tainted
             || situation.begun
             || matches!(
-                found,
+                interruption,
                 Interruption::NoAnswer | Interruption::Lost | Interruption::MidAnswer
             );
-        let case = format!("{found:?} {situation:?}");
+        let case = format!("{interruption:?} {situation:?}");
         match next {
             Next::GiveUp(Outcome::NotRun) => {
                 assert!(!may_have_run, "{case}");
                 assert!(
-                    !situation.keyed || found == Interruption::NotAdmitted,
+                    !situation.keyed || interruption == Interruption::NotAdmitted,
                     "{case}"
                 );
             }
@@ -94,51 +95,51 @@
     );
 }
 
-/// What can happen to one key.
+/// Events that can affect one idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Act {
-    /// A caller sends the request through some entry: a message is under way.
+enum Event {
+    /// A caller sends the request through some entry: a message is in transit.
     Send,
-    /// The oldest message under way arrives (again, if it was duplicated).
+    /// The oldest message in transit arrives, possibly as a duplicate.
     Deliver,
-    /// The message under way is duplicated.
+    /// The oldest message in transit is duplicated.
     Duplicate,
-    /// The run ends well.
+    /// The run succeeds.
     Done,
-    /// How the run ends stays unknown.
+    /// The outcome of the run stays unknown.
     Lost,
     /// The target refused the run.
     NotRun,
-    /// The box starts anew, empty.
+    /// The box restarts with empty state.
     Restart,
 }
 
-const ACTS: [Act; 7] = [
-    Act::Send,
-    Act::Deliver,
-    Act::Duplicate,
-    Act::Done,
-    Act::Lost,
-    Act::NotRun,
-    Act::Restart,
+const EVENTS: [Event; 7] = [
+    Event::Send,
+    Event::Deliver,
+    Event::Duplicate,
+    Event::Done,
+    Event::Lost,
+    Event::NotRun,
+    Event::Restart,
 ];
 
-/// Plays acts on a real ledger. Returns how often the request ran. `forgetful` makes a restarted
-/// box trust keys of its former self: the broken variant.
-fn runs(acts: &[Act], forgetful: bool) -> u32 {
+/// Applies events to a real ledger. Returns how often the request ran. With `reuse_boot`, a
+/// restarted box accepts keys from before its restart, which is the faulty variant.
+fn runs(events: &[Event], reuse_boot: bool) -> u32 {
     let name: Arc<str> = "box".into();
     let mut boot = 1;
     let mut ledger = Ledger::new(boot, 8, 100);
     let key = ledger.issue(&name, "customer", 99).unwrap();
-    let mut under_way: VecDeque<Key> = VecDeque::new();
+    let mut in_transit: VecDeque<Key> = VecDeque::new();
     let mut running = false;
     let mut ran = 0;
-    for act in acts {
-        match act {
-            Act::Send => under_way.push_back(key.clone()),
-            Act::Duplicate => under_way.extend(under_way.front().cloned()),
-            Act::Deliver => {
-                let Some(key) = under_way.pop_front() else {
+    for event in events {
+        match event {
+            Event::Send => in_transit.push_back(key.clone()),
+            Event::Duplicate => in_transit.extend(in_transit.front().cloned()),
+            Event::Deliver => {
+                let Some(key) = in_transit.pop_front() else {
                     continue;
                 };
                 if ledger.admit(&key, "customer") == Admission::Run {
@@ -146,7 +147,7 @@
                     ran += 1;
                 }
             }
-            Act::Done if running => {
+            Event::Done if running => {
                 let body = "receipt".into();
                 let content_type = String::new();
                 ledger.done(
@@ -159,63 +160,63 @@
                 );
                 running = false;
             }
-            Act::Lost if running => {
+            Event::Lost if running => {
                 ledger.lost(&key);
                 running = false;
             }
-            Act::NotRun if running => {
+            Event::NotRun if running => {
                 ledger.not_run(&key);
                 running = false;
                 ran -= 1;
             }
-            Act::Restart => {
-                boot += u64::from(!forgetful);
+            Event::Restart => {
+                boot += u64::from(!reuse_boot);
                 ledger = Ledger::new(boot, 8, 100);
-                if forgetful {
+                if reuse_boot {
                     let _ = ledger.issue(&name, "customer", 99);
                 }
                 running = false;
             }
-            Act::Done | Act::Lost | Act::NotRun => {}
+            Event::Done | Event::Lost | Event::NotRun => {}
         }
     }
     ran
 }
 
-/// Every schedule of `depth` acts in which `broken` shows.
-fn schedules_that_double(depth: usize, forgetful: bool) -> u64 {
+/// Number of schedules of `depth` events that run the request more than once.
+fn count_double_runs(depth: usize, reuse_boot: bool) -> u64 {
     let mut doubled = 0;
-    let count = ACTS.len().pow(depth as u32);
-    let mut acts = vec![Act::Send; depth];
+    let count = EVENTS.len().pow(depth as u32);
+    let mut events = vec![Event::Send; depth];
     for number in 0..count {
         let mut rest = number;
-        for act in &mut acts {
-            *act = ACTS[rest % ACTS.len()];
-            rest /= ACTS.len();
+        for event in &mut events {
+            *event = EVENTS[rest % EVENTS.len()];
+            rest /= EVENTS.len();
         }
-        doubled += u64::from(runs(&acts, forgetful) > 1);
+        doubled += u64::from(runs(&events, reuse_boot) > 1);
     }
     doubled
 }
 
 #[test]
-fn no_schedule_of_six_acts_runs_a_key_twice() {
-    assert_eq!(schedules_that_double(6, false), 0);
+fn no_schedule_of_six_events_runs_a_key_twice() {
+    assert_eq!(count_double_runs(6, false), 0);
 }
 
 #[test]
-fn the_exploration_finds_the_fault_of_a_forgetful_box() {
-    assert!(schedules_that_double(5, true) > 0);
+fn exploration_finds_the_double_run_of_a_box_that_reuses_its_boot_number() {
+    assert!(count_double_runs(5, true) > 0);
 }
 
 #[test]
 fn random_long_schedules_run_a_key_once() {
     fn holds(numbers: Vec<u8>) -> bool {
-        let acts: Vec<Act> = numbers
+        let events: Vec<Event> = numbers
             .iter()
-            .map(|number| ACTS[*number as usize % ACTS.len()])
+            .map(|number| EVENTS[*number as usize % EVENTS.len()])
             .collect();
-        runs(&acts, false) <= 1
+        runs(&events, false) <= 1
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 3))
@@ -224,7 +225,7 @@
 }
 
 #[test]
-fn a_full_ledger_drops_old_keys_for_good() {
+fn a_full_ledger_drops_old_keys_permanently() {
     let name: Arc<str> = "box".into();
     let mut ledger = Ledger::new(1, 2, 100);
     let keys: Vec<Key> = (0..3)
@@ -241,13 +242,13 @@
     assert_eq!(keys[1].to_string().parse(), Ok(keys[1].clone()));
 }
 
-fn need() -> Resource {
+fn resource() -> Resource {
     Resource::Version(Digest::of(b"v"))
 }
 
 fn load(in_flight: u32) -> Load {
     Load {
-        serves: vec![need()],
+        serves: vec![resource()],
         leaving: false,
         boot: 1,
         in_flight,
@@ -272,23 +273,23 @@
 fn choose(
     table: &mut Table,
     tried: &[ReplicaKey],
-    policy: Strategy,
+    strategy: Strategy,
     now: Time,
 ) -> Option<ReplicaKey> {
-    let need = need();
-    let ask = Query {
-        resource: &need,
+    let resource = resource();
+    let query = Query {
+        resource: &resource,
         halls: &[],
         prefix: None,
         tried,
     };
     let mut rng = SmallRng::seed_from_u64(now.0);
     table
-        .choose(ask, policy, now, &mut rng)
+        .choose(query, strategy, now, &mut rng)
         .map(|choice| choice.replica)
 }
 
-const POLICIES: [Strategy; 4] = [
+const STRATEGIES: [Strategy; 4] = [
     Strategy::RoundRobin,
     Strategy::LeastOfTwo,
     Strategy::Expected,
@@ -296,8 +297,8 @@
 ];
 
 #[test]
-fn no_policy_chooses_a_target_that_leaves_is_silent_or_lacks_the_version() {
-    for policy in POLICIES {
+fn no_strategy_chooses_a_target_that_is_leaving_silent_or_lacks_the_version() {
+    for strategy in STRATEGIES {
         let (mut table, keys) = table(5);
         let mut leaving = load(0);
         leaving.leaving = true;
@@ -310,15 +311,20 @@
         let later = Time::from_millis(2_600);
         table.report(keys[4], load(0), later);
         for step in 0..50 {
-            let chosen = choose(&mut table, &[], policy, later + Duration::from_micros(step));
-            assert_eq!(chosen, Some(keys[4]), "{policy:?}");
+            let chosen = choose(
+                &mut table,
+                &[],
+                strategy,
+                later + Duration::from_micros(step),
+            );
+            assert_eq!(chosen, Some(keys[4]), "{strategy:?}");
         }
-        assert_eq!(choose(&mut table, &[keys[4]], policy, later), None);
+        assert_eq!(choose(&mut table, &[keys[4]], strategy, later), None);
     }
 }
 
 #[test]
-fn a_failed_target_is_put_aside_and_tried_by_one_request_at_a_time() {
+fn a_failed_target_is_ejected_and_probed_by_one_request_at_a_time() {
     let (mut table, keys) = table(2);
     let start = Time::default();
     table.begin(keys[0]);
@@ -362,7 +368,7 @@
 }
 
 #[test]
-fn a_target_judges_by_queue_deadline_and_priority() {
+fn a_target_admits_by_queue_deadline_and_priority() {
     let mut target = Target::default();
     target.set_capacity(2);
     let second = Duration::from_secs(1);
@@ -373,8 +379,11 @@
     target.begin(None);
     target.end(None, Some(Duration::from_millis(400)));
     assert!(target.check(Priority::High, second).is_ok());
-    let hasty = target.check(Priority::High, Duration::from_millis(10));
-    assert!(matches!(hasty, Err(limit::Refusal::Deadline { .. })));
+    let short_deadline = target.check(Priority::High, Duration::from_millis(10));
+    assert!(matches!(
+        short_deadline,
+        Err(limit::Refusal::Deadline { .. })
+    ));
     let mut admitted = BTreeMap::new();
     for priority in [Priority::Low, Priority::Normal, Priority::High] {
         while target.check(priority, Duration::from_secs(60)).is_ok() {
@@ -390,7 +399,7 @@
 }
 
 #[test]
-fn a_customer_that_floods_stays_within_its_limit() {
+fn a_flooding_customer_stays_within_its_limit() {
     let mut customers = Customers::default();
     let flood: Arc<str> = "flood".into();
     let taken = (0..100)
@@ -407,7 +416,7 @@
 }
 
 #[test]
-fn a_proof_holds_for_its_request_its_key_and_its_time() {
+fn a_proof_is_valid_only_for_its_request_key_and_time() {
     let old: Keyring = key("old", "1").parse().unwrap();
     let rotated: Keyring = format!("{},{}", key("new", "2"), key("old", "1"))
         .parse()
@@ -441,7 +450,7 @@
 }
 
 #[test]
-fn the_gate_opens_only_when_all_of_it_holds() {
+fn a_version_is_servable_only_when_all_conditions_hold() {
     for bits in 0..16u32 {
         let bit = |place: u32| bits >> place & 1 == 1;
         let local = LocalState {
@@ -482,7 +491,7 @@
 }
 
 #[test]
-fn a_new_process_outranks_whatever_the_engine_has_seen() {
+fn a_new_process_outranks_every_fence_the_engine_has_seen() {
     let seen = Fence {
         incarnation: 5_000,
         revision: 9,
