--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -53,20 +53,20 @@
 use crate::wire::sync::Brief;
 
 pub mod attempt;
-pub mod call;
+pub mod bootstrap;
 pub mod control;
-pub mod course;
 pub mod dialect;
+pub mod dispatch;
 pub mod event;
-pub mod greet;
 pub mod halls;
+pub mod handler;
 pub mod intake;
 pub mod job;
 pub mod place;
 mod poison;
 pub mod reader;
 pub mod relay;
-pub mod repeat;
+pub mod retry;
 pub mod status;
 pub mod trace;
 
@@ -87,20 +87,20 @@
 const START_MARGIN: Duration = Duration::from_millis(600);
 
 /// Looks between two of which it is written down how many attempts have not ended.
-const LOOKS_LOGGED: u32 = 5;
+const TICKS_PER_LOG: u32 = 5;
 
 /// How often the members of a burst are looked over.
-const RELAY_LOOK: Duration = Duration::from_millis(500);
+const BURST_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How much longer than callers may rest a connection is kept.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Part of its machine's memory that a process gives to weights: callers come first.
-const MEMORY_PART: u64 = 8;
+const MEMORY_DIVISOR: u64 = 8;
 
 /// Bytes of weights that a process may hold on a machine of `machine_bytes`.
 pub fn memory_for_weights(machine_bytes: u64) -> u64 {
-    machine_bytes / MEMORY_PART
+    machine_bytes / MEMORY_DIVISOR
 }
 
 /// The waves of hosts, by service and hall.
@@ -149,7 +149,7 @@
     pub metrics: Metrics,
     /// Lets requests in.
     pub porter: Rc<Porter>,
-    pool_at: Cell<u64>,
+    pool_generation: Cell<u64>,
     budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
     began: Time,
     instruments: status::Instruments,
@@ -270,7 +270,7 @@
             pool: RefCell::new(Pool::new(setting.identity.hall.clone(), setting.policy)),
             refusals: RefCell::default(),
             suspects: RefCell::default(),
-            pool_at: Cell::new(0),
+            pool_generation: Cell::new(0),
             budgets: RefCell::default(),
             began: knowledge.now(),
             halls: RefCell::default(),
@@ -298,15 +298,15 @@
             actix_rt::spawn(knowledge::poison::run(knowledge.clone())),
             actix_rt::spawn(gossip::run(knowledge, move || others.sidecars())),
             actix_rt::spawn(gateway.clone().tick()),
-            actix_rt::spawn(gateway.clone().relay()),
+            actix_rt::spawn(gateway.clone().relay_weights()),
             actix_rt::spawn(halls::run(gateway.clone())),
-            actix_rt::spawn(greet::run(gateway.clone())),
+            actix_rt::spawn(bootstrap::run(gateway.clone())),
             actix_rt::spawn(renew_when_silent(host, all_silent)),
         ];
         let front = gateway.serve_front(listeners.front);
         let mut servers = vec![
             gateway.serve(listeners.ready, control::ready),
-            gateway.serve(listeners.control, control::answer),
+            gateway.serve(listeners.control, control::handle),
         ];
         if let Some(listener) = listeners.metrics {
             servers.push(gateway.serve(listener, control::metrics));
@@ -325,7 +325,7 @@
         Server::with_timing(
             listener,
             http::plain(),
-            move |request, _| call::handle(gateway.clone(), request),
+            move |request, _| handler::handle(gateway.clone(), request),
             move || timed.timing(),
         )
     }
@@ -374,7 +374,7 @@
     }
 
     /// Where the process beside the replica `key` listens; `None` if nobody there was heard of lately.
-    fn process_beside(&self, key: Key) -> Option<SocketAddr> {
+    fn sidecar_of(&self, key: Key) -> Option<SocketAddr> {
         let now = self.knowledge.now();
         let pool = self.pool.borrow();
         if !pool.gives_places(key, now) {
@@ -386,11 +386,11 @@
 
     /// Takes part in the burst of the wanted version as a relay: this process's link is wide, and
     /// those of the boxes are narrow.
-    async fn relay(self: Rc<Self>) {
+    async fn relay_weights(self: Rc<Self>) {
         loop {
             self.join_burst();
             let mut changed = self.knowledge.changed.subscribe();
-            let _ = actix_rt::time::timeout(RELAY_LOOK, changed.changed()).await;
+            let _ = actix_rt::time::timeout(BURST_CHECK_INTERVAL, changed.changed()).await;
         }
     }
 
@@ -431,9 +431,9 @@
         self.joined.join(&target, oldest, crew);
     }
 
-    fn log_under_way(&self) {
+    fn log_in_flight(&self) {
         let under_way = self.pool.borrow().under_way();
-        self.instruments.under_way(under_way);
+        self.instruments.set_in_flight(under_way);
         if under_way > 0 {
             log::info!(under_way; "attempts under way");
         }
@@ -443,8 +443,8 @@
         for look in 1_u32.. {
             sleep(TICK).await;
             let now = self.knowledge.now();
-            if look.is_multiple_of(LOOKS_LOGGED) {
-                self.log_under_way();
+            if look.is_multiple_of(TICKS_PER_LOG) {
+                self.log_in_flight();
             }
             let swept = self.knowledge.belief.borrow_mut().sweep(now);
             if swept {
@@ -453,17 +453,17 @@
             self.client.reap(IDLE_MAX);
             self.knowledge.client.reap(gossip::IDLE_MAX);
             let losses = self.knowledge.losses.borrow().count;
-            self.instruments.losses(losses);
+            self.instruments.set_losses(losses);
             let mut register = self.knowledge.poison.borrow_mut();
             register.sweep(now);
-            self.instruments.barred(register.barred());
+            self.instruments.set_barred(register.barred());
         }
     }
 
     /// The pool, with the list as it is believed now.
     fn refresh_pool(&self) {
         let changes = *self.knowledge.changed.borrow();
-        if self.pool_at.replace(changes) != changes {
+        if self.pool_generation.replace(changes) != changes {
             let belief = self.knowledge.belief.borrow();
             let list = belief.replicas();
             let rollout = self.knowledge.rollout(self.setting.rollout);
@@ -556,14 +556,14 @@
     }
 
     /// Others told of refused requests.
-    fn hear_refused(&self, told: &[Refused], now: Time) {
+    fn merge_refusals(&self, told: &[Refused], now: Time) {
         self.refusals.borrow_mut().hear(told, now);
     }
 
     /// A request was refused whose caller tried first at `first`. Only engines are short of places so
     /// often that it matters.
-    fn note_refused(&self, job: &Job, first: Time) {
-        if job.ask.inference.is_none() {
+    fn record_refusal(&self, job: &Job, first: Time) {
+        if job.meta.inference.is_none() {
             return;
         }
         let mut refusals = self.refusals.borrow_mut();
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -13,8 +13,8 @@
 
 use super::dialect::{Classification, Forward};
 use super::job::Job;
-use super::poison::Sight;
-use super::reader::{self, Line, Reader};
+use super::poison::Observation;
+use super::reader::{self, Handle, Reader};
 use super::{CONNECT_TIMEOUT, Gateway, IDLE_MAX};
 use crate::clock::Time;
 use crate::config::routing::Kind;
@@ -37,10 +37,10 @@
 
 /// How often it is looked whether a replica that is silent for longer still has a queue: half of the
 /// time after which its process reports again.
-const QUEUE_LOOK: Duration = Duration::from_millis(500);
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Longest whole answer that is gathered.
-const GATHERED_MAX: usize = 16 << 20;
+const BUFFERED_BODY_MAX: usize = 16 << 20;
 
 /// Highest rank that a replica knows.
 const URGENCY_MAX: u8 = 9;
@@ -67,7 +67,7 @@
     }
 }
 
-fn name(ended: Ended) -> &'static str {
+fn label(ended: Ended) -> &'static str {
     match ended {
         Ended::NotSent => "not_sent",
         Ended::Refused => "refused",
@@ -79,13 +79,13 @@
 
 /// What is asked of a replica beside the request itself.
 #[derive(Debug, Clone, Copy)]
-pub struct Send {
+pub struct Params {
     /// The last event that the caller has.
     pub last_event: Option<u64>,
     /// The only version that will do.
     pub version: Option<u64>,
     /// Whether another replica may receive the request after this one.
-    pub moves_on: bool,
+    pub can_fail_over: bool,
 }
 
 /// An attempt, counted at its replica until it is dropped.
@@ -99,30 +99,30 @@
     choice: Choice,
     address: SocketAddr,
     /// The process beside the replica, if that is to keep what comes.
-    keeper: Option<SocketAddr>,
+    sidecar: Option<SocketAddr>,
     began: Time,
     demand: Demand,
     number: u64,
     start_bound: Option<Time>,
     started: Cell<bool>,
     /// Whether it was seen how its replica came through it.
-    settled: Cell<bool>,
+    outcome_known: Cell<bool>,
     connection: Note,
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.count_start(false);
+        self.record_start(false);
         self.gateway.pool.borrow_mut().end(self.key, self.number);
         // Its caller has left, or the replica was silent: that may end under it all the same.
-        self.suspect(Sight::GivenUp);
+        self.suspect(Observation::Abandoned);
     }
 }
 
 impl Attempt {
     /// Begins an attempt at a chosen replica, unless that has gone, or has told since that it wants nothing.
     pub fn begin(gateway: &Rc<Gateway>, job: &Job, choice: Choice) -> Option<Self> {
-        let keeper = keeper(gateway, job, choice.key);
+        let sidecar = buffering_sidecar(gateway, job, choice.key);
         let now = gateway.knowledge.now();
         let mut pool = gateway.pool.borrow_mut();
         let replica = pool
@@ -130,7 +130,7 @@
             .filter(|replica| !replica.wish().refuses(now))?;
         let (life, address) = (replica.record.life(), replica.record.address);
         let demand = job.demand();
-        let model = job.ask.inference.as_ref().map(|work| &*work.model);
+        let model = job.meta.inference.as_ref().map(|work| &*work.model);
         let start_bound = model.and_then(|model| pool.start_bound(choice.key, model, now));
         let number = pool.begin(choice.key, demand, choice.expected, now);
         Some(Self {
@@ -140,23 +140,23 @@
             request: job.name,
             choice,
             address,
-            keeper,
+            sidecar,
             began: now,
             demand,
             number,
             start_bound,
             started: Cell::new(false),
-            settled: Cell::new(false),
+            outcome_known: Cell::new(false),
             connection: Note::default(),
         })
     }
 
     /// The first event came.
-    pub fn started(&self) {
-        self.count_start(true);
+    pub fn first_event_received(&self) {
+        self.record_start(true);
     }
 
-    fn count_start(&self, came: bool) {
+    fn record_start(&self, came: bool) {
         if !self.started.replace(true) {
             let now = self.gateway.knowledge.now();
             let mut pool = self.gateway.pool.borrow_mut();
@@ -176,22 +176,22 @@
     }
 
     /// Counts a whole answer.
-    pub fn count_whole(&self) {
-        self.settled.set(true);
-        self.gateway.instruments.attempt("whole");
+    pub fn record_complete(&self) {
+        self.outcome_known.set(true);
+        self.gateway.instruments.count_attempt("whole");
     }
 
     fn fail(&self, job: &Job, ended: Ended, sign: Sign, detail: String) -> Failure {
         self.note(sign);
         if ended != Ended::Broken {
-            self.settled.set(true);
+            self.outcome_known.set(true);
         }
-        self.gateway.instruments.attempt(name(ended));
+        self.gateway.instruments.count_attempt(label(ended));
         log::warn!(
-            request = job.ask.id.as_str(),
+            request = job.meta.id.as_str(),
             name:% = job.name,
             replica = &*self.life.id,
-            ended = name(ended),
+            ended = label(ended),
             known_requests = self.choice.requests,
             expected_ms = self.choice.expected.as_millis() as u64,
             connection:% = self.connection,
@@ -204,14 +204,14 @@
     /// A failure after bytes left, because the answer is none or broke.
     pub fn broken(&self, job: &Job, detail: String, sign: Sign) -> Failure {
         if sign == Sign::Broken {
-            self.suspect(Sight::Broke);
+            self.suspect(Observation::Broken);
         }
         self.fail(job, Ended::Broken, sign, detail)
     }
 
     /// The replica may have ended under the request, or end soon. One that leaves ends as planned, with whatever runs there.
-    fn suspect(&self, sight: Sight) {
-        if self.settled.replace(true) {
+    fn suspect(&self, observation: Observation) {
+        if self.outcome_known.replace(true) {
             return;
         }
         let leaves = {
@@ -222,20 +222,20 @@
         if !leaves {
             let life = self.life.clone();
             self.gateway
-                .suspect(self.request, life, self.address, sight);
+                .suspect(self.request, life, self.address, observation);
         }
     }
 
-    fn failed(&self, job: &Job, error: &exchange::Error) -> Failure {
+    fn exchange_failed(&self, job: &Job, error: &exchange::Error) -> Failure {
         self.broken(job, error.to_string(), sign(error))
     }
 
     /// Sends the request and reads the head of its answer.
-    pub async fn send(self, job: &Job, send: Send) -> Result<Begun, Failure> {
-        let Send {
+    pub async fn send(self, job: &Job, send: Params) -> Result<Reply, Failure> {
+        let Params {
             last_event,
             version,
-            moves_on,
+            can_fail_over,
         } = send;
         let now = self.gateway.knowledge.now();
         let forward = Forward {
@@ -247,7 +247,7 @@
             version,
         };
         let head = self.gateway.dialect.forward(&job.head, forward);
-        let exchange = self.exchange(job, head, moves_on);
+        let exchange = self.exchange(job, head, can_fail_over);
         match self.within(job, exchange).await {
             None => Err(self.silent(job)),
             // Its process may speak of another life than this one. What this one wants comes with reports.
@@ -259,7 +259,7 @@
                 let detail = format!("not sent: {reason}");
                 Err(self.fail(job, Ended::NotSent, Sign::Unreachable, detail))
             }
-            Some(Err(reader::Error::Exchange(error))) => Err(self.failed(job, &error)),
+            Some(Err(reader::Error::Exchange(error))) => Err(self.exchange_failed(job, &error)),
             Some(Err(error)) => Err(self.broken(job, error.to_string(), Sign::Broken)),
             Some(Ok(response)) => self.read(job, version.is_some(), response).await,
         }
@@ -270,29 +270,29 @@
         &self,
         job: &Job,
         head: RequestHead,
-        moves_on: bool,
+        can_fail_over: bool,
     ) -> Result<Reader, reader::Error> {
-        if let Some(keeper) = self.keeper {
-            let line = Line::new(&self.gateway, keeper, &job.ask.id);
+        if let Some(sidecar) = self.sidecar {
+            let handle = Handle::new(&self.gateway, sidecar, &job.meta.id);
             let (body, note) = (job.body.clone(), self.connection.clone());
-            match Reader::begin(line, head.clone(), body, note).await {
+            match Reader::begin(handle, head.clone(), body, note).await {
                 Ok(reader) => return Ok(reader),
                 Err(error @ (reader::Error::OutOfReach { .. } | reader::Error::NotSent)) => {
-                    self.not_kept(job, &error);
+                    self.bypass_sidecar(job, &error);
                 }
                 Err(error) => return Err(error),
             }
         }
         let client = &self.gateway.client;
         let body = job.body.clone();
-        let options = options(job, moves_on);
+        let options = options(job, can_fail_over);
         let exchange = client.exchange_noting(self.address, head, body, options, &self.connection);
         Ok(Reader::of_replica(exchange.await?))
     }
 
     /// Nothing has run, and the request goes to the replica itself.
-    fn not_kept(&self, job: &Job, error: &reader::Error) {
-        log::info!(request = job.ask.id.as_str(), replica = &*self.life.id; "sent directly: {error}");
+    fn bypass_sidecar(&self, job: &Job, error: &reader::Error) {
+        log::info!(request = job.meta.id.as_str(), replica = &*self.life.id; "sent directly: {error}");
         if matches!(error, reader::Error::OutOfReach { .. }) {
             let now = self.now();
             self.gateway.pool.borrow_mut().unheard(self.key, false, now);
@@ -324,7 +324,7 @@
             if silence >= longest || !self.gateway.pool.borrow().queues(self.key, self.now()) {
                 return None;
             }
-            silence = QUEUE_LOOK;
+            silence = QUEUE_POLL_INTERVAL;
         }
     }
 
@@ -334,7 +334,7 @@
         if self.started.get() {
             return None;
         }
-        let model = job.ask.inference.as_ref().map(|work| &*work.model)?;
+        let model = job.meta.inference.as_ref().map(|work| &*work.model)?;
         let pool = self.gateway.pool.borrow();
         let known = pool.start_bound(self.key, model, self.now());
         self.start_bound.into_iter().chain(known).min()
@@ -359,16 +359,16 @@
         self.broken(job, detail.to_owned(), Sign::Silent)
     }
 
-    async fn read(self, job: &Job, versioned: bool, response: Reader) -> Result<Begun, Failure> {
+    async fn read(self, job: &Job, versioned: bool, response: Reader) -> Result<Reply, Failure> {
         let status = response.status.as_u16();
         let dialect = &self.gateway.dialect;
-        let reading = dialect.classify(&response, &job.ask.id);
+        let reading = dialect.classify(&response, &job.meta.id);
         let notice = dialect.notice(response.status, &response.headers);
         if reading != Classification::Misdirected {
-            self.wants(job, notice);
+            self.apply_notice(job, notice);
         }
         match reading {
-            Classification::Success { version } => Ok(Begun {
+            Classification::Success { version } => Ok(Reply {
                 attempt: self,
                 response,
                 version,
@@ -395,17 +395,17 @@
                 let detail = format!("answer {status} is none to this request");
                 Err(self.broken(job, detail, Sign::Broken))
             }
-            Classification::Failure => self.own_failure(job, response).await,
+            Classification::Failure => self.replica_error(job, response).await,
         }
     }
 
     /// The replica told what it wants. The list may say otherwise for long.
-    fn wants(&self, job: &Job, notice: Notice) {
+    fn apply_notice(&self, job: &Job, notice: Notice) {
         let now = self.now();
         let mut pool = self.gateway.pool.borrow_mut();
         if pool.take_notice(self.key, &self.life, notice, now) {
             log::info!(
-                request = job.ask.id.as_str(),
+                request = job.meta.id.as_str(),
                 replica = &*self.life.id,
                 notice:% = notice;
                 "a replica told what it wants"
@@ -414,14 +414,14 @@
     }
 
     /// Gathers a failure of the replica's own, to be passed on if nothing better comes.
-    async fn own_failure(self, job: &Job, response: Reader) -> Result<Begun, Failure> {
+    async fn replica_error(self, job: &Job, response: Reader) -> Result<Reply, Failure> {
         let detail = format!("the replica answered {}", response.status.as_u16());
-        let begun = Begun {
+        let reply = Reply {
             attempt: self,
             response,
             version: None,
         };
-        let (attempt, answer) = begun.whole(job).await?;
+        let (attempt, answer) = reply.whole(job).await?;
         let mut failure = attempt.fail(job, Ended::Failed, Sign::Failed, detail);
         failure.answer = Some(answer);
         Err(failure)
@@ -438,15 +438,15 @@
 
 /// The process beside the replica `key`, if that is to keep what a request brings: a stream that may be sent again, so
 /// that a process that is killed with it costs no more than a replica that is.
-fn keeper(gateway: &Gateway, job: &Job, key: Key) -> Option<SocketAddr> {
+fn buffering_sidecar(gateway: &Gateway, job: &Job, key: Key) -> Option<SocketAddr> {
     let streams = job.route.kind == Kind::Streaming && job.route.repeatable();
     if !streams || !gateway.setting.policy.kept {
         return None;
     }
-    gateway.process_beside(key)
+    gateway.sidecar_of(key)
 }
 
-fn options(job: &Job, moves_on: bool) -> Options {
+fn options(job: &Job, can_fail_over: bool) -> Options {
     Options {
         // A connection that its replica closes just now would leave unknown whether the request
         // ran.
@@ -459,13 +459,13 @@
         connect_timeout: CONNECT_TIMEOUT,
         unframed: Unframed::EndsWithConnection,
         // What nobody else may receive is waited for.
-        guarded: moves_on,
+        guarded: can_fail_over,
         ..Options::default()
     }
 }
 
 /// An answer whose head came.
-pub struct Begun {
+pub struct Reply {
     /// The attempt.
     pub attempt: Attempt,
     /// The answer.
@@ -474,7 +474,7 @@
     pub version: Option<u64>,
 }
 
-impl Begun {
+impl Reply {
     /// The head that the caller gets.
     pub fn head(&self) -> HttpResponse<()> {
         let mut answer = HttpResponse::with_body(self.response.status, ());
@@ -487,18 +487,18 @@
     /// Gathers a whole success.
     pub async fn gather(self, job: &Job) -> Result<Answer, Failure> {
         let (attempt, answer) = self.whole(job).await?;
-        attempt.started();
+        attempt.first_event_received();
         attempt.note(Sign::Whole(attempt.elapsed()));
-        attempt.count_whole();
+        attempt.record_complete();
         Ok(answer)
     }
 
     /// Gathers the whole answer.
     async fn whole(mut self, job: &Job) -> Result<(Attempt, Answer), Failure> {
-        let read = self.response.read(GATHERED_MAX);
+        let read = self.response.read(BUFFERED_BODY_MAX);
         let body: Bytes = match self.attempt.within(job, read).await {
             None => return Err(self.attempt.silent(job)),
-            Some(Err(error)) => return Err(self.attempt.failed(job, &error)),
+            Some(Err(error)) => return Err(self.attempt.exchange_failed(job, &error)),
             Some(Ok(body)) => body,
         };
         let answer = self.head().set_body(BoxBody::new(body));
--- a/src/gateway/greet.rs
+++ b/src/gateway/bootstrap.rs
@@ -15,13 +15,13 @@
 use crate::member::rank::rank;
 
 /// How often it is looked whether the list of replicas is known.
-const LOOK: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How often those are greeted that have not reported.
-const EVERY: Duration = Duration::from_millis(200);
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Entries that greet one process: some of them may not be up yet.
-const GREETED_BY: u32 = 3;
+const ENTRIES_PER_SIDECAR: u32 = 3;
 
 /// Rounds in which they are greeted: by then heartbeats have spread.
 const ROUNDS: u32 = 10;
@@ -29,29 +29,29 @@
 /// Greets until everyone has reported, or for the first rounds.
 pub async fn run(gateway: Rc<Gateway>) {
     while !gateway.knowledge.belief.borrow().lists_replicas() {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
     for _ in 0..ROUNDS {
-        gossip::tell(&gateway.knowledge, gateway.silent_sidecars(), true);
-        sleep(EVERY).await;
+        gossip::tell(&gateway.knowledge, gateway.unreported_sidecars(), true);
+        sleep(ROUND_INTERVAL).await;
     }
 }
 
 impl Gateway {
     /// The processes beside replicas of the own hall that have not reported lately, as far as they are
     /// this entry's to greet: each is greeted by the first few entries for it.
-    fn silent_sidecars(&self) -> Vec<SocketAddr> {
+    fn unreported_sidecars(&self) -> Vec<SocketAddr> {
         self.refresh_pool();
         let now = self.knowledge.now();
         let hall = &self.knowledge.identity.hall;
         let hosts = self.pool.borrow().silent(hall, now);
         let port = self.setting.sidecar_port;
         let (own, fellows) = (self.knowledge.identity.address, self.knowledge.fellows());
-        let greets = |host: &IpAddr| {
+        let is_assigned = |host: &IpAddr| {
             let subject = host.to_string();
-            rank(own, fellows.iter().copied(), &subject) < GREETED_BY
+            rank(own, fellows.iter().copied(), &subject) < ENTRIES_PER_SIDECAR
         };
-        let greeted = hosts.into_iter().filter(greets);
-        greeted.map(|host| SocketAddr::new(host, port)).collect()
+        let assigned = hosts.into_iter().filter(is_assigned);
+        assigned.map(|host| SocketAddr::new(host, port)).collect()
     }
 }
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -21,7 +21,7 @@
 
 /// What the answer about readiness tells if documents of the platform were read with losses.
 #[derive(Serialize)]
-struct Damage<'a> {
+struct ReadinessReport<'a> {
     /// Parts that could not be read since the process began.
     unread_parts: u64,
     /// The latest of them.
@@ -39,11 +39,11 @@
     if losses.count == 0 {
         return http::status(status);
     }
-    let damage = Damage {
+    let report = ReadinessReport {
         unread_parts: losses.count,
         latest: losses.latest.as_deref(),
     };
-    http::json(status, &damage)
+    http::json(status, &report)
 }
 
 /// Someone reads the metrics.
@@ -52,10 +52,10 @@
 }
 
 /// Another process of the system asks or tells.
-pub async fn answer(gateway: Rc<Gateway>, mut request: Request) -> Answer {
+pub async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Answer {
     match request.path() {
         SYNC_PATH => match decode::<Sync>(&mut request).await {
-            Ok(sync) => take_sync(&gateway, &sync, false),
+            Ok(sync) => answer_sync(&gateway, &sync, false),
             Err(answer) => answer,
         },
         HALL_PATH => match decode::<Sync>(&mut request).await {
@@ -63,13 +63,13 @@
             Err(answer) => answer,
         },
         FRAME_PATH => match body(&mut request).await {
-            Ok(frame) => take_frame(&gateway, &frame),
+            Ok(frame) => answer_frame(&gateway, &frame),
             Err(answer) => answer,
         },
         FRAME_FORWARD_PATH => match decode::<fanout::ForwardedFrame>(&mut request).await {
             Ok(forwarded) => {
                 let frame = Bytes::from(forwarded.frame);
-                let answer = take_frame(&gateway, &frame);
+                let answer = answer_frame(&gateway, &frame);
                 let message = Message::Frame(frame);
                 fanout::send(&gateway.knowledge, &message, forwarded.receivers);
                 answer
@@ -86,7 +86,7 @@
             Err(answer) => answer,
         },
         REPORT_PATH => match decode::<Report>(&mut request).await {
-            Ok(report) => take_report(&gateway, &report),
+            Ok(report) => answer_report(&gateway, &report),
             Err(answer) => answer,
         },
         poison::PATH => match decode::<poison::Notice>(&mut request).await {
@@ -108,18 +108,18 @@
 }
 
 /// Applies a packed frame and answers the heartbeat in it.
-fn take_frame(gateway: &Gateway, packed: &[u8]) -> Answer {
+fn answer_frame(gateway: &Gateway, packed: &[u8]) -> Answer {
     match pack::unpack::<Frame>(packed) {
         Ok(frame) => {
             let sync = gateway.take_frame(frame);
-            take_sync(gateway, &sync, true)
+            answer_sync(gateway, &sync, true)
         }
-        Err(error) => not_understood(error),
+        Err(error) => undecodable(error),
     }
 }
 
 /// Answers a heartbeat; `from_hub` says whether it came in a frame to the whole hall.
-fn take_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
+fn answer_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
     if sync.entry && sync.hall == knowledge.identity.hall && knowledge.lacks(sync.marks) {
         let fetch = gossip::fetch_news(knowledge.clone(), sync.from, sync.marks, from_hub);
@@ -128,7 +128,7 @@
     http::pack(StatusCode::OK, &knowledge.news_for(sync, !sync.entry))
 }
 
-fn take_report(gateway: &Gateway, report: &Report) -> Answer {
+fn answer_report(gateway: &Gateway, report: &Report) -> Answer {
     gateway.refresh_pool();
     let now = gateway.knowledge.now();
     gateway
@@ -144,7 +144,7 @@
 /// Reads a message, or says what is wrong with it.
 pub async fn decode<T: DeserializeOwned>(request: &mut Request) -> Result<T, Answer> {
     let body = body(request).await?;
-    rmp_serde::from_slice(&body).map_err(not_understood)
+    rmp_serde::from_slice(&body).map_err(undecodable)
 }
 
 async fn body(request: &mut Request) -> Result<Bytes, Answer> {
@@ -152,7 +152,7 @@
     body.map_err(|_| http::status(StatusCode::BAD_REQUEST))
 }
 
-fn not_understood(error: impl Display) -> Answer {
+fn undecodable(error: impl Display) -> Answer {
     log::warn!("message of another process not understood: {error}");
     http::status(StatusCode::BAD_REQUEST)
 }
--- a/src/gateway/course.rs
+++ b/src/gateway/dispatch.rs
@@ -7,11 +7,11 @@
 use rand::RngExt;
 
 use super::Gateway;
-use super::attempt::{Attempt, Begun, Failure, Send};
+use super::attempt::{Attempt, Failure, Params, Reply};
 use super::dialect::{Code, Refusal};
 use super::job::Job;
-use super::repeat::Repeat;
-use super::trace::{Expected, Trace};
+use super::retry::Retry;
+use super::trace::{Estimate, Trace};
 use crate::clock::Time;
 use crate::http::Answer;
 use crate::limit::admission::{self, Bounds, Case, Verdict};
@@ -23,36 +23,36 @@
 use crate::stop;
 
 /// When a caller should come back if a service has no replica.
-const NO_REPLICA_RETRY: Duration = Duration::from_millis(1_900);
+const NO_REPLICA_RETRY_DELAY: Duration = Duration::from_millis(1_900);
 
 /// When a caller should come back after a replica refused its request.
-const REFUSED_RETRY: Duration = Duration::from_millis(150);
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Time over which those who come back after the rest of a replica are spread.
-const RETURN_SPREAD: Duration = Duration::from_millis(400);
+const RETRY_JITTER: Duration = Duration::from_millis(400);
 
 /// Connections to a replica that an entry may always have.
 const CONNECTIONS_MIN: u32 = 3;
 
 /// Processes that are asked for a place at each later look while a request waits.
-const ASKS_AGAIN: u32 = 1;
+const ASKS_PER_RECHECK: u32 = 1;
 
 /// Service time that is left out of the budget of a request that is tried again.
 const RETRY_TIME_MIN: Duration = Duration::from_millis(30);
 
 /// The process stops, and the request has not run.
-pub(super) fn stopping() -> Refusal {
+pub(super) fn shutting_down() -> Refusal {
     Refusal::new(Code::Stopping, "the process stops").retry_after(stop::porter::RETRY)
 }
 
 /// The process ends, and the request may have run.
-pub(super) fn ending() -> Refusal {
+pub(super) fn aborted() -> Refusal {
     Refusal::new(Code::Broken, "the process ends")
 }
 
 /// Answers for the entry itself, and writes down why.
 pub(super) fn refuse(gateway: &Gateway, trace: &mut Trace, refusal: &Refusal) -> Answer {
-    trace.ended(refusal.code.name());
+    trace.set_outcome(refusal.code.name());
     trace.reason.clone_from(&refusal.detail);
     let id = (!trace.id.is_empty()).then_some(trace.id.as_str());
     let mut answer = gateway.dialect.refuse(refusal, id);
@@ -63,7 +63,7 @@
 }
 
 /// A request on its way.
-pub struct Course {
+pub struct Dispatch {
     /// The gateway.
     pub gateway: Rc<Gateway>,
     /// The request.
@@ -75,14 +75,14 @@
     tainted: bool,
     failure: Option<Answer>,
     /// What the next attempt takes of the budget.
-    repeat: Option<Repeat>,
+    retry: Option<Retry>,
     /// When its caller tried first, if it was refused before and came back.
     pub(super) first_try: Option<Time>,
     /// The only version that will do, once an answer of it has begun.
-    pub(super) only: Option<u64>,
+    pub(super) pinned_version: Option<u64>,
 }
 
-impl Course {
+impl Dispatch {
     pub(super) fn new(gateway: Rc<Gateway>, job: Rc<Job>, mut trace: Trace) -> Self {
         let first_try = gateway.first_try(&job);
         trace.returned = first_try.is_some();
@@ -95,28 +95,32 @@
             unreached: 0,
             tainted: false,
             failure: None,
-            repeat: None,
-            only: None,
+            retry: None,
+            pinned_version: None,
         }
     }
 
     /// What a caller without an answer is told when the process ends before a further attempt.
-    pub(super) fn untold(&self) -> Refusal {
-        if self.tainted { ending() } else { stopping() }
+    pub(super) fn unanswered_refusal(&self) -> Refusal {
+        if self.tainted {
+            aborted()
+        } else {
+            shutting_down()
+        }
     }
 
     /// Ends with the replica's own failure if there is one, or else with `refusal`.
     pub(super) fn give_up(&mut self, refusal: &Refusal) -> Answer {
         match self.failure.take() {
             Some(answer) => {
-                self.trace.ended("failed");
+                self.trace.set_outcome("failed");
                 self.trace.reason.clone_from(&refusal.detail);
                 answer
             }
             None => {
                 if refusal.code.outcome() == Some(Outcome::NotRun) {
                     let first = self.first_try.unwrap_or(self.job.arrived);
-                    self.gateway.note_refused(&self.job, first);
+                    self.gateway.record_refusal(&self.job, first);
                 }
                 refuse(&self.gateway, &mut self.trace, refusal)
             }
@@ -124,7 +128,7 @@
     }
 
     /// A process beside a replica knows that the caller tried `age` ago already.
-    pub(super) fn note_returned(&mut self, age: Duration) {
+    pub(super) fn record_earlier_try(&mut self, age: Duration) {
         let first = self.gateway.knowledge.now() - age;
         let known = self.first_try.get_or_insert(first);
         *known = first.min(*known);
@@ -132,17 +136,17 @@
     }
 
     /// Notes a failed attempt. An error is the end.
-    pub(super) fn follow_up(&mut self, failure: Failure) -> Result<(), Refusal> {
-        let (ended, detail) = self.take_failure(failure);
+    pub(super) fn handle_failure(&mut self, failure: Failure) -> Result<(), Refusal> {
+        let (ended, detail) = self.record_failure(failure);
         match next::after(ended, self.situation()) {
             Next::Elsewhere { .. } if !self.gateway.setting.policy.retries => {
                 Err(self.refusal_after(ended, detail))
             }
             Next::Elsewhere { charged } => {
-                if !charged || self.take_repeat() {
+                if !charged || self.acquire_retry() {
                     return Ok(());
                 }
-                let detail = format!("{detail}; no repeat is left in the budget");
+                let detail = format!("{detail}; no retry is left in the budget");
                 Err(self.refusal_after(ended, detail))
             }
             Next::PassOn | Next::GiveUp(_) => Err(self.refusal_after(ended, detail)),
@@ -150,13 +154,13 @@
     }
 
     /// Takes a repeat for the next attempt, if there is one.
-    fn take_repeat(&mut self) -> bool {
-        self.repeat = Repeat::take(&self.gateway, &self.job.service);
-        self.repeat.is_some()
+    fn acquire_retry(&mut self) -> bool {
+        self.retry = Retry::acquire(&self.gateway, &self.job.service);
+        self.retry.is_some()
     }
 
     /// Takes what is to be kept of a failed attempt.
-    fn take_failure(&mut self, failure: Failure) -> (Ended, String) {
+    fn record_failure(&mut self, failure: Failure) -> (Ended, String) {
         let Failure {
             ended,
             detail,
@@ -206,13 +210,13 @@
             self.with_ask(&[], |ask| pool.rest(ask, now))
         };
         if let Some(rest) = rest {
-            return refusal.retry_after(self.after_rest(rest));
+            return refusal.retry_after(self.delay_after_rest(rest));
         }
         let outage = self.gateway.pool.borrow().mostly_denied(&self.job.service);
         refusal.retry_after(if outage {
-            self.arrival(self.job.remaining(now))
+            self.weights_retry_delay(self.job.remaining(now))
         } else {
-            REFUSED_RETRY
+            REFUSED_RETRY_DELAY
         })
     }
 
@@ -229,7 +233,7 @@
             };
             let found = self.find(asks, limit).await;
             if let Some(age) = found.tried_before {
-                self.note_returned(age);
+                self.record_earlier_try(age);
             }
             let limit = if chosen_before { limit } else { self.limit() };
             self.trace.asked += found.asked;
@@ -237,13 +241,13 @@
             let (choice, idle) = (found.choice, found.idle);
             if chosen_before {
                 return choice
-                    .and_then(|choice| self.unless_cold(choice, found.given))
+                    .and_then(|choice| self.check_cold(choice, found.given))
                     .map_err(|shortage| self.refusal_after(Ended::Refused, shortage.to_string()));
             }
             if found.given {
                 return choice.map_err(|shortage| self.shortage(shortage));
             }
-            asks = asks.min(ASKS_AGAIN);
+            asks = asks.min(ASKS_PER_RECHECK);
             let now = self.gateway.knowledge.now();
             let remaining = self.job.remaining(now);
             let case = Case {
@@ -258,7 +262,7 @@
             };
             match (verdict, choice) {
                 (Verdict::Send, Ok(choice)) => {
-                    let choice = self.unless_cold(choice, found.given);
+                    let choice = self.check_cold(choice, found.given);
                     return choice.map_err(|shortage| self.shortage(shortage));
                 }
                 (Verdict::Wait(pause), _) => sleep(pause).await,
@@ -280,21 +284,21 @@
         let remaining = self.job.remaining(self.gateway.knowledge.now());
         let refusal = Refusal::new(Code::NoReplica, shortage.to_string());
         refusal.retry_after(match shortage {
-            Shortage::Resting { rest } => self.after_rest(rest),
-            _ => self.arrival(remaining),
+            Shortage::Resting { rest } => self.delay_after_rest(rest),
+            _ => self.weights_retry_delay(remaining),
         })
     }
 
     /// When a caller should come back to replicas of which the first has so much of its rest left: no sooner, and not all callers at
     /// once.
-    fn after_rest(&self, rest: Duration) -> Duration {
+    fn delay_after_rest(&self, rest: Duration) -> Duration {
         let apart = self
             .gateway
             .knowledge
             .rng
             .borrow_mut()
             .random_range(0.0..1.0);
-        rest + RETURN_SPREAD.mul_f64(apart)
+        rest + RETRY_JITTER.mul_f64(apart)
     }
 
     /// The limit on its first event, counted from its arrival.
@@ -319,10 +323,10 @@
     }
 
     /// When the caller should come back to find weights at the replicas.
-    fn arrival(&self, remaining: Duration) -> Duration {
+    fn weights_retry_delay(&self, remaining: Duration) -> Duration {
         let gateway = &self.gateway;
         if !gateway.setting.policy.named_return {
-            return NO_REPLICA_RETRY;
+            return NO_REPLICA_RETRY_DELAY;
         }
         let now = gateway.knowledge.now();
         let arrival = gateway.pool.borrow().arrival(&self.job.service, now);
@@ -350,7 +354,7 @@
         let gateway = &self.gateway;
         let now = gateway.knowledge.now();
         let service = self.job.routing.service(&self.job.service);
-        let model = self.job.ask.inference.as_ref().map(|work| &*work.model);
+        let model = self.job.meta.inference.as_ref().map(|work| &*work.model);
         let engine = service.and_then(|service| service.engine.as_ref());
         // Replicas that hold models are engines, whatever could be read of their service.
         let engines = || {
@@ -366,7 +370,7 @@
             model: model.map(|model| ModelNeed {
                 model,
                 oldest: self.oldest_version(model, now),
-                only: self.only,
+                only: self.pinned_version,
             }),
             engine,
             demand: self.job.demand(),
@@ -404,7 +408,7 @@
     }
 
     /// The choice, unless no place is kept there, and the replica is cold and bears no more.
-    fn unless_cold(&self, choice: Choice, given: bool) -> Result<Choice, Shortage> {
+    fn check_cold(&self, choice: Choice, given: bool) -> Result<Choice, Shortage> {
         let now = self.gateway.knowledge.now();
         let mut pool = self.gateway.pool.borrow_mut();
         let bears = given || pool.take_cold(choice.key, self.own_cold_per_s(), now);
@@ -423,31 +427,31 @@
         &mut self,
         choice: Choice,
         last_event: Option<u64>,
-    ) -> Result<Begun, Failure> {
+    ) -> Result<Reply, Failure> {
         let Some(attempt) = Attempt::begin(&self.gateway, &self.job, choice) else {
             let detail = "the replica has gone, or wants nothing now";
             return Err(Failure::new(Ended::NotSent, detail));
         };
         self.tried.push(choice.key);
         self.trace.replica = Some(attempt.life.id.clone());
-        self.trace.expected = Some(Expected {
+        self.trace.expected = Some(Estimate {
             chosen: self.trace.elapsed(),
             first: choice.expected,
             requests: choice.requests,
         });
-        let send = Send {
+        let send = Params {
             last_event,
-            version: self.only,
-            moves_on: self.may_move_after_one_more(),
+            version: self.pinned_version,
+            can_fail_over: self.can_fail_over_after_next(),
         };
-        let mut repeat = self.repeat.take();
-        if let Some(repeat) = &mut repeat {
-            repeat.send();
+        let mut retry = self.retry.take();
+        if let Some(retry) = &mut retry {
+            retry.mark_sent();
         }
         let result = attempt.send(&self.job, send).await;
         let ended = result.as_ref().err().map(|failure| failure.ended);
-        if let Some(repeat) = repeat {
-            repeat.ended(ended);
+        if let Some(retry) = retry {
+            retry.settle(ended);
         }
         self.trace.sent += u32::from(ended != Some(Ended::NotSent));
         result
@@ -456,34 +460,34 @@
     /// Notes the failure of an attempt to take a begun answer up. Returns whether another may
     /// follow.
     pub fn may_resume(&mut self, failure: Failure) -> bool {
-        let (ended, detail) = self.take_failure(failure);
+        let (ended, detail) = self.record_failure(failure);
         self.trace.reason = detail;
         if !self.gateway.setting.policy.resume {
             return false;
         }
         let next = next::after(ended, self.situation());
         match next {
-            Next::Elsewhere { charged } => !charged || self.take_repeat(),
+            Next::Elsewhere { charged } => !charged || self.acquire_retry(),
             Next::PassOn | Next::GiveUp(_) => false,
         }
     }
 
     /// Whether another replica may still receive the request.
-    pub fn may_move(&self) -> bool {
-        moves_on(self.situation())
+    pub fn can_fail_over(&self) -> bool {
+        can_fail_over(self.situation())
     }
 
     /// Whether another one may once the next has received it.
-    fn may_move_after_one_more(&self) -> bool {
+    fn can_fail_over_after_next(&self) -> bool {
         let situation = self.situation();
-        moves_on(Situation {
+        can_fail_over(Situation {
             sent: situation.sent + 1,
             ..situation
         })
     }
 }
 
-fn moves_on(situation: Situation) -> bool {
+fn can_fail_over(situation: Situation) -> bool {
     let next = next::after(Ended::Broken, situation);
     matches!(next, Next::Elsewhere { .. })
 }
--- a/src/gateway/event.rs
+++ b/src/gateway/event.rs
@@ -15,13 +15,13 @@
 
 /// Cuts a stream into events. After a resume, events that were passed on already are dropped.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Splitter {
     buffer: BytesMut,
     last: Option<u64>,
-    passed: u64,
+    forwarded: u64,
 }
 
-impl Cutter {
+impl Splitter {
     /// A cutter whose caller has the events up to `last` already.
     pub fn after(last: Option<u64>) -> Self {
         Self {
@@ -36,17 +36,17 @@
     }
 
     /// Events that were passed on.
-    pub fn passed(&self) -> u64 {
-        self.passed
+    pub fn forwarded(&self) -> u64 {
+        self.forwarded
     }
 
     /// Whether part of an event is waiting for its rest.
-    pub fn midway(&self) -> bool {
+    pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Drops a part of an event: the stream is taken up after the last whole one.
-    pub fn restart(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
@@ -63,7 +63,7 @@
                 continue;
             }
             self.last = number.or(self.last);
-            self.passed += 1;
+            self.forwarded += 1;
             out.extend_from_slice(&event);
         }
         if self.buffer.len() > EVENT_MAX {
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -17,23 +17,23 @@
 use crate::wire::sync::{Digest, Frame, HALL_PATH, HallNews, Reported, Sync};
 
 /// How often it is looked whether anyone is to be told or asked.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Replicas of another hall that a hall is told of: those with the most free places. Work goes to
 /// another hall only for want of places in the own, and a hall has no more entries than that.
-const FAR_MAX: usize = 64;
+const REMOTE_REPLICAS_MAX: usize = 64;
 
 /// Tells and asks until dropped.
 pub async fn run(gateway: Rc<Gateway>) {
     loop {
         if gateway.knowledge.policy.digests {
-            gateway.look_at_halls();
+            gateway.exchange_with_halls();
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn ask_hall(gateway: Rc<Gateway>, ask: Ask) {
+async fn poll_hall(gateway: Rc<Gateway>, ask: Ask) {
     let knowledge = &gateway.knowledge;
     let sync = knowledge.sync_exchanging(if ask.wants_peers {
         PeerExchange::PushPullHall
@@ -62,17 +62,17 @@
     }
 }
 
-/// Returns the [`FAR_MAX`] least loaded replicas. Those that take no requests sort last: they mostly
+/// Returns the [`REMOTE_REPLICAS_MAX`] least loaded replicas. Those that take no requests sort last: they mostly
 /// have nothing in progress and would otherwise displace replicas that can serve.
 fn least_loaded(mut reports: Vec<Reported>) -> Vec<Reported> {
     let key = |reported: &Reported| (!reported.load.takes_requests(), reported.load.present());
     reports.sort_by_key(key);
-    reports.truncate(FAR_MAX);
+    reports.truncate(REMOTE_REPLICAS_MAX);
     reports
 }
 
 impl Gateway {
-    fn look_at_halls(self: &Rc<Self>) {
+    fn exchange_with_halls(self: &Rc<Self>) {
         let knowledge = &self.knowledge;
         let now = knowledge.now();
         let own = knowledge.identity.address;
@@ -81,17 +81,17 @@
         if !self.hub.borrow().tells(place, now) {
             return;
         }
-        for ask in self.due_halls(now) {
-            actix_rt::spawn(ask_hall(self.clone(), ask));
+        for ask in self.due_polls(now) {
+            actix_rt::spawn(poll_hall(self.clone(), ask));
         }
         let changed = self.pool.borrow().changed(&knowledge.identity.hall);
         let extent = self.hub.borrow_mut().due(place, changed, now);
         if let Some(extent) = extent {
-            self.tell_hall(extent, now);
+            self.send_frame(extent, now);
         }
     }
 
-    fn due_halls(&self, now: Time) -> Vec<Ask> {
+    fn due_polls(&self, now: Time) -> Vec<Ask> {
         let knowledge = &self.knowledge;
         let peers = knowledge.peers.borrow();
         let mut rng = knowledge.rng.borrow_mut();
@@ -100,7 +100,7 @@
     }
 
     /// Sends one frame, written once, to each other entry of the hall.
-    fn tell_hall(&self, extent: Extent, now: Time) {
+    fn send_frame(&self, extent: Extent, now: Time) {
         let knowledge = &self.knowledge;
         let sync = knowledge.sync(extent == Extent::Whole { entries: true });
         let header = self.hub.borrow_mut().next_header(sync.marks);
--- /dev/null
+++ b/src/gateway/handler.rs
@@ -0,0 +1,74 @@
+//! One caller's request from its head to the head of its answer.
+
+use std::rc::Rc;
+
+use actix_http::Request;
+
+use super::dispatch::{Dispatch, aborted, refuse, shutting_down};
+use super::relay::Relay;
+use super::trace::Trace;
+use super::{Gateway, intake};
+use crate::config::routing::Kind;
+use crate::http::Answer;
+use crate::stop;
+
+/// Takes one caller's request.
+pub async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Answer {
+    let ticket = gateway.porter.enter(stop::Kind::New);
+    let arrived = gateway.knowledge.now();
+    let mut trace = Trace::begin(&gateway, arrived);
+    let prepared = if ticket.refused() {
+        intake::record_id(&gateway, &request, &mut trace);
+        Err(shutting_down())
+    } else {
+        let work = intake::prepare(&gateway, &mut request, &mut trace);
+        let prepared = gateway.porter.unless_given_up(work).await;
+        prepared.unwrap_or_else(|| Err(shutting_down()))
+    };
+    let answer = match prepared {
+        Ok(job) => {
+            gateway.count_request(&job.service);
+            run(Dispatch::new(gateway.clone(), Rc::new(job), trace)).await
+        }
+        Err(refusal) => refuse(&gateway, &mut trace, &refusal),
+    };
+    ticket.hold(answer)
+}
+
+/// Takes a request through its attempts until one is answered or none may follow.
+async fn run(mut dispatch: Dispatch) -> Answer {
+    let porter = dispatch.gateway.porter.clone();
+    if let Err(refusal) = dispatch.check_barred() {
+        return dispatch.give_up(&refusal);
+    }
+    loop {
+        let choice = match porter.unless_given_up(dispatch.admit()).await {
+            Some(Ok(choice)) => choice,
+            Some(Err(refusal)) => return dispatch.give_up(&refusal),
+            None => return dispatch.give_up(&dispatch.unanswered_refusal()),
+        };
+        if let Err(refusal) = dispatch.acquire_try().await {
+            return dispatch.give_up(&refusal);
+        }
+        let attempt = dispatch.attempt(choice, dispatch.job.meta.last_event);
+        let failure = match porter.unless_given_up(attempt).await {
+            Some(Ok(reply)) if dispatch.job.route.kind == Kind::Streaming => {
+                return Relay::new(dispatch, reply).answer();
+            }
+            Some(Ok(reply)) => match porter.unless_given_up(reply.gather(&dispatch.job)).await {
+                Some(Ok(answer)) => {
+                    dispatch.gateway.record_success(dispatch.job.name);
+                    dispatch.trace.set_outcome("whole");
+                    return answer;
+                }
+                Some(Err(failure)) => failure,
+                None => return dispatch.give_up(&aborted()),
+            },
+            Some(Err(failure)) => failure,
+            None => return dispatch.give_up(&aborted()),
+        };
+        if let Err(refusal) = dispatch.handle_failure(failure) {
+            return dispatch.give_up(&refusal);
+        }
+    }
+}
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -18,15 +18,15 @@
 use crate::request::poison;
 
 /// When a caller should come back to a process that knows no configuration yet.
-const NOT_READY_RETRY: Duration = Duration::from_millis(300);
+const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Bytes of a body that tell it from others: long ones are not hashed whole.
-const FINGERPRINTED: usize = 4 << 10;
+const FINGERPRINT_BODY_MAX: usize = 4 << 10;
 
 /// Notes the id of a request that is not looked into.
-pub fn name(gateway: &Gateway, request: &Request, trace: &mut Trace) {
-    if let Ok(ask) = gateway.dialect.parse(request.head()) {
-        trace.id = ask.id;
+pub fn record_id(gateway: &Gateway, request: &Request, trace: &mut Trace) {
+    if let Ok(meta) = gateway.dialect.parse(request.head()) {
+        trace.id = meta.id;
     }
 }
 
@@ -37,30 +37,30 @@
     trace: &mut Trace,
 ) -> Result<Job, Refusal> {
     let routing = gateway.knowledge.belief.borrow().routing().cloned();
-    let ask = gateway.dialect.parse(request.head());
-    if let Ok(ask) = &ask {
-        trace.id.clone_from(&ask.id);
+    let meta = gateway.dialect.parse(request.head());
+    if let Ok(meta) = &meta {
+        trace.id.clone_from(&meta.id);
     }
     let Some(routing) = routing else {
         let refusal = Refusal::new(Code::NotReady, "no configuration is known yet");
-        return Err(refusal.retry_after(NOT_READY_RETRY));
+        return Err(refusal.retry_after(NOT_READY_RETRY_DELAY));
     };
-    let ask = ask.map_err(|error| Refusal::new(Code::Malformed, error.to_string()))?;
+    let meta = meta.map_err(|error| Refusal::new(Code::Malformed, error.to_string()))?;
     let limits = routing.document.limits;
-    check_head(request.head(), &ask, limits)?;
+    check_head(request.head(), &meta, limits)?;
     let route = routing
-        .route(&ask.host, &ask.path)
+        .route(&meta.host, &meta.path)
         .cloned()
         .ok_or_else(|| no_route(&routing))?;
     trace.route = route.name.clone();
-    let customer = match routing.access(&route, ask.api_key.as_deref()) {
+    let customer = match routing.access(&route, meta.api_key.as_deref()) {
         Access::Customer(customer) => Some(customer),
         Access::Anonymous => None,
         Access::Denied => {
             let text = "a valid key is needed";
             return Err(Refusal::new(Code::NoAccess, text));
         }
-        Access::Unknown => return Err(not_understood("customers")),
+        Access::Unknown => return Err(unreadable_config("customers")),
     };
     let priority = customer.and_then(|customer| customer.priority);
     let priority = priority.unwrap_or(route.priority);
@@ -73,17 +73,19 @@
     let service = route
         .service(draw)
         .cloned()
-        .ok_or_else(|| not_understood("the services of this route"))?;
-    let held = Duration::from_millis(route.timeout_ms);
-    let longest = ask.timeout.map_or(held, |deadline| deadline.min(held));
+        .ok_or_else(|| unreadable_config("the services of this route"))?;
+    let route_timeout = Duration::from_millis(route.timeout_ms);
+    let timeout = meta
+        .timeout
+        .map_or(route_timeout, |deadline| deadline.min(route_timeout));
     let arrived = trace.arrived;
-    let body = read_body(request, limits, longest, || gateway.knowledge.now()).await?;
-    let fingerprint = fingerprint(&ask, body.as_deref());
-    let name = poison_name(request.head(), &ask, customer.as_deref(), body.as_deref());
+    let body = read_body(request, limits, timeout, || gateway.knowledge.now()).await?;
+    let fingerprint = fingerprint(&meta, body.as_deref());
+    let name = poison_name(request.head(), &meta, customer.as_deref(), body.as_deref());
     trace.name = Some(name);
     Ok(Job {
         head: copy_head(request.head()),
-        ask,
+        meta,
         body,
         route,
         service,
@@ -92,7 +94,7 @@
         priority,
         residency,
         arrived,
-        deadline: arrived + longest,
+        deadline: arrived + timeout,
         fingerprint,
         name,
     })
@@ -100,17 +102,17 @@
 
 /// What stays the same when the caller tries again: everything but the try's id, its deadline, and how
 /// much of an answer the caller has.
-fn fingerprint(ask: &Metadata, body: Option<&[u8]>) -> Fingerprint {
+fn fingerprint(meta: &Metadata, body: Option<&[u8]>) -> Fingerprint {
     let body = body.unwrap_or_default();
     let length = (body.len() as u64).to_le_bytes();
-    let work = ask.inference.as_ref();
+    let work = meta.inference.as_ref();
     let number = |of: fn(&Inference) -> u32| work.map_or(0, of).to_le_bytes();
     let (prompt, output) = (number(|work| work.prompt), number(|work| work.output_max));
     let hint = number(|work| work.output_hint.unwrap_or(0));
     Fingerprint::of([
-        ask.host.as_bytes(),
-        ask.path.as_bytes(),
-        ask.api_key.as_deref().unwrap_or_default().as_bytes(),
+        meta.host.as_bytes(),
+        meta.path.as_bytes(),
+        meta.api_key.as_deref().unwrap_or_default().as_bytes(),
         work.and_then(|work| work.prefix.as_deref())
             .unwrap_or_default()
             .as_bytes(),
@@ -118,35 +120,35 @@
         &output,
         &hint,
         &length,
-        &body[..body.len().min(FINGERPRINTED)],
+        &body[..body.len().min(FINGERPRINT_BODY_MAX)],
     ])
 }
 
 /// What stays the same whenever the request comes. A customer may have several keys.
 fn poison_name(
     head: &RequestHead,
-    ask: &Metadata,
+    meta: &Metadata,
     customer: Option<&str>,
     body: Option<&[u8]>,
 ) -> poison::Name {
     let path = head
         .uri
         .path_and_query()
-        .map_or(&*ask.path, |path| path.as_str());
-    let caller = customer.or(ask.api_key.as_deref()).unwrap_or_default();
-    poison::Name::of(&ask.host, path, caller, body.unwrap_or_default())
+        .map_or(&*meta.path, |path| path.as_str());
+    let caller = customer.or(meta.api_key.as_deref()).unwrap_or_default();
+    poison::Name::of(&meta.host, path, caller, body.unwrap_or_default())
 }
 
 /// A part of the configuration could not be read, and this request may need it: nobody may tell its
 /// caller that it is not allowed.
-fn not_understood(part: &str) -> Refusal {
+fn unreadable_config(part: &str) -> Refusal {
     let text = format!("{part} of the configuration could not be read");
-    Refusal::new(Code::NotReady, text).retry_after(NOT_READY_RETRY)
+    Refusal::new(Code::NotReady, text).retry_after(NOT_READY_RETRY_DELAY)
 }
 
 fn no_route(routing: &Routing) -> Refusal {
     if routing.document.gaps.routes {
-        return not_understood("routes");
+        return unreadable_config("routes");
     }
     Refusal::new(Code::NoRoute, "no route takes this host and path")
 }
@@ -159,7 +161,7 @@
     copy
 }
 
-fn check_head(head: &RequestHead, ask: &Metadata, limits: Limits) -> Result<(), Refusal> {
+fn check_head(head: &RequestHead, meta: &Metadata, limits: Limits) -> Result<(), Refusal> {
     let line = head
         .uri
         .path_and_query()
@@ -172,7 +174,7 @@
         let text = format!("the head is longer than {} bytes", limits.head_bytes);
         return Err(Refusal::new(Code::HeadTooLong, text));
     }
-    if ask
+    if meta
         .body_length
         .is_some_and(|length| length > limits.body_bytes as u64)
     {
@@ -185,7 +187,7 @@
 async fn read_body(
     request: &mut Request,
     limits: Limits,
-    longest: Duration,
+    timeout: Duration,
     now: impl Fn() -> Time,
 ) -> Result<Option<Bytes>, Refusal> {
     let none = matches!(request.payload(), actix_http::Payload::None);
@@ -193,7 +195,7 @@
         return Ok(None);
     }
     let body = http::read_request(request, limits.body_bytes);
-    match patience::within(now, longest, body).await {
+    match patience::within(now, timeout, body).await {
         None => Err(Refusal::new(
             Code::BodyTooSlow,
             "the body did not come in time",
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -18,7 +18,7 @@
 /// A request that was checked.
 pub struct Job {
     /// What its head says.
-    pub ask: Metadata,
+    pub meta: Metadata,
     /// The head itself.
     pub head: RequestHead,
     /// Its body, unless it has none.
@@ -58,7 +58,7 @@
 
     /// What it asks of an engine.
     pub fn demand(&self) -> Demand {
-        let work = self.ask.inference.as_ref();
+        let work = self.meta.inference.as_ref();
         Demand {
             prompt: work.map_or(0, |work| work.prompt),
             output: work.map_or(0, |work| work.output_hint.unwrap_or(work.output_max)),
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::course::Course;
+use super::dispatch::Dispatch;
 use crate::clock::Time;
 use crate::exchange::Note;
 use crate::knowledge::gossip;
@@ -14,11 +14,11 @@
 
 /// How long the process beside a replica may take to answer. In a hall that is 0.2 ms, and 60 ms are
 /// two chunks of weights on its link: what takes longer would hold up the request as well.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// How long it may take on a new connection, after a used one has brought nothing: three times the
 /// longest way between two halls and back.
-const ANSWERS_AGAIN: Duration = Duration::from_millis(30);
+const RENEWED_ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// What was found for a request.
 pub struct Found {
@@ -36,14 +36,14 @@
 
 /// What a process beside a replica answered.
 #[derive(Default)]
-struct Asked {
+struct Offer {
     /// The replica, if it has a place.
     choice: Option<Choice>,
     /// Time since the caller's first try, if it is known there.
     tried_before: Option<Duration>,
 }
 
-impl Course {
+impl Dispatch {
     /// Asks up to `asks` processes for a place from which the first event comes within `limit`.
     pub(super) async fn find(&self, asks: u32, limit: Duration) -> Found {
         let mut search = Search::new(asks, limit);
@@ -67,14 +67,14 @@
                     }
                 }
             };
-            let Some((process, limits)) = self.process_beside(key, limit) else {
+            let Some((sidecar, limits)) = self.sidecar_with_limits(key, limit) else {
                 let known = known.unwrap_or_else(|| self.choose(search.asked()));
                 return self.best_known(&search, known, tried_before);
             };
             let again = search.asked().contains(&key);
             let at = if again { limits.whole } else { limits.tight };
-            let ask = self.place_ask(key, process, at, limits.whole);
-            let answer = self.ask(&mut search, key, process, &ask).await;
+            let ask = self.place_ask(key, sidecar, at, limits.whole);
+            let answer = self.ask(&mut search, key, sidecar, &ask).await;
             tried_before = tried_before.max(answer.tried_before);
             if let Some(choice) = answer.choice {
                 return Found {
@@ -101,7 +101,7 @@
         let least = search.least().filter(|_| !idle);
         // Its process knows better than this entry what it has to do.
         let least = least.and_then(|(expected, key)| {
-            let choice = self.expects(key, now)?;
+            let choice = self.expected_at(key, now)?;
             Some(Choice { expected, ..choice })
         });
         Found {
@@ -118,7 +118,7 @@
     fn place_ask(
         &self,
         key: Key,
-        process: SocketAddr,
+        sidecar: SocketAddr,
         at: Duration,
         whole: Duration,
     ) -> place::Ask {
@@ -127,7 +127,7 @@
         let demand = self.job.demand();
         let known = self.first_try.is_some();
         let (_, late) = self.limits();
-        let told = gateway.refusals.borrow_mut().tell(process, knowledge.now());
+        let told = gateway.refusals.borrow_mut().tell(sidecar, knowledge.now());
         place::Ask {
             from: Some(knowledge.identity.address),
             prompt: demand.prompt,
@@ -148,13 +148,13 @@
         &self,
         search: &mut Search,
         key: Key,
-        process: SocketAddr,
+        sidecar: SocketAddr,
         ask: &place::Ask,
-    ) -> Asked {
+    ) -> Offer {
         let knowledge = &self.gateway.knowledge;
-        let (within, note) = ((ANSWERS_WITHIN, ANSWERS_AGAIN), Note::default());
+        let (within, note) = ((ANSWER_TIMEOUT, RENEWED_ANSWER_TIMEOUT), Note::default());
         let answer =
-            gossip::ask_within::<_, Answer>(knowledge, process, place::PATH, ask, within, &note);
+            gossip::ask_within::<_, Answer>(knowledge, sidecar, place::PATH, ask, within, &note);
         let answer = answer.await;
         let now = knowledge.now();
         match answer {
@@ -167,30 +167,30 @@
                     let mut pool = self.gateway.pool.borrow_mut();
                     pool.report(address, &answer.load, now);
                 }
-                self.gateway.hear_refused(&answer.refused, now);
+                self.gateway.merge_refusals(&answer.refused, now);
                 let tried_before = answer.tried_before_ms.map(Duration::from_millis);
                 if answer.dealt_out {
                     self.gateway.pool.borrow_mut().dealt_out(key, now);
                 }
                 let choice = self
-                    .expects_by(key, &answer, now)
+                    .expected_by_sidecar(key, &answer, now)
                     .filter(|_| !answer.dealt_out);
                 if answer.given && choice.is_some() {
-                    return Asked {
+                    return Offer {
                         choice,
                         tried_before,
                     };
                 }
                 let said = choice.map_or(Said::Nothing, |choice| Said::Later(choice.expected));
                 search.heard(key, said);
-                Asked {
+                Offer {
                     choice: None,
                     tried_before,
                 }
             }
             Err(error) => {
                 log::info!(
-                    request = self.job.ask.id.as_str(), process:% = process, connection:% = note;
+                    request = self.job.meta.id.as_str(), process:% = sidecar, connection:% = note;
                     "no place: {error}"
                 );
                 let silent = matches!(
@@ -203,15 +203,15 @@
                 } else {
                     search.heard(key, Said::Nothing);
                 }
-                Asked::default()
+                Offer::default()
             }
         }
     }
 
     /// The choice of the replica `key`, whose process expects what `answer` says: it knows its passes, and
     /// this entry what is known of the link to it.
-    fn expects_by(&self, key: Key, answer: &Answer, now: Time) -> Option<Choice> {
-        let choice = self.expects(key, now)?;
+    fn expected_by_sidecar(&self, key: Key, answer: &Answer, now: Time) -> Option<Choice> {
+        let choice = self.expected_at(key, now)?;
         let told = answer.expected_ms.map(Duration::from_millis);
         let expected = told.and_then(|told| self.corrected(key, told, now));
         Some(Choice {
@@ -225,18 +225,18 @@
         self.with_ask(&[], |ask| pool.corrected_at(key, ask, told, now))
     }
 
-    fn expects(&self, key: Key, now: Time) -> Option<Choice> {
+    fn expected_at(&self, key: Key, now: Time) -> Option<Choice> {
         self.with_ask(&[], |ask| self.gateway.pool.borrow().expects(key, ask, now))
     }
 
     /// Where the process beside a replica is asked, and the limits that it is told; `None` if
     /// nobody there gives places, or did not answer lately.
-    fn process_beside(&self, key: Key, limit: Duration) -> Option<(SocketAddr, Limits)> {
-        let process = self.gateway.process_beside(key)?;
+    fn sidecar_with_limits(&self, key: Key, limit: Duration) -> Option<(SocketAddr, Limits)> {
+        let sidecar = self.gateway.sidecar_of(key)?;
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
         let left = limit.saturating_sub(now.since(self.job.arrived));
         let limits = self.with_ask(&[], |ask| pool.limits(key, ask, left, now))?;
-        Some((process, limits))
+        Some((sidecar, limits))
     }
 }
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -8,8 +8,8 @@
 
 use actix_rt::time::sleep;
 
-use super::course::Course;
 use super::dialect::{Code, Refusal};
+use super::dispatch::Dispatch;
 use super::{CONNECT_TIMEOUT, Gateway};
 use crate::clock::Time;
 use crate::knowledge::poison;
@@ -18,7 +18,7 @@
 
 /// When it is looked whether the list or the process beside a replica tells of its end or of a new life: one that starts again within a
 /// moment takes connections as before, and one may end a moment after an attempt was given up. Together they are a round.
-const LOOKS: [Duration; 3] = [
+const CHECK_DELAYS: [Duration; 3] = [
     Duration::from_millis(300),
     Duration::from_millis(700),
     Duration::from_millis(1_000),
@@ -26,11 +26,11 @@
 
 /// What its entry saw of the end of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Sight {
+pub(super) enum Observation {
     /// It broke: if its replica ended, it is not there now.
-    Broke,
+    Broken,
     /// Nothing: it was given up before its replica was through with it.
-    GivenUp,
+    Abandoned,
 }
 
 /// An attempt under which its replica may have ended.
@@ -38,7 +38,7 @@
 struct Suspect {
     name: Name,
     life: Life,
-    sight: Sight,
+    observation: Observation,
     at: Time,
     /// The replicas that were known at the address then.
     known: Vec<Arc<str>>,
@@ -55,7 +55,7 @@
 impl Watch {
     /// Whether it is to be connected to now because an attempt broke there: once a round.
     fn connects(&mut self) -> bool {
-        let broke = |suspect: &Suspect| suspect.sight == Sight::Broke;
+        let broke = |suspect: &Suspect| suspect.observation == Observation::Broken;
         let connects = !self.connected && self.suspects.iter().any(broke);
         self.connected |= connects;
         connects
@@ -89,7 +89,7 @@
         name: Name,
         life: Life,
         address: SocketAddr,
-        sight: Sight,
+        observation: Observation,
     ) {
         let mut suspects = self.suspects.borrow_mut();
         let watched = suspects.0.contains_key(&address);
@@ -97,7 +97,7 @@
         watch.suspects.push(Suspect {
             name,
             life,
-            sight,
+            observation,
             at: self.knowledge.now(),
             known: self.pool.borrow().ids_at(address),
         });
@@ -119,7 +119,7 @@
                 self.clone().connect(address).await;
             }
             let mut asked = false;
-            for pause in LOOKS {
+            for pause in CHECK_DELAYS {
                 if !self.suspected(address) {
                     break;
                 }
@@ -167,14 +167,14 @@
         let Some(first) = ended.first() else {
             return;
         };
-        let given_up = |suspect: &&Suspect| suspect.sight == Sight::GivenUp;
+        let given_up = |suspect: &&Suspect| suspect.observation == Observation::Abandoned;
         log::warn!(
             replica = &*first.life.id, address:% = address, requests = ended.len(),
             given_up = ended.iter().filter(given_up).count();
             "a replica ended, with all that ran there"
         );
         for Suspect { name, life, .. } in ended {
-            self.instruments.replica_ended();
+            self.instruments.count_replica_end();
             let news = self.knowledge.poison.borrow_mut().ended(name, life, now);
             if news {
                 self.log_if_barred(name);
@@ -195,7 +195,7 @@
     }
 
     /// A replica answered `name` whole.
-    pub(super) fn came_good(&self, name: Name) {
+    pub(super) fn record_success(&self, name: Name) {
         let now = self.knowledge.now();
         let news = self.knowledge.poison.borrow_mut().came_good(name, now);
         if news {
@@ -213,7 +213,7 @@
     format!("replicas ended under it: {}", ends.join(", "))
 }
 
-impl Course {
+impl Dispatch {
     fn verdict(&self) -> Verdict {
         let knowledge = &self.gateway.knowledge;
         let register = knowledge.poison.borrow();
@@ -221,32 +221,32 @@
     }
 
     /// Whether it may be sent to a replica like any other request.
-    pub(super) fn free(&self) -> bool {
+    pub(super) fn is_free(&self) -> bool {
         self.verdict() == Verdict::Free
     }
 
     /// Refuses it if it is barred, and not due to be tried.
-    pub(super) fn unless_barred(&self) -> Result<(), Refusal> {
+    pub(super) fn check_barred(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Free | Verdict::Due => Ok(()),
-            Verdict::Barred => Err(self.barred()),
+            Verdict::Barred => Err(self.barred_refusal()),
         }
     }
 
     /// Refuses it if it is barred, but for the single try that it may be due. Its verdict may have changed while it waited for a
     /// place, or while an earlier attempt was under way.
-    pub(super) async fn unless_poison(&self) -> Result<(), Refusal> {
+    pub(super) async fn acquire_try(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Free => Ok(()),
             Verdict::Due if poison::take_try(&self.gateway.knowledge, self.job.name).await => {
                 Ok(())
             }
-            Verdict::Due | Verdict::Barred => Err(self.barred()),
+            Verdict::Due | Verdict::Barred => Err(self.barred_refusal()),
         }
     }
 
     /// What its caller is told: to come again serves nobody.
-    pub(super) fn barred(&self) -> Refusal {
+    pub(super) fn barred_refusal(&self) -> Refusal {
         let knowledge = &self.gateway.knowledge;
         let case = knowledge
             .poison
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -27,21 +27,21 @@
 
 /// How long a connection may bring nothing before the answer is asked for over a new one as well. Events come every 0.1 s, and
 /// a pause of 0.4 s makes a stream late; a new connection brings what has come meanwhile within a few milliseconds.
-const QUIET: Duration = Duration::from_millis(300);
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long it may while others are suspected to be silent: about the time between two events. Whoever finds that out, it
 /// holds for most connections at once.
-const QUIET_SUSPECTED: Duration = Duration::from_millis(100);
+const STALL_TIMEOUT_SUSPECTED: Duration = Duration::from_millis(100);
 
 /// How long it may take to hear that nobody reads a run any more, over a used connection.
-const END_RENEWS: Duration = Duration::from_millis(60);
+const END_RENEW_AFTER: Duration = Duration::from_millis(60);
 
 /// Connections that are asked already, at which a suspicion has none asked besides: the one that carries the request, and one
 /// more.
-const WAYS_SUSPECTED: usize = 2;
+const FETCHES_WHEN_SUSPECTED: usize = 2;
 
 /// Connections in a row that may fail before an answer counts as broken.
-const FAILED_MAX: u32 = 2;
+const FAILURES_MAX: u32 = 2;
 
 /// Why an answer did not begin.
 #[derive(Debug, thiserror::Error)]
@@ -85,7 +85,7 @@
     /// The replica itself.
     Replica(Box<Response>),
     /// The process beside it.
-    Kept(Box<Kept>),
+    Sidecar(Box<Buffered>),
 }
 
 impl Reader {
@@ -100,22 +100,22 @@
 
     /// Asks the process at `line` to run a request once, and reads what it keeps of the answer.
     pub async fn begin(
-        line: Line,
+        handle: Handle,
         head: RequestHead,
         body: Option<Bytes>,
         note: Note,
     ) -> Result<Self, Error> {
-        let mut kept = Kept::begin(line, head, body, note)?;
-        let mut response = kept.head().await?;
+        let mut buffered = Buffered::begin(handle, head, body, note)?;
+        let mut response = buffered.head().await?;
         let mut headers = std::mem::take(&mut response.headers);
         // It is for this process alone.
         headers.remove(TOLD);
         let status = response.status;
-        kept.current = Some(response);
+        buffered.current = Some(response);
         Ok(Self {
             status,
             headers,
-            source: Source::Kept(Box::new(kept)),
+            source: Source::Sidecar(Box::new(buffered)),
         })
     }
 
@@ -130,7 +130,7 @@
     pub async fn next(&mut self) -> Option<Result<Bytes, exchange::Error>> {
         match &mut self.source {
             Source::Replica(response) => response.next().await,
-            Source::Kept(kept) => kept.next().await,
+            Source::Sidecar(buffered) => buffered.next().await,
         }
     }
 
@@ -146,27 +146,27 @@
 
 /// Where a run is kept.
 #[derive(Clone)]
-pub struct Line {
+pub struct Handle {
     gateway: Rc<Gateway>,
-    process: SocketAddr,
+    sidecar: SocketAddr,
     key: Key,
     request: Rc<str>,
     began: Time,
 }
 
-impl fmt::Debug for Line {
+impl fmt::Debug for Handle {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "Line({}, {})", self.process, self.key)
+        write!(formatter, "Handle({}, {})", self.sidecar, self.key)
     }
 }
 
-impl Line {
+impl Handle {
     /// A run of `request` that `process` is to keep.
-    pub fn new(gateway: &Rc<Gateway>, process: SocketAddr, request: &str) -> Self {
+    pub fn new(gateway: &Rc<Gateway>, sidecar: SocketAddr, request: &str) -> Self {
         let key = Key(gateway.knowledge.rng.borrow_mut().random());
         Self {
             gateway: gateway.clone(),
-            process,
+            sidecar,
             key,
             request: request.into(),
             began: gateway.knowledge.now(),
@@ -188,14 +188,14 @@
             key: self.key,
             from,
         };
-        let head = Request::new(Method::GET, call.to_string()).head(self.process)?;
+        let head = Request::new(Method::GET, call.to_string()).head(self.sidecar)?;
         let options = Options {
             reuse: Reuse::Never,
             connect_timeout: CONNECT_TIMEOUT,
             ..Options::default()
         };
         self.client()
-            .exchange(self.process, head, None, options)
+            .exchange(self.sidecar, head, None, options)
             .await
     }
 
@@ -205,75 +205,75 @@
         let options = Options {
             idle_max: IDLE_MAX,
             connect_timeout: CONNECT_TIMEOUT,
-            renews_after: Some(END_RENEWS),
+            renews_after: Some(END_RENEW_AFTER),
             ..Options::default()
         };
         let client = self.client();
         let told = async {
-            let head = Request::new(Method::POST, call.to_string()).head(self.process)?;
-            client.exchange(self.process, head, None, options).await
+            let head = Request::new(Method::POST, call.to_string()).head(self.sidecar)?;
+            client.exchange(self.sidecar, head, None, options).await
         };
         if let Err(error) = told.await {
-            log::info!(request = &*self.request, process:% = self.process; "end of a run not told: {error}");
+            log::info!(request = &*self.request, process:% = self.sidecar; "end of a run not told: {error}");
         }
     }
 }
 
 /// One connection that is asked for an answer, or for the rest of one.
-struct Way {
+struct Fetch {
     from: u64,
     /// Whether it is the one that carries the request.
-    first: bool,
+    is_initial: bool,
     response: Result<Box<Response>, exchange::Error>,
 }
 
 /// An answer that the process beside a replica keeps.
-struct Kept {
-    line: Line,
+struct Buffered {
+    handle: Handle,
     /// The connection that brings it now.
     current: Option<Box<Response>>,
     /// Bytes that this brings once more.
-    again: u64,
+    duplicate_bytes: u64,
     /// Bytes that came.
-    came: u64,
-    ways: FuturesUnordered<LocalBoxFuture<'static, Way>>,
+    received: u64,
+    fetches: FuturesUnordered<LocalBoxFuture<'static, Fetch>>,
     /// When bytes came last.
-    heard: Time,
+    last_received: Time,
     /// How long after that the answer is asked for over one connection more.
-    quiet: Duration,
+    stall_timeout: Duration,
     /// Counts suspicions of other connections.
     suspicions: watch::Receiver<u64>,
-    failed: u32,
+    failures: u32,
     /// Whether nothing more is to be had of the run.
-    over: bool,
+    finished: bool,
 }
 
-impl Drop for Kept {
+impl Drop for Buffered {
     fn drop(&mut self) {
-        if !self.over {
-            actix_rt::spawn(self.line.clone().end());
+        if !self.finished {
+            actix_rt::spawn(self.handle.clone().end());
         }
     }
 }
 
 /// What happened first.
-enum Turn {
+enum Event {
     Part(Option<Result<Bytes, exchange::Error>>),
-    Way(Way),
+    Fetch(Fetch),
     Suspected,
-    Quiet,
+    Stalled,
 }
 
-impl Kept {
+impl Buffered {
     fn begin(
-        line: Line,
+        handle: Handle,
         mut head: RequestHead,
         body: Option<Bytes>,
         note: Note,
     ) -> Result<Self, Error> {
         let target = head.uri.path_and_query().map(ToString::to_string);
         let call = Call::Start {
-            key: line.key,
+            key: handle.key,
             target: target.unwrap_or_default(),
         };
         head.uri = call.to_string().parse().map_err(|_| Error::NotSent)?;
@@ -282,176 +282,178 @@
             connect_timeout: CONNECT_TIMEOUT,
             ..Options::default()
         };
-        let (client, process) = (line.client(), line.process);
-        let first = async move {
-            let exchange = client.exchange_noting(process, head, body, options, &note);
-            Way {
+        let (client, sidecar) = (handle.client(), handle.sidecar);
+        let initial = async move {
+            let exchange = client.exchange_noting(sidecar, head, body, options, &note);
+            Fetch {
                 from: 0,
-                first: true,
+                is_initial: true,
                 response: exchange.await.map(Box::new),
             }
         };
-        let ways = FuturesUnordered::new();
-        ways.push(first.boxed_local());
+        let fetches = FuturesUnordered::new();
+        fetches.push(initial.boxed_local());
         Ok(Self {
             current: None,
-            again: 0,
-            came: 0,
-            ways,
-            heard: line.began,
-            quiet: QUIET,
-            suspicions: line.client().suspicions(),
-            failed: 0,
-            over: false,
-            line,
+            duplicate_bytes: 0,
+            received: 0,
+            fetches,
+            last_received: handle.began,
+            stall_timeout: STALL_TIMEOUT,
+            suspicions: handle.client().suspicions(),
+            failures: 0,
+            finished: false,
+            handle,
         })
     }
 
     /// Asks for the rest of the answer over one connection more.
-    fn ask_again(&mut self) {
-        let (line, from) = (self.line.clone(), self.came);
-        let way = async move {
-            Way {
+    fn fetch_rest(&mut self) {
+        let (handle, from) = (self.handle.clone(), self.received);
+        let fetch = async move {
+            Fetch {
                 from,
-                first: false,
-                response: line.read(from).await.map(Box::new),
+                is_initial: false,
+                response: handle.read(from).await.map(Box::new),
             }
         };
-        self.ways.push(way.boxed_local());
+        self.fetches.push(fetch.boxed_local());
     }
 
     /// Waits for the head of the answer.
     async fn head(&mut self) -> Result<Box<Response>, Error> {
         loop {
-            match self.turn().await {
-                Turn::Way(way) => {
-                    if let Some(response) = self.take(way)? {
+            match self.next_event().await {
+                Event::Fetch(fetch) => {
+                    if let Some(response) = self.accept(fetch)? {
                         return Ok(response);
                     }
                 }
                 // There is no connection yet that could bring a part.
-                Turn::Part(_) | Turn::Quiet => self.ask_when_quiet(),
-                Turn::Suspected => self.suspect(),
+                Event::Part(_) | Event::Stalled => self.fetch_after_stall(),
+                Event::Suspected => self.shorten_stall_timeout(),
             }
         }
     }
 
-    fn ask_when_quiet(&mut self) {
-        let quiet = self.now().since(self.heard);
-        self.quiet = quiet.max(QUIET) * 2;
-        self.ask_again();
+    fn fetch_after_stall(&mut self) {
+        let quiet = self.now().since(self.last_received);
+        self.stall_timeout = quiet.max(STALL_TIMEOUT) * 2;
+        self.fetch_rest();
     }
 
     /// Other connections are suspected to be silent, so this one may bring nothing for less long. One that is asked
     /// for in its place already will show it.
-    fn suspect(&mut self) {
-        if self.ways.len() < WAYS_SUSPECTED {
-            self.quiet = self.quiet.min(QUIET_SUSPECTED);
+    fn shorten_stall_timeout(&mut self) {
+        if self.fetches.len() < FETCHES_WHEN_SUSPECTED {
+            self.stall_timeout = self.stall_timeout.min(STALL_TIMEOUT_SUSPECTED);
         }
     }
 
     fn now(&self) -> Time {
-        self.line.gateway.knowledge.now()
+        self.handle.gateway.knowledge.now()
     }
 
     /// Takes what a way brought: the answer, nothing yet, or that there will be none.
-    fn take(&mut self, way: Way) -> Result<Option<Box<Response>>, Error> {
-        let response = match way.response {
+    fn accept(&mut self, fetch: Fetch) -> Result<Option<Box<Response>>, Error> {
+        let response = match fetch.response {
             Ok(response) => response,
-            Err(exchange::Error::NotSent { reason }) if way.first => {
-                return Err(self.ended(Error::OutOfReach { reason }));
+            Err(exchange::Error::NotSent { reason }) if fetch.is_initial => {
+                return Err(self.finish_with(Error::OutOfReach { reason }));
             }
-            Err(error) => return self.failed(error).map(|()| None),
+            Err(error) => return self.fetch_failed(error).map(|()| None),
         };
         match Told::of(response.header(TOLD)) {
             Some(Told::Replica) => {
-                self.again = self.came - way.from;
-                self.failed = 0;
+                self.duplicate_bytes = self.received - fetch.from;
+                self.failures = 0;
                 Ok(Some(response))
             }
-            Some(told) if self.came == 0 && told.not_run(self.line.age()) => {
+            Some(told) if self.received == 0 && told.not_run(self.handle.age()) => {
                 let notice = Notice::of(response.header(notice::HEADER));
                 let error = if notice.is_empty() {
                     Error::NotSent
                 } else {
                     Error::TurnedAway { notice }
                 };
-                Err(self.ended(error))
+                Err(self.finish_with(error))
             }
             // A process of an earlier release keeps no runs.
-            None if way.first && response.status == StatusCode::NOT_FOUND => {
-                Err(self.ended(Error::NotSent))
+            None if fetch.is_initial && response.status == StatusCode::NOT_FOUND => {
+                Err(self.finish_with(Error::NotSent))
             }
             Some(_) | None => {
                 let reason = "the process beside the replica has no more of it";
-                Err(self.ended(broken(reason).into()))
+                Err(self.finish_with(broken(reason).into()))
             }
         }
     }
 
-    fn ended(&mut self, error: Error) -> Error {
-        self.over = true;
+    fn finish_with(&mut self, error: Error) -> Error {
+        self.finished = true;
         error
     }
 
     /// A connection failed. If it was the last, another is tried.
-    fn failed(&mut self, error: exchange::Error) -> Result<(), Error> {
-        if self.current.is_some() || !self.ways.is_empty() {
+    fn fetch_failed(&mut self, error: exchange::Error) -> Result<(), Error> {
+        if self.current.is_some() || !self.fetches.is_empty() {
             return Ok(());
         }
-        self.failed += 1;
-        if self.failed > FAILED_MAX {
+        self.failures += 1;
+        if self.failures > FAILURES_MAX {
             return Err(broken(error).into());
         }
-        self.ask_again();
+        self.fetch_rest();
         Ok(())
     }
 
     async fn next(&mut self) -> Option<Result<Bytes, exchange::Error>> {
-        if self.over {
+        if self.finished {
             return None;
         }
         loop {
-            match self.turn().await {
-                Turn::Part(None) => {
-                    self.over = true;
+            match self.next_event().await {
+                Event::Part(None) => {
+                    self.finished = true;
                     return None;
                 }
-                Turn::Part(Some(Ok(bytes))) => {
-                    self.quiet = QUIET;
-                    self.heard = self.now();
-                    let bytes = self.without_known(bytes);
+                Event::Part(Some(Ok(bytes))) => {
+                    self.stall_timeout = STALL_TIMEOUT;
+                    self.last_received = self.now();
+                    let bytes = self.skip_duplicate(bytes);
                     if !bytes.is_empty() {
                         return Some(Ok(bytes));
                     }
                 }
-                Turn::Part(Some(Err(error))) => {
+                Event::Part(Some(Err(error))) => {
                     self.current = None;
-                    let request = &*self.line.request;
-                    log::info!(request, came = self.came; "its connection ended: {error}");
-                    if let Err(error) = self.failed(error) {
-                        return Some(Err(told(error)));
+                    let request = &*self.handle.request;
+                    log::info!(request, came = self.received; "its connection ended: {error}");
+                    if let Err(error) = self.fetch_failed(error) {
+                        return Some(Err(exchange_error(error)));
                     }
                 }
-                Turn::Quiet => self.ask_when_quiet(),
-                Turn::Suspected => self.suspect(),
-                Turn::Way(way) => match self.take(way) {
+                Event::Stalled => self.fetch_after_stall(),
+                Event::Suspected => self.shorten_stall_timeout(),
+                Event::Fetch(fetch) => match self.accept(fetch) {
                     Ok(None) => {}
                     Ok(Some(response)) => {
-                        let request = &*self.line.request;
-                        log::info!(request, came = self.came; "read on over a new connection");
+                        let request = &*self.handle.request;
+                        log::info!(request, came = self.received; "read on over a new connection");
                         self.current = Some(response);
                     }
-                    Err(error) => return Some(Err(told(error))),
+                    Err(error) => return Some(Err(exchange_error(error))),
                 },
             }
         }
     }
 
     /// Waits for the next bytes, for a way, or until it has been quiet for long.
-    async fn turn(&mut self) -> Turn {
-        let quiet = self.quiet.saturating_sub(self.now().since(self.heard));
-        let (current, ways) = (&mut self.current, &mut self.ways);
+    async fn next_event(&mut self) -> Event {
+        let quiet = self
+            .stall_timeout
+            .saturating_sub(self.now().since(self.last_received));
+        let (current, fetches) = (&mut self.current, &mut self.fetches);
         let suspicions = &mut self.suspicions;
         let part = async {
             match current {
@@ -459,9 +461,9 @@
                 None => pending().await,
             }
         };
-        let way = async {
-            match ways.next().await {
-                Some(way) => way,
+        let fetch = async {
+            match fetches.next().await {
+                Some(fetch) => fetch,
                 None => pending().await,
             }
         };
@@ -469,28 +471,28 @@
             // The sender lives as long as the gateway, which the line holds.
             let _ = suspicions.changed().await;
         };
-        let (part, way, suspected) = (pin!(part), pin!(way), pin!(suspected));
+        let (part, fetch, suspected) = (pin!(part), pin!(fetch), pin!(suspected));
         let quiet = pin!(sleep(quiet));
-        match select(select(part, way), select(suspected, quiet)).await {
-            Either::Left((Either::Left((part, _)), _)) => Turn::Part(part),
-            Either::Left((Either::Right((way, _)), _)) => Turn::Way(way),
-            Either::Right((Either::Left(_), _)) => Turn::Suspected,
-            Either::Right((Either::Right(_), _)) => Turn::Quiet,
+        match select(select(part, fetch), select(suspected, quiet)).await {
+            Either::Left((Either::Left((part, _)), _)) => Event::Part(part),
+            Either::Left((Either::Right((fetch, _)), _)) => Event::Fetch(fetch),
+            Either::Right((Either::Left(_), _)) => Event::Suspected,
+            Either::Right((Either::Right(_), _)) => Event::Stalled,
         }
     }
 
     /// Drops what came before over another connection.
-    fn without_known(&mut self, mut bytes: Bytes) -> Bytes {
-        let known = self.again.min(bytes.len() as u64);
-        self.again -= known;
+    fn skip_duplicate(&mut self, mut bytes: Bytes) -> Bytes {
+        let known = self.duplicate_bytes.min(bytes.len() as u64);
+        self.duplicate_bytes -= known;
         bytes.advance(known as usize);
-        self.came += bytes.len() as u64;
+        self.received += bytes.len() as u64;
         bytes
     }
 }
 
 /// The error of an answer that had begun.
-fn told(error: Error) -> exchange::Error {
+fn exchange_error(error: Error) -> exchange::Error {
     match error {
         Error::Exchange(error) => error,
         error => broken(error),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use futures_util::{Stream, stream};
 
-use super::attempt::{self, Attempt, Begun};
-use super::course::Course;
-use super::event::Cutter;
+use super::attempt::{self, Attempt, Reply};
+use super::dispatch::Dispatch;
+use super::event::Splitter;
 use super::reader::Reader;
 use crate::clock::Time;
 use crate::http::Answer;
@@ -17,7 +17,7 @@
 use crate::route::health::Sign;
 
 /// A stream without an event for so long is taken up elsewhere, if it may be.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const SILENCE_MAX: Duration = Duration::from_millis(1_500);
 
 /// What a step of a stream brought.
 enum Step {
@@ -30,7 +30,7 @@
     /// A break, and what it says about the replica.
     Broken(String, Sign),
     /// The request's time is over.
-    Late,
+    Expired,
 }
 
 fn broken(detail: &str) -> Step {
@@ -39,27 +39,27 @@
 
 /// A stream on its way to the caller. Dropping it closes the connection to the replica.
 pub struct Relay {
-    course: Course,
+    dispatch: Dispatch,
     attempt: Attempt,
     response: Reader,
-    cutter: Cutter,
+    splitter: Splitter,
     head: Option<actix_http::Response<()>>,
     last_event_at: Option<Time>,
 }
 
 impl Relay {
     /// Passes on what began.
-    pub fn new(mut course: Course, begun: Begun) -> Self {
-        let head = begun.head();
-        let Begun {
+    pub fn new(mut dispatch: Dispatch, reply: Reply) -> Self {
+        let head = reply.head();
+        let Reply {
             attempt,
             response,
             version,
-        } = begun;
-        course.only = version;
+        } = reply;
+        dispatch.pinned_version = version;
         Self {
-            cutter: Cutter::after(course.job.ask.last_event),
-            course,
+            splitter: Splitter::after(dispatch.job.meta.last_event),
+            dispatch,
             attempt,
             response,
             head: Some(head),
@@ -94,24 +94,27 @@
             match self.step().await {
                 Step::Part => {}
                 Step::Events(events) => {
-                    self.note_events();
+                    self.record_events();
                     return Some(Ok(events));
                 }
                 Step::End => {
-                    self.attempt.count_whole();
-                    self.course.gateway.came_good(self.course.job.name);
-                    self.course.trace.ended("whole");
+                    self.attempt.record_complete();
+                    self.dispatch.gateway.record_success(self.dispatch.job.name);
+                    self.dispatch.trace.set_outcome("whole");
                     return None;
                 }
-                Step::Late => {
-                    self.course.trace.ended("late_midway");
-                    let detail = format!("its time was over after {} events", self.cutter.passed());
-                    self.course.trace.reason = detail;
+                Step::Expired => {
+                    self.dispatch.trace.set_outcome("late_midway");
+                    let detail = format!(
+                        "its time was over after {} events",
+                        self.splitter.forwarded()
+                    );
+                    self.dispatch.trace.reason = detail;
                     return Some(Err(io::ErrorKind::TimedOut.into()));
                 }
                 Step::Broken(detail, sign) => {
                     if !self.resume(detail, sign).await {
-                        self.course.trace.ended("broken_midway");
+                        self.dispatch.trace.set_outcome("broken_midway");
                         return Some(Err(io::ErrorKind::ConnectionAborted.into()));
                     }
                 }
@@ -119,82 +122,82 @@
         }
     }
 
-    fn note_events(&mut self) {
-        let now = self.course.gateway.knowledge.now();
+    fn record_events(&mut self) {
+        let now = self.dispatch.gateway.knowledge.now();
         if let Some(last) = self.last_event_at.replace(now) {
-            let trace = &mut self.course.trace;
+            let trace = &mut self.dispatch.trace;
             trace.gap = trace.gap.max(now.since(last));
         }
-        self.note_first();
+        self.record_first_event();
     }
 
-    fn note_first(&mut self) {
-        self.attempt.started();
-        if self.course.trace.first.is_some() {
+    fn record_first_event(&mut self) {
+        self.attempt.first_event_received();
+        if self.dispatch.trace.first.is_some() {
             return;
         }
-        let first = self.course.trace.elapsed();
-        self.course.trace.first = Some(first);
-        self.course.gateway.instruments.first(first);
+        let first = self.dispatch.trace.elapsed();
+        self.dispatch.trace.first = Some(first);
+        self.dispatch.gateway.instruments.record_first_event(first);
         self.attempt.note(Sign::Whole(self.attempt.elapsed()));
     }
 
     async fn step(&mut self) -> Step {
-        let now = self.course.gateway.knowledge.now();
-        let remaining = self.course.job.remaining(now);
-        let may_move = self.course.may_move();
-        let patience = if may_move {
-            remaining.min(SILENCE)
+        let now = self.dispatch.gateway.knowledge.now();
+        let remaining = self.dispatch.job.remaining(now);
+        let can_fail_over = self.dispatch.can_fail_over();
+        let patience = if can_fail_over {
+            remaining.min(SILENCE_MAX)
         } else {
             remaining
         };
         // What nobody else may take up is waited for.
-        self.response.set_guarded(may_move);
-        let clock = self.course.gateway.knowledge.clock;
+        self.response.set_guarded(can_fail_over);
+        let clock = self.dispatch.gateway.knowledge.clock;
         match patience::within(|| clock.now(), patience, self.response.next()).await {
-            Some(Some(Ok(bytes))) => match self.cutter.push(bytes) {
+            Some(Some(Ok(bytes))) => match self.splitter.push(bytes) {
                 Ok(events) if events.is_empty() => Step::Part,
                 Ok(events) => Step::Events(events),
                 Err(error) => Step::Broken(error.to_string(), Sign::Broken),
             },
             Some(Some(Err(error))) => Step::Broken(error.to_string(), attempt::sign(&error)),
-            Some(None) if self.cutter.midway() => broken("it ended inside an event"),
+            Some(None) if self.splitter.is_partial() => broken("it ended inside an event"),
             Some(None) => Step::End,
-            None if patience == remaining => Step::Late,
+            None if patience == remaining => Step::Expired,
             None => Step::Broken("the replica is silent".to_owned(), Sign::Silent),
         }
     }
 
     /// Takes the stream up at another replica, after the last whole event.
     async fn resume(&mut self, detail: String, sign: Sign) -> bool {
-        let passed = self.cutter.passed();
+        let passed = self.splitter.forwarded();
         let detail = format!("{detail} after {passed} events");
-        let mut failure = self.attempt.broken(&self.course.job, detail, sign);
+        let mut failure = self.attempt.broken(&self.dispatch.job, detail, sign);
         loop {
-            if !self.course.may_resume(failure) {
+            if !self.dispatch.may_resume(failure) {
                 return false;
             }
-            let choice = match self.course.choose(&[]).0 {
+            let choice = match self.dispatch.choose(&[]).0 {
                 Ok(choice) => choice,
                 Err(shortage) => {
-                    self.course.trace.reason =
-                        format!("{}; not taken up: {shortage}", self.course.trace.reason);
+                    self.dispatch.trace.reason =
+                        format!("{}; not taken up: {shortage}", self.dispatch.trace.reason);
                     return false;
                 }
             };
-            if !self.course.free() {
-                self.course.trace.reason = self.course.barred().detail;
+            if !self.dispatch.is_free() {
+                self.dispatch.trace.reason = self.dispatch.barred_refusal().detail;
                 return false;
             }
-            let last = self.cutter.last();
-            match self.course.attempt(choice, last).await {
-                Ok(begun) => {
-                    self.cutter.restart();
-                    self.attempt = begun.attempt;
-                    self.response = begun.response;
-                    self.course.only = self.course.only.or(begun.version);
+            let last = self.splitter.last();
+            match self.dispatch.attempt(choice, last).await {
+                Ok(reply) => {
+                    self.splitter.discard_partial();
+                    self.attempt = reply.attempt;
+                    self.response = reply.response;
+                    self.dispatch.pinned_version = self.dispatch.pinned_version.or(reply.version);
                     log::info!(
-                        request = self.course.job.ask.id.as_str(),
+                        request = self.dispatch.job.meta.id.as_str(),
                         replica = &*self.attempt.life.id,
                         last_event:? = last;
                         "stream taken up"
--- a/src/gateway/repeat.rs
+++ b/src/gateway/retry.rs
@@ -9,16 +9,16 @@
 use crate::request::budget::Key;
 
 /// A repeat. Dropped, it gives itself back if it was not sent; otherwise it may have been on its way until now.
-pub struct Repeat {
+pub struct Retry {
     gateway: Rc<Gateway>,
     service: Arc<str>,
     key: Key,
     sent: bool,
 }
 
-impl Repeat {
+impl Retry {
     /// Takes one, if there is one.
-    pub fn take(gateway: &Rc<Gateway>, service: &Arc<str>) -> Option<Self> {
+    pub fn acquire(gateway: &Rc<Gateway>, service: &Arc<str>) -> Option<Self> {
         let now = gateway.knowledge.now();
         let entries = gateway.knowledge.peers.borrow().bound();
         let mut budget = gateway.budget(service);
@@ -32,12 +32,12 @@
     }
 
     /// It is about to be sent.
-    pub fn send(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.sent = true;
     }
 
     /// The attempt that it was sent with ended so, or an answer to it has begun.
-    pub fn ended(mut self, ended: Option<Ended>) {
+    pub fn settle(mut self, ended: Option<Ended>) {
         match ended {
             Some(Ended::NotSent) => self.sent = false,
             Some(Ended::Broken) => {}
@@ -49,7 +49,7 @@
     }
 }
 
-impl Drop for Repeat {
+impl Drop for Retry {
     fn drop(&mut self) {
         let mut budget = self.gateway.budget(&self.service);
         if self.sent {
--- a/src/gateway/status.rs
+++ b/src/gateway/status.rs
@@ -6,7 +6,7 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter};
 
 /// Bounds of the histograms' buckets, in seconds.
-const SECONDS: [f64; 14] = [
+const LATENCY_BUCKETS: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 2.0, 4.0, 8.0,
 ];
 
@@ -38,13 +38,13 @@
             duration: meter
                 .f64_histogram("http.server.request.duration")
                 .with_unit("s")
-                .with_boundaries(SECONDS.to_vec())
+                .with_boundaries(LATENCY_BUCKETS.to_vec())
                 .with_description("Time from a request's head to the end of its answer")
                 .build(),
             first: meter
                 .f64_histogram("pumicelatch.gateway.first_event")
                 .with_unit("s")
-                .with_boundaries(SECONDS.to_vec())
+                .with_boundaries(LATENCY_BUCKETS.to_vec())
                 .with_description("Time from a request's head to the first event of its stream")
                 .build(),
             losses: meter
@@ -69,38 +69,38 @@
     }
 
     /// A request ended.
-    pub fn request(&self, outcome: &'static str, took: Duration) {
+    pub fn record_request(&self, outcome: &'static str, took: Duration) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
         self.duration.record(took.as_secs_f64(), &[]);
     }
 
     /// A stream's first event was passed on.
-    pub fn first(&self, took: Duration) {
+    pub fn record_first_event(&self, took: Duration) {
         self.first.record(took.as_secs_f64(), &[]);
     }
 
     /// So many parts of the platform's documents could not be read until now.
-    pub fn losses(&self, count: u64) {
+    pub fn set_losses(&self, count: u64) {
         self.losses.record(count, &[]);
     }
 
     /// So many attempts have not ended.
-    pub fn under_way(&self, count: u32) {
+    pub fn set_in_flight(&self, count: u32) {
         self.under_way.record(u64::from(count), &[]);
     }
 
     /// An attempt ended with its replica.
-    pub fn replica_ended(&self) {
+    pub fn count_replica_end(&self) {
         self.ends.add(1, &[]);
     }
 
     /// So many requests are barred.
-    pub fn barred(&self, count: usize) {
+    pub fn set_barred(&self, count: usize) {
         self.barred.record(count as u64, &[]);
     }
 
     /// An attempt ended.
-    pub fn attempt(&self, ended: &'static str) {
+    pub fn count_attempt(&self, ended: &'static str) {
         self.attempts.add(1, &[KeyValue::new("ended", ended)]);
     }
 }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -10,7 +10,7 @@
 
 /// What was expected of a replica when it was chosen for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Expected {
+pub struct Estimate {
     /// When it was chosen, from the request's arrival.
     pub chosen: Duration,
     /// Time until the first event.
@@ -31,7 +31,7 @@
     /// The replica that answers, or the last that was tried.
     pub replica: Option<Arc<str>>,
     /// What was expected of that replica when it was chosen.
-    pub expected: Option<Expected>,
+    pub expected: Option<Estimate>,
     /// Replicas that received it.
     pub sent: u32,
     /// Processes beside replicas that were asked for a place.
@@ -74,7 +74,7 @@
     }
 
     /// Says how the request ended.
-    pub fn ended(&mut self, outcome: &'static str) {
+    pub fn set_outcome(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
 
@@ -92,7 +92,7 @@
     fn drop(&mut self) {
         let gateway = &self.gateway;
         let took = self.elapsed();
-        gateway.instruments.request(self.outcome, took);
+        gateway.instruments.record_request(self.outcome, took);
         let belief = gateway.knowledge.belief.borrow();
         let version = belief
             .routing()
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -9,7 +9,7 @@
 use pumicelatch::config::belief::{Listed, Wanted};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
-use pumicelatch::gateway::event::Cutter;
+use pumicelatch::gateway::event::Splitter;
 use pumicelatch::limit::admission::{self, Bounds, Case, Verdict};
 use pumicelatch::member::replica::{Held, Record};
 use pumicelatch::policy::Policy;
@@ -807,16 +807,16 @@
 fn events_are_the_same_however_the_bytes_come() {
     fn property(count: u8, cuts: Vec<u8>) -> bool {
         let all = events(u64::from(count));
-        let mut cutter = Cutter::default();
+        let mut splitter = Splitter::default();
         let mut out = Vec::new();
         let mut rest = &all[..];
         for cut in cuts {
             let (part, tail) = rest.split_at(usize::from(cut).min(rest.len()));
-            out.extend_from_slice(&cutter.push(Bytes::copy_from_slice(part)).unwrap());
+            out.extend_from_slice(&splitter.push(Bytes::copy_from_slice(part)).unwrap());
             rest = tail;
         }
-        out.extend_from_slice(&cutter.push(Bytes::copy_from_slice(rest)).unwrap());
-        out == all && !cutter.midway() && cutter.passed() == u64::from(count)
+        out.extend_from_slice(&splitter.push(Bytes::copy_from_slice(rest)).unwrap());
+        out == all && !splitter.is_partial() && splitter.forwarded() == u64::from(count)
     }
     quickcheck(property as fn(u8, Vec<u8>) -> bool);
 }
@@ -825,17 +825,17 @@
 fn a_stream_that_is_taken_up_has_every_event_once() {
     let all = events(9);
     let half = all.len() / 2;
-    let mut cutter = Cutter::default();
-    let mut out = cutter
+    let mut splitter = Splitter::default();
+    let mut out = splitter
         .push(Bytes::copy_from_slice(&all[..half]))
         .unwrap()
         .to_vec();
-    assert!(cutter.midway());
-    cutter.restart();
+    assert!(splitter.is_partial());
+    splitter.discard_partial();
     // The second replica goes on a little before the place that it was asked for.
-    out.extend_from_slice(&cutter.push(Bytes::from(all.clone())).unwrap());
+    out.extend_from_slice(&splitter.push(Bytes::from(all.clone())).unwrap());
     assert_eq!(out, all);
-    assert_eq!(cutter.last(), Some(9));
+    assert_eq!(splitter.last(), Some(9));
 }
 
 #[test]
