--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,15 +1,17 @@
-//! The gateway: takes callers' requests by a routing configuration, and sends them straight to the
-//! replicas of the platform's list.
+//! The gateway: accepts callers' requests according to the routing configuration and forwards them
+//! directly to the replicas that the platform lists.
 //!
-//! * [`dialect`] is how callers and replicas speak.
-//! * [`intake`] checks a request, [`call`] takes it through admission and attempts; [`attempt`] is one exchange with a
-//!   replica, [`relay`] passes a stream on.
-//! * [`reader`] reads an answer, wherever it is kept.
-//! * [`place`] finds a place for it.
-//! * `poison` keeps requests from replicas under which others ended.
-//! * [`repeat`] is one of a budget that was taken.
-//! * [`trace`] is what is counted and written down of a request.
-//! * [`control`] answers other processes of the system, [`halls`] asks other halls.
+//! * [`dialect`] translates between the gateway and the headers of callers and replicas.
+//! * [`intake`] validates a request and reads its body; [`handler`] takes it through admission and
+//!   attempts, with the state in [`dispatch`].
+//! * [`attempt`] is one exchange with a replica; [`reader`] reads its response, from the replica or
+//!   from the buffer of the sidecar; [`event`] splits a stream into events; [`relay`] forwards them.
+//! * [`place`] reserves a place at a replica by asking its sidecar.
+//! * `poison` blocks requests whose earlier attempts coincided with terminations of replicas.
+//! * [`retry`] is a retry taken from a service's budget.
+//! * [`trace`] collects what is logged about a request, [`status`] holds the metrics.
+//! * [`control`] answers other processes of the system; [`halls`] exchanges reports with the entries
+//!   of this hall and polls other halls; [`bootstrap`] contacts the sidecars after a start.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::BTreeMap;
@@ -73,82 +75,83 @@
 use dialect::Dialect;
 use job::Job;
 
-/// How often beliefs are looked over.
+/// Interval of periodic maintenance: expiry of beliefs, idle connections, gauges.
 const TICK: Duration = Duration::from_millis(200);
 
-/// Longest rest of a connection to a replica that is used again.
+/// Longest idle time after which a connection to a replica is reused.
 pub const IDLE_MAX: Duration = Duration::from_millis(2_000);
 
-/// How long a connection to a replica, or to the process beside it, may take to open.
+/// Timeout for opening a connection to a replica or its sidecar.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Part of a version's bound, before its end, in which what has not started on an older one is
-/// ended.
+/// Time before the bound of a version change from which on requests that have not started on the
+/// older version are given up.
 const START_MARGIN: Duration = Duration::from_millis(600);
 
-/// Looks between two of which it is written down how many attempts have not ended.
+/// Ticks between two log lines with the number of attempts in flight.
 const TICKS_PER_LOG: u32 = 5;
 
-/// How often the members of a burst are looked over.
+/// Interval at which the members of a burst are checked; a change of knowledge triggers it earlier.
 const BURST_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How much longer than callers may rest a connection is kept.
+/// Time for which an idle connection is kept beyond the idle timeout that callers are given.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Part of its machine's memory that a process gives to weights: callers come first.
+/// One part in this many of the machine's memory may hold weights; the rest is left to requests.
 const MEMORY_DIVISOR: u64 = 8;
 
-/// Bytes of weights that a process may hold on a machine of `machine_bytes`.
+/// Bytes of weights that a process may hold on a machine with `machine_bytes` of memory.
 pub fn memory_for_weights(machine_bytes: u64) -> u64 {
     machine_bytes / MEMORY_DIVISOR
 }
 
-/// The waves of hosts, by service and hall.
+/// The rollout wave of each host, by service and hall.
 type Waves = BTreeMap<(Arc<str>, Arc<str>), BTreeMap<String, u32>>;
 
 /// A gateway's settings.
 #[derive(Debug, Clone)]
 pub struct Setting {
-    /// Who the process is, and where it listens to others.
+    /// The process's name, hall and control address.
     pub identity: Identity,
-    /// Processes of the system to begin with.
+    /// Addresses of processes to contact first.
     pub seeds: Vec<SocketAddr>,
     /// The regions of data halls.
     pub regions: Regions,
-    /// The port at which processes beside replicas listen.
+    /// The port that sidecars listen on.
     pub sidecar_port: u16,
-    /// The bounds of the budget that all entries share.
+    /// Limits of the retry budget that all entries share.
     pub budget: budget::Setting,
-    /// Settings of the change of versions.
+    /// Settings of version rollouts.
     pub rollout: rollout::Setting,
     /// Settings of bursts.
     pub spread: spread::Setting,
-    /// Whether the whole system begins now for the first time.
+    /// Whether the whole system is starting for the first time.
     pub first_start: bool,
-    /// Bytes of weights that the process may hold for others.
+    /// Bytes of weights that the process may hold to relay them.
     pub memory_bytes: u64,
     /// Seed of random choices.
     pub seed: u64,
-    /// The mechanisms of the policy.
+    /// Which mechanisms are enabled, and their parameters.
     pub policy: Policy,
 }
 
-/// A gateway. It lives on one thread.
+/// A gateway. It is confined to one thread.
 pub struct Gateway {
     /// Settings.
     pub setting: Setting,
-    /// What the process knows.
+    /// What the process knows of the system: configuration, replicas, other entries.
     pub knowledge: Rc<Knowledge>,
-    /// How callers and replicas speak.
+    /// Translates headers of callers and replicas.
     pub dialect: Rc<dyn Dialect>,
-    /// Exchanges with replicas.
+    /// HTTP client for exchanges with replicas and sidecars.
     pub client: exchange::Client,
-    /// Replicas.
+    /// The known replicas.
     pub pool: RefCell<Pool>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Lets requests in.
+    /// Counts requests and carries out a planned stop.
     pub porter: Rc<Porter>,
+    /// The value of `knowledge.changed` at the last refresh of the pool.
     pool_generation: Cell<u64>,
     budgets: RefCell<BTreeMap<Arc<str>, Budget>>,
     began: Time,
@@ -156,41 +159,41 @@
     joined: Joined,
     halls: RefCell<Halls>,
     hub: RefCell<Hub>,
-    /// Requests that were refused lately, here or as others told.
+    /// Recently refused requests, here or at other entries.
     refusals: RefCell<Refusals>,
     suspects: RefCell<poison::Suspects>,
 }
 
-/// What a gateway works with.
+/// What a gateway is started with.
 pub struct Dependencies {
-    /// How callers and replicas speak.
+    /// Translates headers of callers and replicas.
     pub dialect: Rc<dyn Dialect>,
     /// The platform's store.
     pub source: Rc<dyn Source>,
-    /// Names the origin of weights.
+    /// Resolves the origin of weights.
     pub origins: Rc<dyn Origins>,
-    /// What is known of the process's connections; the source shares it.
+    /// State of the process's network paths, shared with `source`.
     pub paths: Rc<Paths>,
 }
 
 /// The sockets that a gateway listens on.
 #[derive(Debug)]
 pub struct Listeners {
-    /// For callers.
+    /// Requests of callers.
     pub front: TcpListener,
-    /// For the balancer's questions whether it is ready.
+    /// Readiness checks of the load balancer.
     pub ready: TcpListener,
-    /// For other processes of the system.
+    /// Messages of other processes of the system.
     pub control: TcpListener,
-    /// For those who read metrics.
+    /// Scrapes of the metrics.
     pub metrics: Option<TcpListener>,
 }
 
-/// A running gateway. Dropping it stops its loops.
+/// A running gateway. Dropping it aborts its background tasks.
 pub struct Running {
     /// The gateway.
     pub gateway: Rc<Gateway>,
-    /// The server of callers.
+    /// The server for callers.
     pub front: Server,
     _servers: Vec<Server>,
     tasks: Vec<JoinHandle<()>>,
@@ -205,7 +208,7 @@
 }
 
 impl Running {
-    /// Runs until a planned stop, which lasts `grace` at most, is over.
+    /// Serves until a stop signal arrives, then drains for at most `grace`.
     pub async fn serve_until_stopped(self, grace: Duration) -> Result<(), daemon::Error> {
         let identity = &self.gateway.setting.identity;
         log::info!(
@@ -240,7 +243,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway on the present thread.
+    /// Starts a gateway on the current thread.
     pub fn start(
         setting: Setting,
         edges: Dependencies,
@@ -341,7 +344,7 @@
         })
     }
 
-    /// How callers' connections are treated, by the limits in force.
+    /// Timeouts for callers' connections, from the limits of the current configuration.
     fn timing(&self) -> Timing {
         let belief = self.knowledge.belief.borrow();
         let limits = belief
@@ -355,7 +358,7 @@
         }
     }
 
-    /// Where the processes beside replicas listen.
+    /// Addresses of the sidecars of all listed replicas that hold models.
     fn sidecars(&self) -> Vec<SocketAddr> {
         let belief = self.knowledge.belief.borrow();
         let mut hosts: Vec<IpAddr> = belief
@@ -373,7 +376,8 @@
             .collect()
     }
 
-    /// Where the process beside the replica `key` listens; `None` if nobody there was heard of lately.
+    /// The address of the sidecar of replica `key`; `None` unless it has reported recently and is
+    /// to be asked for places.
     fn sidecar_of(&self, key: Key) -> Option<SocketAddr> {
         let now = self.knowledge.now();
         let pool = self.pool.borrow();
@@ -384,8 +388,8 @@
         Some(SocketAddr::new(host, self.setting.sidecar_port))
     }
 
-    /// Takes part in the burst of the wanted version as a relay: this process's link is wide, and
-    /// those of the boxes are narrow.
+    /// Joins the burst of the wanted version as a relay: this process has a fast link, the boxes have
+    /// slow ones.
     async fn relay_weights(self: Rc<Self>) {
         loop {
             self.join_burst();
@@ -435,15 +439,15 @@
         let under_way = self.pool.borrow().under_way();
         self.instruments.set_in_flight(under_way);
         if under_way > 0 {
-            log::info!(under_way; "attempts under way");
+            log::info!(under_way; "attempts in flight");
         }
     }
 
     async fn tick(self: Rc<Self>) {
-        for look in 1_u32.. {
+        for tick in 1_u32.. {
             sleep(TICK).await;
             let now = self.knowledge.now();
-            if look.is_multiple_of(TICKS_PER_LOG) {
+            if tick.is_multiple_of(TICKS_PER_LOG) {
                 self.log_in_flight();
             }
             let swept = self.knowledge.belief.borrow_mut().sweep(now);
@@ -460,7 +464,8 @@
         }
     }
 
-    /// The pool, with the list as it is believed now.
+    /// Updates the pool if anything known has changed, and closes idle connections to replicas that
+    /// have restarted.
     fn refresh_pool(&self) {
         let changes = *self.knowledge.changed.borrow();
         if self.pool_generation.replace(changes) != changes {
@@ -477,12 +482,12 @@
         }
         let reborn = self.pool.borrow_mut().take_reborn();
         for address in reborn {
-            log::info!(replica:% = address; "a later life of a replica began");
+            log::info!(replica:% = address; "replica restarted; closing idle connections to its address");
             self.client.forget(address);
         }
     }
 
-    /// The waves in which replicas change to the wanted version, worked out once for each service in
+    /// The waves in which replicas switch to the wanted version, computed once for each service in
     /// each hall.
     fn waves(&self, belief: &Belief, waves: u32) -> Waves {
         let mut hosts: BTreeMap<(Arc<str>, Arc<str>), Vec<String>> = BTreeMap::new();
@@ -501,7 +506,7 @@
         placed.collect()
     }
 
-    /// The change of version that a replica has before it, as its own process will carry it out.
+    /// The version changes ahead of a replica, timed as its sidecar will carry them out.
     fn due(
         &self,
         belief: &Belief,
@@ -520,19 +525,19 @@
         })
     }
 
-    /// Whether callers' requests can be served.
+    /// Whether the gateway can serve requests: not stopping, with a configuration and a list of
+    /// replicas.
     pub fn ready(&self) -> bool {
         let belief = self.knowledge.belief.borrow();
         !self.porter.stopping() && belief.routing().is_some() && belief.lists_replicas()
     }
 
-    /// Announces that the process stops: the balancer hears that it is not ready, and every answer
-    /// asks its caller to use another connection.
+    /// Announces a stop: the readiness check fails, and each response closes its caller's connection.
     pub fn drain(&self) {
         self.porter.begin(stop::Setting::default());
     }
 
-    /// Requests in progress, of callers and of other processes that chunks are handed to.
+    /// Requests in progress, both of callers and of processes that fetch chunks.
     pub fn in_flight(&self) -> u64 {
         self.porter.under_way()
     }
@@ -549,19 +554,19 @@
         })
     }
 
-    /// When the caller of a request tried first, if it was refused before.
+    /// When the caller first tried a request that was refused before.
     fn first_try(&self, job: &Job) -> Option<Time> {
         let refusals = self.refusals.borrow();
         refusals.first_try(job.fingerprint, job.arrived)
     }
 
-    /// Others told of refused requests.
+    /// Merges refusals that another process reported.
     fn merge_refusals(&self, told: &[Refused], now: Time) {
         self.refusals.borrow_mut().hear(told, now);
     }
 
-    /// A request was refused whose caller tried first at `first`. Only engines are short of places so
-    /// often that it matters.
+    /// Records a refused request whose caller first tried at `first`. Only requests to engines are
+    /// recorded: other services are rarely short of places.
     fn record_refusal(&self, job: &Job, first: Time) {
         if job.meta.inference.is_none() {
             return;
