--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One exchange with a replica.
+//! An attempt to have a request served by one replica.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -29,20 +29,21 @@
 use crate::route::notice::Notice;
 use crate::route::pool::{Choice, Key};
 
-/// Objectives that a replica may be silent before a request that may be repeated goes elsewhere.
+/// Multiple of the latency objective for which a replica may be silent before an idempotent request
+/// is sent to another.
 const SILENCE_FACTOR: u32 = 3;
 
-/// Shortest such silence.
+/// Lower bound of that silence.
 const SILENCE_MIN: Duration = Duration::from_millis(1_200);
 
-/// How often it is looked whether a replica that is silent for longer still has a queue: half of the
-/// time after which its process reports again.
+/// Interval at which a replica that is silent for longer is checked for a queue: half of the
+/// interval between the reports of its sidecar.
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Longest whole answer that is gathered.
+/// Largest response, in bytes, that is read to its end before it is forwarded.
 const BUFFERED_BODY_MAX: usize = 16 << 20;
 
-/// Highest rank that a replica knows.
+/// Highest urgency value that replicas accept.
 const URGENCY_MAX: u8 = 9;
 
 /// An attempt that failed.
@@ -52,12 +53,12 @@
     pub ended: Ended,
     /// What happened.
     pub detail: String,
-    /// The replica's own answer, if it gave a failure.
+    /// The replica's response, if that was a complete error.
     pub answer: Option<Answer>,
 }
 
 impl Failure {
-    /// A failure without an answer.
+    /// A failure without a response.
     pub fn new(ended: Ended, detail: impl Into<String>) -> Self {
         Self {
             ended,
@@ -77,35 +78,36 @@
     }
 }
 
-/// What is asked of a replica beside the request itself.
+/// Parameters of an attempt beside the request itself.
 #[derive(Debug, Clone, Copy)]
 pub struct Params {
-    /// The last event that the caller has.
+    /// The id of the last event that the caller has received.
     pub last_event: Option<u64>,
-    /// The only version that will do.
+    /// The only acceptable version of the weights, if a started stream is to be resumed.
     pub version: Option<u64>,
-    /// Whether another replica may receive the request after this one.
+    /// Whether another replica may receive the request if this attempt fails.
     pub can_fail_over: bool,
 }
 
-/// An attempt, counted at its replica until it is dropped.
+/// An attempt. Its replica's load includes it until it is dropped.
 pub struct Attempt {
     gateway: Rc<Gateway>,
     key: Key,
-    /// The life of its replica.
+    /// The incarnation of its replica.
     pub life: Life,
-    /// What it is an attempt of.
+    /// The name of the request, under which terminations of replicas are counted.
     request: Name,
     choice: Choice,
     address: SocketAddr,
-    /// The process beside the replica, if that is to keep what comes.
+    /// The sidecar of the replica, if it is to buffer the response.
     sidecar: Option<SocketAddr>,
     began: Time,
     demand: Demand,
     number: u64,
     start_bound: Option<Time>,
-    started: Cell<bool>,
-    /// Whether it was seen how its replica came through it.
+    /// Whether the pool was told that the first event came, or that there will be none.
+    start_recorded: Cell<bool>,
+    /// Whether the replica is known to have survived the request, or is already being checked.
     outcome_known: Cell<bool>,
     connection: Note,
 }
@@ -114,13 +116,14 @@
     fn drop(&mut self) {
         self.record_start(false);
         self.gateway.pool.borrow_mut().end(self.key, self.number);
-        // Its caller has left, or the replica was silent: that may end under it all the same.
+        // The caller has left or the replica was silent; the replica may still terminate because of it.
         self.suspect(Observation::Abandoned);
     }
 }
 
 impl Attempt {
-    /// Begins an attempt at a chosen replica, unless that has gone, or has told since that it wants nothing.
+    /// Begins an attempt at the chosen replica; `None` if that has gone, or has since announced that
+    /// it takes no requests.
     pub fn begin(gateway: &Rc<Gateway>, job: &Job, choice: Choice) -> Option<Self> {
         let sidecar = buffering_sidecar(gateway, job, choice.key);
         let now = gateway.knowledge.now();
@@ -145,26 +148,26 @@
             demand,
             number,
             start_bound,
-            started: Cell::new(false),
+            start_recorded: Cell::new(false),
             outcome_known: Cell::new(false),
             connection: Note::default(),
         })
     }
 
-    /// The first event came.
+    /// Records that the first event has arrived.
     pub fn first_event_received(&self) {
         self.record_start(true);
     }
 
     fn record_start(&self, came: bool) {
-        if !self.started.replace(true) {
+        if !self.start_recorded.replace(true) {
             let now = self.gateway.knowledge.now();
             let mut pool = self.gateway.pool.borrow_mut();
             pool.started(self.key, self.number, self.demand, came, now);
         }
     }
 
-    /// Notes something about the replica's health.
+    /// Records a sign of the replica's health.
     pub fn note(&self, sign: Sign) {
         let now = self.gateway.knowledge.now();
         self.gateway.pool.borrow_mut().note(self.key, sign, now);
@@ -175,7 +178,7 @@
         self.gateway.knowledge.now().since(self.began)
     }
 
-    /// Counts a whole answer.
+    /// Counts a complete response.
     pub fn record_complete(&self) {
         self.outcome_known.set(true);
         self.gateway.instruments.count_attempt("whole");
@@ -196,12 +199,12 @@
             expected_ms = self.choice.expected.as_millis() as u64,
             connection:% = self.connection,
             ms = self.elapsed().as_millis() as u64;
-            "attempt ended: {detail}"
+            "attempt failed: {detail}"
         );
         Failure::new(ended, detail)
     }
 
-    /// A failure after bytes left, because the answer is none or broke.
+    /// A failure after bytes were sent: the response is missing, invalid or incomplete.
     pub fn broken(&self, job: &Job, detail: String, sign: Sign) -> Failure {
         if sign == Sign::Broken {
             self.suspect(Observation::Broken);
@@ -209,7 +212,8 @@
         self.fail(job, Ended::Broken, sign, detail)
     }
 
-    /// The replica may have ended under the request, or end soon. One that leaves ends as planned, with whatever runs there.
+    /// Has the replica checked for termination, unless its fate is known or it is leaving: a leaving
+    /// replica terminates as planned, with whatever runs there.
     fn suspect(&self, observation: Observation) {
         if self.outcome_known.replace(true) {
             return;
@@ -230,7 +234,7 @@
         self.broken(job, error.to_string(), sign(error))
     }
 
-    /// Sends the request and reads the head of its answer.
+    /// Sends the request and reads the head of the response.
     pub async fn send(self, job: &Job, send: Params) -> Result<Reply, Failure> {
         let Params {
             last_event,
@@ -250,7 +254,8 @@
         let exchange = self.exchange(job, head, can_fail_over);
         match self.within(job, exchange).await {
             None => Err(self.silent(job)),
-            // Its process may speak of another life than this one. What this one wants comes with reports.
+            // The sidecar may mean another incarnation, so the notice is not applied to this one; reports
+            // carry what this one announces.
             Some(Err(error @ reader::Error::TurnedAway { .. })) => {
                 let detail = format!("not sent: {error}");
                 Err(self.fail(job, Ended::NotSent, Sign::None, detail))
@@ -265,7 +270,7 @@
         }
     }
 
-    /// Has the request run: by the process beside the replica, or else directly.
+    /// Sends the request by way of the sidecar if it is to buffer the response, or else directly.
     async fn exchange(
         &self,
         job: &Job,
@@ -290,18 +295,18 @@
         Ok(Reader::of_replica(exchange.await?))
     }
 
-    /// Nothing has run, and the request goes to the replica itself.
+    /// Records that the sidecar did not send the request on, so that it goes to the replica directly.
     fn bypass_sidecar(&self, job: &Job, error: &reader::Error) {
-        log::info!(request = job.meta.id.as_str(), replica = &*self.life.id; "sent directly: {error}");
+        log::info!(request = job.meta.id.as_str(), replica = &*self.life.id; "bypassing the sidecar: {error}");
         if matches!(error, reader::Error::OutOfReach { .. }) {
             let now = self.now();
             self.gateway.pool.borrow_mut().unheard(self.key, false, now);
         }
     }
 
-    /// Awaits `step` for as long as this replica may be silent. While it has a queue, by the word of
-    /// the process beside it, its silence says nothing: what was given up there would be carried
-    /// all the same, and once more elsewhere.
+    /// Awaits `step` for as long as this replica may be silent; `None` after that. While the sidecar
+    /// reports a queue, silence is no sign of failure, and the wait goes on: an abandoned request would
+    /// still be processed there, and a second time elsewhere.
     pub async fn within<T>(&self, job: &Job, step: impl Future<Output = T>) -> Option<T> {
         let mut step = pin!(step);
         let mut silence = if job.route.repeatable() {
@@ -312,7 +317,7 @@
         loop {
             let now = self.gateway.knowledge.now();
             let remaining = job.remaining(now);
-            // It may not start on its replica's version any more once the next one is due.
+            // Once the next version is due, the request may not start on the replica's current one.
             let start = self
                 .start_bound(job)
                 .map_or(remaining, |bound| bound.since(now));
@@ -328,10 +333,11 @@
         }
     }
 
-    /// When the request has to have started at its replica, as far as is known now: a version may be
-    /// named, or turn out to have been named earlier, while it waits there.
+    /// The time by which the request has to have started at its replica, as far as is known now. It
+    /// may become earlier while the request waits: a new version may be announced, or turn out to have
+    /// been announced before.
     fn start_bound(&self, job: &Job) -> Option<Time> {
-        if self.started.get() {
+        if self.start_recorded.get() {
             return None;
         }
         let model = job.meta.inference.as_ref().map(|work| &*work.model)?;
@@ -344,7 +350,7 @@
         self.gateway.knowledge.now()
     }
 
-    /// The replica was silent for as long as it may be.
+    /// The failure after the replica has been silent for as long as it may.
     pub fn silent(&self, job: &Job) -> Failure {
         let late = job.remaining(self.gateway.knowledge.now()).is_zero();
         let now = self.gateway.knowledge.now();
@@ -375,7 +381,7 @@
             }),
             Classification::NotRun => {
                 let detail = format!("the replica answered {status}, not run");
-                // One that asks for rest is as well as it says.
+                // A replica that asks for a pause is healthy.
                 let sign = if notice.rest.is_some() {
                     Sign::None
                 } else {
@@ -384,7 +390,7 @@
                 Err(self.fail(job, Ended::Refused, sign, detail))
             }
             Classification::Misdirected => {
-                // Without a version in the request, it can only mean that the replica is another.
+                // The request named no version, so the address must belong to another replica.
                 if !versioned {
                     self.gateway.pool.borrow_mut().deny(self.key);
                 }
@@ -399,7 +405,7 @@
         }
     }
 
-    /// The replica told what it wants. The list may say otherwise for long.
+    /// Applies the notice in the replica's response. The list may lag behind it for long.
     fn apply_notice(&self, job: &Job, notice: Notice) {
         let now = self.now();
         let mut pool = self.gateway.pool.borrow_mut();
@@ -408,12 +414,12 @@
                 request = job.meta.id.as_str(),
                 replica = &*self.life.id,
                 notice:% = notice;
-                "a replica told what it wants"
+                "replica changed what it accepts"
             );
         }
     }
 
-    /// Gathers a failure of the replica's own, to be passed on if nothing better comes.
+    /// Reads the replica's error response to its end; it is forwarded if no later attempt succeeds.
     async fn replica_error(self, job: &Job, response: Reader) -> Result<Reply, Failure> {
         let detail = format!("the replica answered {}", response.status.as_u16());
         let reply = Reply {
@@ -428,7 +434,8 @@
     }
 }
 
-/// What a failed exchange says about its replica: nothing, if its connection went silent with others.
+/// What a failed exchange says about the replica's health: nothing if connections to other peers
+/// went silent as well.
 pub fn sign(error: &exchange::Error) -> Sign {
     match error {
         exchange::Error::Silent => Sign::None,
@@ -436,8 +443,8 @@
     }
 }
 
-/// The process beside the replica `key`, if that is to keep what a request brings: a stream that may be sent again, so
-/// that a process that is killed with it costs no more than a replica that is.
+/// The sidecar of the replica `key`, if it is to buffer the response. Only idempotent streams are
+/// buffered, so that a killed sidecar costs no more than a killed replica.
 fn buffering_sidecar(gateway: &Gateway, job: &Job, key: Key) -> Option<SocketAddr> {
     let streams = job.route.kind == Kind::Streaming && job.route.repeatable();
     if !streams || !gateway.setting.policy.kept {
@@ -448,7 +455,7 @@
 
 fn options(job: &Job, can_fail_over: bool) -> Options {
     Options {
-        // A connection that its replica closes just now would leave unknown whether the request
+        // If the replica closes a reused connection at this moment, it is unknown whether the request
         // ran.
         reuse: if job.route.repeatable() {
             Reuse::Allowed
@@ -458,24 +465,24 @@
         idle_max: IDLE_MAX,
         connect_timeout: CONNECT_TIMEOUT,
         unframed: Unframed::EndsWithConnection,
-        // What nobody else may receive is waited for.
+        // A request that cannot fail over waits even on a silent connection.
         guarded: can_fail_over,
         ..Options::default()
     }
 }
 
-/// An answer whose head came.
+/// A response whose head has arrived.
 pub struct Reply {
     /// The attempt.
     pub attempt: Attempt,
-    /// The answer.
+    /// The response.
     pub response: Reader,
-    /// The version of the weights behind it, if it told one.
+    /// The version of the weights that produced it, if the head names one.
     pub version: Option<u64>,
 }
 
 impl Reply {
-    /// The head that the caller gets.
+    /// The response head for the caller.
     pub fn head(&self) -> HttpResponse<()> {
         let mut answer = HttpResponse::with_body(self.response.status, ());
         let headers = &self.response.headers;
@@ -484,7 +491,7 @@
         answer
     }
 
-    /// Gathers a whole success.
+    /// Reads a successful response to its end.
     pub async fn gather(self, job: &Job) -> Result<Answer, Failure> {
         let (attempt, answer) = self.whole(job).await?;
         attempt.first_event_received();
@@ -493,7 +500,7 @@
         Ok(answer)
     }
 
-    /// Gathers the whole answer.
+    /// Reads the body to its end.
     async fn whole(mut self, job: &Job) -> Result<(Attempt, Answer), Failure> {
         let read = self.response.read(BUFFERED_BODY_MAX);
         let body: Bytes = match self.attempt.within(job, read).await {
