--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -1,4 +1,4 @@
-//! One caller's request from its head to the head of its answer.
+//! Handles one caller's request, from its head to the head of its response.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::http::Answer;
 use crate::stop;
 
-/// Takes one caller's request.
+/// Handles one caller's request.
 pub async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Answer {
     let ticket = gateway.porter.enter(stop::Kind::New);
     let arrived = gateway.knowledge.now();
@@ -35,7 +35,7 @@
     ticket.hold(answer)
 }
 
-/// Takes a request through its attempts until one is answered or none may follow.
+/// Makes attempts until one is answered or no further one is allowed.
 async fn run(mut dispatch: Dispatch) -> Answer {
     let porter = dispatch.gateway.porter.clone();
     if let Err(refusal) = dispatch.check_barred() {
