--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -1,4 +1,4 @@
-//! Answers other processes: the balancer, entries, processes beside replicas, readers of metrics.
+//! Answers other processes: the load balancer, entries, sidecars and metrics scrapers.
 
 use std::fmt::Display;
 use std::rc::Rc;
@@ -16,19 +16,19 @@
 use crate::wire::pack;
 use crate::wire::sync::{FRAME_PATH, Frame, HALL_PATH, REPORT_PATH, Report, SYNC_PATH, Sync};
 
-/// Longest message of another process.
+/// Largest message from another process, in bytes.
 const MESSAGE_MAX: usize = 1 << 20;
 
-/// What the answer about readiness tells if documents of the platform were read with losses.
+/// Body of the readiness response if parts of the platform's documents could not be read.
 #[derive(Serialize)]
 struct ReadinessReport<'a> {
-    /// Parts that could not be read since the process began.
+    /// Parts that could not be read since the process started.
     unread_parts: u64,
-    /// The latest of them.
+    /// The most recent one.
     latest: Option<&'a str>,
 }
 
-/// The balancer asks whether this process is ready.
+/// Answers the load balancer's readiness check.
 pub async fn ready(gateway: Rc<Gateway>, _: Request) -> Answer {
     let status = if gateway.ready() {
         StatusCode::OK
@@ -46,12 +46,12 @@
     http::json(status, &report)
 }
 
-/// Someone reads the metrics.
+/// Answers a scrape of the metrics.
 pub async fn metrics(gateway: Rc<Gateway>, _: Request) -> Answer {
     gateway.metrics.answer()
 }
 
-/// Another process of the system asks or tells.
+/// Answers a message from another process of the system.
 pub async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Answer {
     match request.path() {
         SYNC_PATH => match decode::<Sync>(&mut request).await {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Answers a heartbeat; `from_hub` says whether it came in a frame to the whole hall.
+/// Answers a heartbeat. `from_hub` says whether it arrived in a frame for the whole hall.
 fn answer_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
     if sync.entry && sync.hall == knowledge.identity.hall && knowledge.lacks(sync.marks) {
@@ -141,7 +141,7 @@
     )
 }
 
-/// Reads a message, or says what is wrong with it.
+/// Reads and decodes a message; the error is the response that rejects it.
 pub async fn decode<T: DeserializeOwned>(request: &mut Request) -> Result<T, Answer> {
     let body = body(request).await?;
     rmp_serde::from_slice(&body).map_err(undecodable)
@@ -153,6 +153,6 @@
 }
 
 fn undecodable(error: impl Display) -> Answer {
-    log::warn!("message of another process not understood: {error}");
+    log::warn!("cannot decode a message from another process: {error}");
     http::status(StatusCode::BAD_REQUEST)
 }
