--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -1,4 +1,4 @@
-//! The course of one request: admission, the choice of replicas, attempts, and what follows their ends.
+//! State of one request: admission, choice of a replica, attempts, and what follows a failed attempt.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,35 +22,35 @@
 use crate::route::pool::{self, Choice, Key, ModelNeed, Shortage};
 use crate::stop;
 
-/// When a caller should come back if a service has no replica.
+/// Delay that callers are asked for if the service has no replica.
 const NO_REPLICA_RETRY_DELAY: Duration = Duration::from_millis(1_900);
 
-/// When a caller should come back after a replica refused its request.
+/// Delay that callers are asked for after a replica refused the request.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Time over which those who come back after the rest of a replica are spread.
+/// Time over which the retries of callers are spread after the pause that a replica asked for.
 const RETRY_JITTER: Duration = Duration::from_millis(400);
 
-/// Connections to a replica that an entry may always have.
+/// Lower bound of an entry's share of the connections to one replica.
 const CONNECTIONS_MIN: u32 = 3;
 
-/// Processes that are asked for a place at each later look while a request waits.
+/// Sidecars that are asked for a place each time a waiting request is judged again.
 const ASKS_PER_RECHECK: u32 = 1;
 
-/// Service time that is left out of the budget of a request that is tried again.
+/// Service time that another attempt needs: none is made unless more is left before the deadline.
 const RETRY_TIME_MIN: Duration = Duration::from_millis(30);
 
-/// The process stops, and the request has not run.
+/// The refusal of a request that has not run because the process is shutting down.
 pub(super) fn shutting_down() -> Refusal {
     Refusal::new(Code::Stopping, "the process stops").retry_after(stop::porter::RETRY)
 }
 
-/// The process ends, and the request may have run.
+/// The refusal of a request that may have run when the process gave it up.
 pub(super) fn aborted() -> Refusal {
     Refusal::new(Code::Broken, "the process ends")
 }
 
-/// Answers for the entry itself, and writes down why.
+/// Builds the gateway's own response to a refused request, and records the reason.
 pub(super) fn refuse(gateway: &Gateway, trace: &mut Trace, refusal: &Refusal) -> Answer {
     trace.set_outcome(refusal.code.name());
     trace.reason.clone_from(&refusal.detail);
@@ -62,23 +62,26 @@
     answer
 }
 
-/// A request on its way.
+/// A request while it is being served.
 pub struct Dispatch {
     /// The gateway.
     pub gateway: Rc<Gateway>,
     /// The request.
     pub job: Rc<Job>,
-    /// What is written down of it.
+    /// What is logged about it.
     pub trace: Trace,
     tried: Vec<Key>,
+    /// Attempts of which no byte was sent.
     unreached: u32,
+    /// Whether an attempt may have run.
     tainted: bool,
+    /// The last error response of a replica.
     failure: Option<Answer>,
-    /// What the next attempt takes of the budget.
+    /// The retry, taken from the budget, that the next attempt uses.
     retry: Option<Retry>,
-    /// When its caller tried first, if it was refused before and came back.
+    /// When the caller first tried, if the request was refused before.
     pub(super) first_try: Option<Time>,
-    /// The only version that will do, once an answer of it has begun.
+    /// The only acceptable version of the weights, once a response has started.
     pub(super) pinned_version: Option<u64>,
 }
 
@@ -100,7 +103,7 @@
         }
     }
 
-    /// What a caller without an answer is told when the process ends before a further attempt.
+    /// The refusal for a caller without a response when the process shuts down between attempts.
     pub(super) fn unanswered_refusal(&self) -> Refusal {
         if self.tainted {
             aborted()
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Ends with the replica's own failure if there is one, or else with `refusal`.
+    /// Returns the last error response of a replica if there is one, or else `refusal`.
     pub(super) fn give_up(&mut self, refusal: &Refusal) -> Answer {
         match self.failure.take() {
             Some(answer) => {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// A process beside a replica knows that the caller tried `age` ago already.
+    /// Records that, according to a sidecar, the caller first tried `age` ago.
     pub(super) fn record_earlier_try(&mut self, age: Duration) {
         let first = self.gateway.knowledge.now() - age;
         let known = self.first_try.get_or_insert(first);
@@ -135,7 +138,7 @@
         self.trace.returned = true;
     }
 
-    /// Notes a failed attempt. An error is the end.
+    /// Records a failed attempt. `Ok` means that another attempt may be made.
     pub(super) fn handle_failure(&mut self, failure: Failure) -> Result<(), Refusal> {
         let (ended, detail) = self.record_failure(failure);
         match next::after(ended, self.situation()) {
@@ -146,20 +149,20 @@
                 if !charged || self.acquire_retry() {
                     return Ok(());
                 }
-                let detail = format!("{detail}; no retry is left in the budget");
+                let detail = format!("{detail}; no repeat is left in the budget");
                 Err(self.refusal_after(ended, detail))
             }
             Next::PassOn | Next::GiveUp(_) => Err(self.refusal_after(ended, detail)),
         }
     }
 
-    /// Takes a repeat for the next attempt, if there is one.
+    /// Takes a retry for the next attempt from the budget. Returns whether one was left.
     fn acquire_retry(&mut self) -> bool {
         self.retry = Retry::acquire(&self.gateway, &self.job.service);
         self.retry.is_some()
     }
 
-    /// Takes what is to be kept of a failed attempt.
+    /// Updates the state from a failed attempt. Returns how it ended and the details.
     fn record_failure(&mut self, failure: Failure) -> (Ended, String) {
         let Failure {
             ended,
@@ -176,7 +179,7 @@
         (ended, detail)
     }
 
-    /// What is known of the request.
+    /// The state that decides what follows a failed attempt.
     fn situation(&self) -> Situation {
         let remaining = self.job.remaining(self.gateway.knowledge.now());
         Situation {
@@ -189,7 +192,7 @@
         }
     }
 
-    /// What a caller is told when no further attempt is made.
+    /// The refusal when no further attempt is made.
     fn refusal_after(&self, ended: Ended, detail: String) -> Refusal {
         let late = self.job.remaining(self.gateway.knowledge.now()) <= RETRY_TIME_MIN;
         if self.tainted || next::ran(ended) != Outcome::NotRun {
@@ -220,13 +223,13 @@
         })
     }
 
-    /// Finds a place, waits for one, or refuses.
+    /// Finds a replica for the request, waiting for a short time if need be, or refuses the request.
     pub(super) async fn admit(&mut self) -> Result<Choice, Refusal> {
         let mut asks = self.gateway.setting.policy.asks;
         loop {
             let chosen_before = self.trace.sent + self.unreached > 0;
             let limit = if chosen_before {
-                // A request that was chosen a replica for already is worth the rest of its time.
+                // After an earlier attempt, only the deadline limits the wait for the first event.
                 self.job.deadline.since(self.job.arrived)
             } else {
                 self.limit()
@@ -289,8 +292,8 @@
         })
     }
 
-    /// When a caller should come back to replicas of which the first has so much of its rest left: no sooner, and not all callers at
-    /// once.
+    /// Delay that the caller is asked for if all replicas asked for a pause and the shortest lasts for
+    /// `rest`: not less, and with jitter so that callers do not all return at once.
     fn delay_after_rest(&self, rest: Duration) -> Duration {
         let apart = self
             .gateway
@@ -301,15 +304,15 @@
         rest + RETRY_JITTER.mul_f64(apart)
     }
 
-    /// The limit on its first event, counted from its arrival.
+    /// The limit on the time from arrival to first event.
     fn limit(&self) -> Duration {
         let (whole, late) = self.limits();
         let age = self.first_try.map(|first| self.job.arrived.since(first));
         age.map_or(whole, |age| returning::limit(whole, late, age))
     }
 
-    /// The limit that is common to requests of the service, as far as the policy shares it, and that
-    /// of requests whose callers were refused before and are late.
+    /// Two limits on the time to the first event: that of first tries, which the policy may share among
+    /// all requests of the service, and that of retries whose callers are already late.
     pub(super) fn limits(&self) -> (Duration, Duration) {
         let gateway = &self.gateway;
         let own = self.job.objective();
@@ -322,7 +325,7 @@
         (base * policy.admit / 100, base * policy.return_admit / 100)
     }
 
-    /// When the caller should come back to find weights at the replicas.
+    /// Delay that the caller is asked for until replicas are expected to have received weights.
     fn weights_retry_delay(&self, remaining: Duration) -> Duration {
         let gateway = &self.gateway;
         if !gateway.setting.policy.named_return {
@@ -334,8 +337,9 @@
         admission::come_back(arrival, remaining, spread)
     }
 
-    /// Chooses a replica, if possible none of `full`; for a begun answer, one of its version. Tells as
-    /// well whether the service is mostly idle, so that nothing is to be refused.
+    /// Chooses a replica, avoiding those in `full` if possible; for a started response, one with the same
+    /// version. Also returns whether fewer than half of the service's places are taken, in which case
+    /// the request need not be refused.
     pub fn choose(&self, full: &[Key]) -> (Result<Choice, Shortage>, bool) {
         let gateway = &self.gateway;
         gateway.refresh_pool();
@@ -349,14 +353,14 @@
         })
     }
 
-    /// Calls `then` with what this request asks the pool for.
+    /// Calls `then` with this request's query to the pool.
     pub(super) fn with_ask<T>(&self, full: &[Key], then: impl FnOnce(pool::Ask<'_>) -> T) -> T {
         let gateway = &self.gateway;
         let now = gateway.knowledge.now();
         let service = self.job.routing.service(&self.job.service);
         let model = self.job.meta.inference.as_ref().map(|work| &*work.model);
         let engine = service.and_then(|service| service.engine.as_ref());
-        // Replicas that hold models are engines, whatever could be read of their service.
+        // Replicas that hold models are engines even if their service's configuration is unreadable.
         let engines = || {
             let belief = gateway.knowledge.belief.borrow();
             engine.is_some() || belief.held_model(Some(&self.job.service)).is_some()
@@ -383,19 +387,19 @@
         })
     }
 
-    /// Requests a second that a cold replica bears; 0 if there is no bound.
+    /// Requests per second that a cold replica tolerates; 0 if unlimited.
     fn cold_per_s(&self) -> f64 {
         let service = self.job.routing.service(&self.job.service);
         service.map_or(0.0, |service| service.cold_per_s)
     }
 
-    /// Part of it that this entry may send where the process beside the replica deals none out.
+    /// This entry's share of that rate, used where no sidecar rations requests to the replica.
     fn own_cold_per_s(&self) -> f64 {
         let entries = self.gateway.knowledge.peers.borrow().bound();
         self.cold_per_s() / entries.max(1) as f64
     }
 
-    /// What the replica `key` bears, if it is cold.
+    /// The ration of the replica `key`, if it is cold and its rate is limited.
     pub(super) fn ration(&self, key: Key) -> Option<Ration> {
         let per_s = self.cold_per_s();
         let now = self.gateway.knowledge.now();
@@ -407,7 +411,8 @@
         })
     }
 
-    /// The choice, unless no place is kept there, and the replica is cold and bears no more.
+    /// Returns the choice unless the replica is cold and its rate is used up. A request whose place was
+    /// granted by the sidecar passes: the sidecar has counted it.
     fn check_cold(&self, choice: Choice, given: bool) -> Result<Choice, Shortage> {
         let now = self.gateway.knowledge.now();
         let mut pool = self.gateway.pool.borrow_mut();
@@ -422,7 +427,7 @@
         belief.oldest_allowed(model, bound, now)
     }
 
-    /// Sends the request to the chosen replica.
+    /// Makes an attempt at the chosen replica.
     pub async fn attempt(
         &mut self,
         choice: Choice,
@@ -457,8 +462,8 @@
         result
     }
 
-    /// Notes the failure of an attempt to take a begun answer up. Returns whether another may
-    /// follow.
+    /// Records that a stream broke, or could not be resumed. Returns whether another attempt to resume
+    /// it may follow.
     pub fn may_resume(&mut self, failure: Failure) -> bool {
         let (ended, detail) = self.record_failure(failure);
         self.trace.reason = detail;
@@ -477,7 +482,7 @@
         can_fail_over(self.situation())
     }
 
-    /// Whether another one may once the next has received it.
+    /// Whether another replica may still receive the request after the next attempt.
     fn can_fail_over_after_next(&self) -> bool {
         let situation = self.situation();
         can_fail_over(Situation {
