--- a/src/gateway/bootstrap.rs
+++ b/src/gateway/bootstrap.rs
@@ -1,8 +1,8 @@
-//! Greets the processes beside the replicas of the own hall when the entry begins.
+//! Sends heartbeats to the sidecars of the local hall when an entry starts.
 //!
-//! They know a few seeds only. After a loss of power, those may be the last to start; every entry
-//! knows from the list where the processes are, and their answers name the entries that greeted
-//! them before.
+//! Sidecars are configured with a few seeds only, which may be the last processes to start after a
+//! power failure. Every entry knows the sidecars' addresses from the list of replicas, and their
+//! answers name the entries that contacted them before.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -14,19 +14,19 @@
 use crate::knowledge::gossip;
 use crate::member::rank::rank;
 
-/// How often it is looked whether the list of replicas is known.
+/// Interval at which the entry checks whether it knows the list of replicas.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often those are greeted that have not reported.
+/// Interval between heartbeats to the sidecars that have not reported.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Entries that greet one process: some of them may not be up yet.
+/// Entries that contact the same sidecar, since some of them may not be running yet.
 const ENTRIES_PER_SIDECAR: u32 = 3;
 
-/// Rounds in which they are greeted: by then heartbeats have spread.
+/// Rounds of heartbeats; after these, regular heartbeats have spread.
 const ROUNDS: u32 = 10;
 
-/// Greets until everyone has reported, or for the first rounds.
+/// Sends the first rounds of heartbeats, once the list of replicas is known.
 pub async fn run(gateway: Rc<Gateway>) {
     while !gateway.knowledge.belief.borrow().lists_replicas() {
         sleep(CHECK_INTERVAL).await;
@@ -38,8 +38,8 @@
 }
 
 impl Gateway {
-    /// The processes beside replicas of the own hall that have not reported lately, as far as they are
-    /// this entry's to greet: each is greeted by the first few entries for it.
+    /// The sidecars of the local hall without a recent report that are assigned to this entry. Each
+    /// is assigned to the [`ENTRIES_PER_SIDECAR`] entries that rank first for it.
     fn unreported_sidecars(&self) -> Vec<SocketAddr> {
         self.refresh_pool();
         let now = self.knowledge.now();
