--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -1,6 +1,6 @@
-//! How callers and replicas speak, as far as an entry has to know.
+//! The interface to a dialect: how callers and replicas express requests and responses.
 //!
-//! A dialect translates: names of headers, forms of answers. It decides nothing.
+//! A dialect translates names of headers and forms of responses. It makes no decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,115 +13,116 @@
 use crate::request::Outcome;
 use crate::route::notice::Notice;
 
-/// What a request asks of a model engine.
+/// The parameters of an inference request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Inference {
     /// The model.
     pub model: Arc<str>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u32,
-    /// Tokens that it may write at most.
+    /// Maximum number of tokens to generate.
     pub output_max: u32,
-    /// Tokens that the caller expects.
+    /// Number of tokens that the caller expects to be generated.
     pub output_hint: Option<u32>,
-    /// What names the beginnings that the prompt shares with others.
+    /// Identifies the prefixes that the prompt shares with others.
     pub prefix: Option<Arc<str>>,
 }
 
-/// What a caller's head says.
+/// What the head of a caller's request says.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Metadata {
-    /// Names this try of the request.
+    /// The id of this try of the request.
     pub id: String,
     /// The host, in lower case and without a port.
     pub host: String,
     /// The path, without the query.
     pub path: String,
-    /// How long the caller waits.
+    /// How long the caller is willing to wait.
     pub timeout: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub api_key: Option<String>,
-    /// What it asks of an engine.
+    /// The inference parameters, if the request is for a model.
     pub inference: Option<Inference>,
-    /// The last event that the caller has of an earlier answer.
+    /// The id of the last event that the caller received of an earlier response.
     pub last_event: Option<u64>,
-    /// Bytes of the body, if it tells.
+    /// Length of the body in bytes, if the head gives it.
     pub body_length: Option<u64>,
 }
 
-/// A head that is no request.
+/// The head of a malformed request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{part} is missing or wrong")]
 pub struct Malformed {
-    /// Which part.
+    /// The part that is malformed.
     pub part: &'static str,
 }
 
-/// What is added to a request on its way to a replica.
+/// What is added to a request when it is forwarded to a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct Forward<'a> {
-    /// The replica that is meant.
+    /// The id of the replica that is to serve it.
     pub replica: &'a str,
-    /// How long it may take.
+    /// Time until its deadline.
     pub remaining: Duration,
     /// The customer.
     pub customer: Option<&'a str>,
-    /// Its rank, 0 being the highest.
+    /// Its urgency; 0 is the highest.
     pub urgency: u8,
-    /// The last event that is known of a begun answer.
+    /// The id of the last event received of a response that is to be resumed.
     pub last_event: Option<u64>,
-    /// The only version of the weights that will do.
+    /// The only acceptable version of the weights.
     pub version: Option<u64>,
 }
 
-/// What the head of a replica's answer means.
+/// What the head of a replica's response means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Classification {
-    /// A success, of a version of the weights if it tells one.
+    /// A success.
     Success {
-        /// The version.
+        /// The version of the weights, if the head names one.
         version: Option<u64>,
     },
-    /// A failure of the replica's own.
+    /// An error response of the replica itself.
     Failure,
-    /// It did not run the request.
+    /// The replica did not run the request.
     NotRun,
-    /// Another replica has the address, or this one has other weights; it did not run the request.
+    /// The address belongs to another replica, or the replica has other weights; it did not run the
+    /// request.
     Misdirected,
-    /// The answer belongs to another request, or is none of a replica's.
+    /// The response belongs to another request, or does not come from a replica.
     Foreign,
 }
 
-/// Why a request gets an answer of the entry's own.
+/// Why the gateway answers a request itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
-    /// The head or body is no request.
+    /// The head or body is malformed.
     Malformed,
     /// The head is too long.
     HeadTooLong,
     /// The body is too long.
     BodyTooLong,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTooSlow,
-    /// No route takes it.
+    /// No route matches.
     NoRoute,
-    /// It needs a valid key.
+    /// The route needs a valid API key.
     NoAccess,
-    /// This process has no configuration yet.
+    /// The process has no configuration yet, or could not read the part that the request needs.
     NotReady,
-    /// This process stops. It has not run.
+    /// The process is shutting down. The request has not run.
     Stopping,
-    /// No replica can take it in time. It has not run.
+    /// No replica can start it in time. The request has not run.
     Overload,
-    /// No replica is there. It has not run.
+    /// No replica is available. The request has not run.
     NoReplica,
-    /// Its time is over, and it has not run.
+    /// The deadline has passed. The request has not run.
     LateNotRun,
-    /// Its time is over, and it may have run.
+    /// The deadline has passed. The request may have run.
     LateUnknown,
-    /// Its answer broke; it may have run.
+    /// The response was broken off. The request may have run.
     Broken,
-    /// Replicas ended under it whenever it came.
+    /// Replicas terminated whenever they processed it.
     Poison,
 }
 
@@ -142,12 +143,12 @@
             | Self::LateNotRun => StatusCode::SERVICE_UNAVAILABLE,
             Self::LateUnknown => StatusCode::GATEWAY_TIMEOUT,
             Self::Broken => StatusCode::BAD_GATEWAY,
-            // Neither a promise nor an invitation to come again.
+            // A status that neither promises that the request has not run nor invites a retry.
             Self::Poison => StatusCode::UNPROCESSABLE_ENTITY,
         }
     }
 
-    /// Whether the request ran, if nothing is wrong with the request itself.
+    /// Whether the request ran; `None` if it was rejected for a fault of its own.
     pub fn outcome(self) -> Option<Outcome> {
         match self.status() {
             StatusCode::SERVICE_UNAVAILABLE => Some(Outcome::NotRun),
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Its name in answers, logs and metrics.
+    /// Its name in responses, logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -177,14 +178,14 @@
     }
 }
 
-/// An answer of the entry's own.
+/// A response of the gateway itself to a request that it does not serve.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub code: Code,
-    /// What exactly, for people.
+    /// Human-readable details.
     pub detail: String,
-    /// When to come back.
+    /// Delay after which the caller should retry.
     pub retry_after: Option<Duration>,
 }
 
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Asks the caller to come back after `retry_after`.
+    /// Sets the delay after which the caller should retry.
     pub fn retry_after(self, retry_after: Duration) -> Self {
         Self {
             retry_after: Some(retry_after),
@@ -207,23 +208,24 @@
     }
 }
 
-/// Translates between callers, the entry and replicas.
+/// Translates between callers, the gateway and replicas.
 pub trait Dialect {
-    /// Reads a caller's head.
+    /// Parses the head of a caller's request.
     fn parse(&self, head: &RequestHead) -> Result<Metadata, Malformed>;
 
-    /// The head that a replica gets for a caller's `head`.
+    /// Builds the head of the request to a replica from a caller's `head`.
     fn forward(&self, head: &RequestHead, forward: Forward<'_>) -> RequestHead;
 
-    /// What the head of a replica's answer to the request `id` means.
+    /// Classifies a replica's response to the request `id` by its head.
     fn classify(&self, answer: &Reader, id: &str) -> Classification;
 
-    /// What an answer of `status` and `headers` tells of what its replica wants.
+    /// Reads from a response's `status` and `headers` whether its replica is leaving or asks for a
+    /// pause.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
 
-    /// Copies what a caller is to see of a replica's headers.
+    /// Copies the headers of a replica's response that the caller may see.
     fn pass_headers(&self, from: &HeaderMap, into: &mut HeaderMap);
 
-    /// An answer of the entry's own to the request `id`.
+    /// Builds the gateway's own response to the request `id`.
     fn refuse(&self, refusal: &Refusal, id: Option<&str>) -> Answer;
 }
