--- a/src/gateway/event.rs
+++ b/src/gateway/event.rs
@@ -1,19 +1,19 @@
-//! Cuts a stream into whole events and keeps the number of the last one.
+//! Splits a stream into complete server-sent events and tracks the number of the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event.
+/// Largest event, in bytes.
 const EVENT_MAX: usize = 1 << 20;
 
-/// What is wrong with a stream.
+/// Why a stream is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// An event is too long to be one.
+    /// An event exceeds the size limit.
     #[error("event is over {EVENT_MAX} bytes")]
     TooLong,
 }
 
-/// Cuts a stream into events. After a resume, events that were passed on already are dropped.
+/// Splits a stream into events. Events that were already forwarded before a resume are dropped.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
@@ -22,7 +22,7 @@
 }
 
 impl Splitter {
-    /// A cutter whose caller has the events up to `last` already.
+    /// A splitter for a caller who already has the events up to `last`.
     pub fn after(last: Option<u64>) -> Self {
         Self {
             last,
@@ -30,27 +30,27 @@
         }
     }
 
-    /// The number of the last whole event.
+    /// The number of the last complete event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Events that were passed on.
+    /// Number of events that were forwarded.
     pub fn forwarded(&self) -> u64 {
         self.forwarded
     }
 
-    /// Whether part of an event is waiting for its rest.
+    /// Whether part of an event is buffered.
     pub fn is_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Drops a part of an event: the stream is taken up after the last whole one.
+    /// Discards a buffered partial event, for a stream that is resumed after the last complete one.
     pub fn discard_partial(&mut self) {
         self.buffer.clear();
     }
 
-    /// Takes received bytes and returns the whole events in them.
+    /// Adds received bytes and returns the complete events.
     pub fn push(&mut self, bytes: Bytes) -> Result<Bytes, Error> {
         self.buffer.extend_from_slice(&bytes);
         let mut out = BytesMut::new();
@@ -73,7 +73,7 @@
     }
 }
 
-/// Where the first event ends, after its empty line.
+/// The end of the first event, after its empty line.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (at, _) in buffer
