--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -1,4 +1,4 @@
-//! Tells the entries of the own hall how replicas do, and asks other halls.
+//! Sends the state of replicas to the other entries of the local hall, and polls other halls for theirs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::wire::pack;
 use crate::wire::sync::{Digest, Frame, HALL_PATH, HallNews, Reported, Sync};
 
-/// How often it is looked whether anyone is to be told or asked.
+/// Interval at which this module checks whether a frame or a poll is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Replicas of another hall that a hall is told of: those with the most free places. Work goes to
-/// another hall only for want of places in the own, and a hall has no more entries than that.
+/// Replicas of another hall that a report includes: the least loaded ones. Requests go to another hall only
+/// when the local one is full, and a hall has no more entries than this.
 const REMOTE_REPLICAS_MAX: usize = 64;
 
-/// Tells and asks until dropped.
+/// Sends frames and polls halls until dropped.
 pub async fn run(gateway: Rc<Gateway>) {
     loop {
         if gateway.knowledge.policy.digests {
@@ -57,7 +57,7 @@
             }
         }
         Err(error) => {
-            log::debug!(entry:% = ask.entry, hall = &*ask.hall; "hall: {error}");
+            log::debug!(entry:% = ask.entry, hall = &*ask.hall; "cannot poll the hall: {error}");
         }
     }
 }
@@ -99,7 +99,7 @@
         halls.due(&knowledge.identity.hall, &peers, now, &mut *rng)
     }
 
-    /// Sends one frame, written once, to each other entry of the hall.
+    /// Sends one frame, encoded once, to each other entry of the hall.
     fn send_frame(&self, extent: Extent, now: Time) {
         let knowledge = &self.knowledge;
         let sync = knowledge.sync(extent == Extent::Whole { entries: true });
@@ -116,7 +116,7 @@
                 let message = Message::Frame(packed.into());
                 fanout::send(knowledge, &message, knowledge.fellows());
             }
-            Err(error) => log::error!("frame of the hall: {error}"),
+            Err(error) => log::error!("cannot encode the frame for the hall: {error}"),
         }
     }
 
@@ -138,7 +138,7 @@
         }
     }
 
-    /// How the replicas of a hall do: all of the own hall's, the best of another's.
+    /// Reports of a hall's replicas: of all in the local hall, of the least loaded in another.
     fn reports(&self, hall: &str, now: Time) -> Vec<Reported> {
         let reports = self.pool.borrow().reports(hall, now);
         if *hall == *self.knowledge.identity.hall {
@@ -147,7 +147,7 @@
         least_loaded(reports)
     }
 
-    /// Answers how this hall's replicas do.
+    /// Answers another hall's poll with the state of this hall's least loaded replicas.
     pub(super) fn hall_news(&self, sync: &Sync) -> HallNews {
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
@@ -174,7 +174,7 @@
         frame.sync
     }
 
-    /// Takes how the replicas of a hall do.
+    /// Applies the reports of a hall's replicas to the pool.
     fn take_digest(&self, digest: &Digest) {
         self.refresh_pool();
         let now = self.knowledge.now();
