--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request in: its head, its route and access, its body.
+//! Validates a caller's request: its head, route and access; and reads its body.
 
 use std::time::Duration;
 
@@ -17,20 +17,20 @@
 use crate::patience;
 use crate::request::poison;
 
-/// When a caller should come back to a process that knows no configuration yet.
+/// Delay that callers are asked for while the configuration is missing or partly unreadable.
 const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Bytes of a body that tell it from others: long ones are not hashed whole.
+/// Length of the body prefix that is part of the fingerprint, in bytes, to bound the cost of hashing.
 const FINGERPRINT_BODY_MAX: usize = 4 << 10;
 
-/// Notes the id of a request that is not looked into.
+/// Records the id of a request that is refused without further validation.
 pub fn record_id(gateway: &Gateway, request: &Request, trace: &mut Trace) {
     if let Ok(meta) = gateway.dialect.parse(request.head()) {
         trace.id = meta.id;
     }
 }
 
-/// Checks a request against the configuration in force, and reads its body.
+/// Validates a request against the current configuration, and reads its body.
 pub async fn prepare(
     gateway: &Gateway,
     request: &mut Request,
@@ -100,8 +100,8 @@
     })
 }
 
-/// What stays the same when the caller tries again: everything but the try's id, its deadline, and how
-/// much of an answer the caller has.
+/// The fingerprint of a request, which is the same for each retry: it leaves out the try's id, the
+/// deadline, and how much of a response the caller already has.
 fn fingerprint(meta: &Metadata, body: Option<&[u8]>) -> Fingerprint {
     let body = body.unwrap_or_default();
     let length = (body.len() as u64).to_le_bytes();
@@ -124,7 +124,8 @@
     ])
 }
 
-/// What stays the same whenever the request comes. A customer may have several keys.
+/// The name of the request for counting terminations of replicas: the same for each retry, and for
+/// all API keys of a customer.
 fn poison_name(
     head: &RequestHead,
     meta: &Metadata,
@@ -139,8 +140,8 @@
     poison::Name::of(&meta.host, path, caller, body.unwrap_or_default())
 }
 
-/// A part of the configuration could not be read, and this request may need it: nobody may tell its
-/// caller that it is not allowed.
+/// Refuses a request that may depend on an unreadable part of the configuration. The caller must
+/// not be told that access is denied, as that is not known.
 fn unreadable_config(part: &str) -> Refusal {
     let text = format!("{part} of the configuration could not be read");
     Refusal::new(Code::NotReady, text).retry_after(NOT_READY_RETRY_DELAY)
