--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -1,4 +1,4 @@
-//! A caller's request once it was checked.
+//! A validated request.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,38 +15,38 @@
 use crate::request::poison;
 use crate::route::estimate::Demand;
 
-/// A request that was checked.
+/// A validated request.
 pub struct Job {
-    /// What its head says.
+    /// The parsed head.
     pub meta: Metadata,
-    /// The head itself.
+    /// The original head.
     pub head: RequestHead,
-    /// Its body, unless it has none.
+    /// The body, if any.
     pub body: Option<Bytes>,
-    /// Its route.
+    /// The route that matches it.
     pub route: Route,
-    /// The service that it goes to.
+    /// The service that is to handle it.
     pub service: Arc<str>,
-    /// The configuration that it is handled by.
+    /// The configuration under which it is handled.
     pub routing: Rc<Routing>,
-    /// Its customer.
+    /// The customer whose key it bears.
     pub customer: Option<Arc<str>>,
-    /// Its rank.
+    /// Its priority; 0 is the highest.
     pub priority: u8,
-    /// Where it may be served.
+    /// The regions in which it may be served.
     pub residency: Residency,
-    /// When its head came.
+    /// When its head arrived.
     pub arrived: Time,
-    /// When it has to be over.
+    /// When the response has to be complete.
     pub deadline: Time,
-    /// What stays the same of it when its caller tries again.
+    /// Identifies the request when its caller retries after a refusal.
     pub fingerprint: Fingerprint,
-    /// What stays the same of it whenever it comes.
+    /// Identifies the request, at any entry, for counting terminations of replicas.
     pub name: poison::Name,
 }
 
 impl Job {
-    /// Time within which its first event is in time.
+    /// The latency objective for the first event.
     pub fn objective(&self) -> Duration {
         Duration::from_millis(self.route.objective_ms)
     }
@@ -56,7 +56,7 @@
         self.deadline.since(now)
     }
 
-    /// What it asks of an engine.
+    /// Its demand on an engine, in tokens.
     pub fn demand(&self) -> Demand {
         let work = self.meta.inference.as_ref();
         Demand {
