--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,4 +1,4 @@
-//! Finds a place for a request: asks the processes beside replicas, or goes by what is known.
+//! Finds a replica with a place for a request, by asking sidecars or from what the entry knows.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,39 +12,40 @@
 use crate::route::pool::{Choice, Key, Limits, Shortage};
 use crate::route::search::{Said, Search, Step};
 
-/// How long the process beside a replica may take to answer. In a hall that is 0.2 ms, and 60 ms are
-/// two chunks of weights on its link: what takes longer would hold up the request as well.
+/// Timeout for a sidecar's answer over a used connection. Within a hall an answer takes 0.2 ms; 60 ms
+/// is the time of two chunks of weights on the sidecar's link. A link that holds an answer up for
+/// longer would hold up the request as well.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// How long it may take on a new connection, after a used one has brought nothing: three times the
-/// longest way between two halls and back.
+/// Timeout for the answer over a new connection after the used one brought none: three times the
+/// longest round trip between two halls.
 const RENEWED_ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// What was found for a request.
+/// The result of the search for a place.
 pub struct Found {
-    /// The replica to send it to, or the best that is known.
+    /// The replica to send the request to, or else the best known one.
     pub choice: Result<Choice, Shortage>,
-    /// Whether a place is kept there.
+    /// Whether a place is reserved there.
     pub given: bool,
-    /// Whether the service is mostly idle, as far as is known.
+    /// Whether fewer than half of the service's places are taken, as far as the entry knows.
     pub idle: bool,
-    /// Processes that were asked.
+    /// Number of sidecars that were asked.
     pub asked: u32,
-    /// Time since the caller's first try, if one of them knows that it was refused before.
+    /// Time since the caller's first try, if a sidecar knows that the request was refused before.
     pub tried_before: Option<Duration>,
 }
 
-/// What a process beside a replica answered.
+/// A sidecar's answer.
 #[derive(Default)]
 struct Offer {
-    /// The replica, if it has a place.
+    /// The replica, if a place was granted.
     choice: Option<Choice>,
-    /// Time since the caller's first try, if it is known there.
+    /// Time since the caller's first try, if the sidecar knows it.
     tried_before: Option<Duration>,
 }
 
 impl Dispatch {
-    /// Asks up to `asks` processes for a place from which the first event comes within `limit`.
+    /// Asks up to `asks` sidecars for a place from which the first event is expected within `limit`.
     pub(super) async fn find(&self, asks: u32, limit: Duration) -> Found {
         let mut search = Search::new(asks, limit);
         let mut tried_before = None;
@@ -88,8 +89,9 @@
         }
     }
 
-    /// The best replica without a place: one of those that answered, if any did; but if most places
-    /// of the service are free, the one that is `known` beside those.
+    /// The best replica without a reserved place: the one with the earliest first event according to
+    /// the sidecars that answered; if none did, or most places of the service are free, the one that
+    /// is `known` to be best.
     fn best_known(
         &self,
         search: &Search,
@@ -99,7 +101,7 @@
         let (known, idle) = known;
         let now = self.gateway.knowledge.now();
         let least = search.least().filter(|_| !idle);
-        // Its process knows better than this entry what it has to do.
+        // The sidecar's estimate is better than this entry's: it knows the replica's actual load.
         let least = least.and_then(|(expected, key)| {
             let choice = self.expected_at(key, now)?;
             Some(Choice { expected, ..choice })
@@ -113,8 +115,8 @@
         }
     }
 
-    /// The question for a place at the replica `key`, at once or in the queue, by its limit `at`, where `whole` is that of
-    /// the request as such.
+    /// Builds the query for a place at the replica `key`. `at` is the limit on the first event for this
+    /// query, `whole` the limit of the request itself.
     fn place_ask(
         &self,
         key: Key,
@@ -134,7 +136,7 @@
             output: demand.output,
             limit_ms: at.as_millis() as u64,
             queue_spread: knowledge.policy.queue_spread,
-            // Whose first try is known has its limit already.
+            // If the first try is known, the limit already takes it into account.
             request: (!known).then_some(self.job.fingerprint),
             whole_ms: whole.as_millis() as u64,
             late_ms: late.as_millis() as u64,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Asks the process beside the replica `key`.
+    /// Asks the sidecar of the replica `key` for a place.
     async fn ask(
         &self,
         search: &mut Search,
@@ -191,7 +193,7 @@
             Err(error) => {
                 log::info!(
                     request = self.job.meta.id.as_str(), process:% = sidecar, connection:% = note;
-                    "no place: {error}"
+                    "sidecar did not grant a place: {error}"
                 );
                 let silent = matches!(
                     error,
@@ -208,8 +210,8 @@
         }
     }
 
-    /// The choice of the replica `key`, whose process expects what `answer` says: it knows its passes, and
-    /// this entry what is known of the link to it.
+    /// The choice of the replica `key` with the estimate from the sidecar's `answer`, which is based on
+    /// the engine's actual passes, corrected by what this entry knows of the link.
     fn expected_by_sidecar(&self, key: Key, answer: &Answer, now: Time) -> Option<Choice> {
         let choice = self.expected_at(key, now)?;
         let told = answer.expected_ms.map(Duration::from_millis);
@@ -229,8 +231,8 @@
         self.with_ask(&[], |ask| self.gateway.pool.borrow().expects(key, ask, now))
     }
 
-    /// Where the process beside a replica is asked, and the limits that it is told; `None` if
-    /// nobody there gives places, or did not answer lately.
+    /// The sidecar of a replica and the limits for its estimate; `None` if it grants no places or has
+    /// recently failed to answer.
     fn sidecar_with_limits(&self, key: Key, limit: Duration) -> Option<(SocketAddr, Limits)> {
         let sidecar = self.gateway.sidecar_of(key)?;
         let now = self.gateway.knowledge.now();
