--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -1,4 +1,5 @@
-//! Finds out whether an attempt without an answer was the end of its replica, and keeps requests from replicas under which others ended.
+//! Detects replicas that terminated while a request was running, and blocks requests that were running
+//! when several replicas terminated.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,44 +17,46 @@
 use crate::member::replica::Life;
 use crate::request::poison::{ENDS_MAX, Name, Told, Verdict};
 
-/// When it is looked whether the list or the process beside a replica tells of its end or of a new life: one that starts again within a
-/// moment takes connections as before, and one may end a moment after an attempt was given up. Together they are a round.
+/// Delays between checks whether the list or the sidecar reports the termination of a replica or a
+/// new incarnation. Connecting once is not enough: a replica that restarts at once accepts connections
+/// as before, and a replica may terminate shortly after an attempt was abandoned. The delays make up
+/// one round.
 const CHECK_DELAYS: [Duration; 3] = [
     Duration::from_millis(300),
     Duration::from_millis(700),
     Duration::from_millis(1_000),
 ];
 
-/// What its entry saw of the end of an attempt.
+/// What the entry observed when an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Observation {
-    /// It broke: if its replica ended, it is not there now.
+    /// It broke: if the replica terminated, it already has.
     Broken,
-    /// Nothing: it was given up before its replica was through with it.
+    /// Nothing: it was abandoned before the replica had finished it.
     Abandoned,
 }
 
-/// An attempt under which its replica may have ended.
+/// An attempt during which the replica may have terminated.
 #[derive(Debug)]
 struct Suspect {
     name: Name,
     life: Life,
     observation: Observation,
     at: Time,
-    /// The replicas that were known at the address then.
+    /// The ids of the replicas that were known at the address when the attempt ended.
     known: Vec<Arc<str>>,
 }
 
-/// The attempts under which the replica at one address may have ended, while it is looked whether that is there.
+/// The suspects at one address while the replica there is being checked.
 #[derive(Debug, Default)]
 struct Watch {
     suspects: Vec<Suspect>,
-    /// Whether it was connected to in this round because an attempt broke there.
+    /// Whether a connection was tried in this round because an attempt broke.
     connected: bool,
 }
 
 impl Watch {
-    /// Whether it is to be connected to now because an attempt broke there: once a round.
+    /// Whether to try a connection now because an attempt broke. Returns true once in a round.
     fn connects(&mut self) -> bool {
         let broke = |suspect: &Suspect| suspect.observation == Observation::Broken;
         let connects = !self.connected && self.suspects.iter().any(broke);
@@ -62,13 +65,13 @@
     }
 }
 
-/// What is watched, by address.
+/// The addresses that are being checked.
 #[derive(Debug, Default)]
 pub(super) struct Suspects(BTreeMap<SocketAddr, Watch>);
 
 impl Suspects {
-    /// Begins a round at `address`: drops the attempts that were over before the last one, which began at `last`. Returns whether
-    /// some are left.
+    /// Begins a round at `address` and drops the suspects from before the previous round, which began
+    /// at `last`. Returns whether any are left.
     fn begin_round(&mut self, address: SocketAddr, last: Time) -> bool {
         let watch = self.0.entry(address).or_default();
         watch.suspects.retain(|suspect| suspect.at >= last);
@@ -82,8 +85,9 @@
 }
 
 impl Gateway {
-    /// An attempt of `name` ended without an answer of the replica `life`. A network may have broken it, or its caller have left: only if
-    /// the replica ended does it count against the request.
+    /// Adds an attempt of the request `name` that ended without a response from the replica `life`. The
+    /// network may have failed or the caller left; it counts against the request only if the replica
+    /// terminated.
     pub(super) fn suspect(
         self: &Rc<Self>,
         name: Name,
@@ -104,17 +108,18 @@
         if !watched {
             actix_rt::spawn(self.clone().watch(address));
         } else if watch.connects() {
-            // Callers who left may have it watched already, and it may be back at the next round.
+            // The address may already be checked because of an abandoned attempt, and the replica may
+            // have restarted by the next round.
             actix_rt::spawn(self.clone().connect(address));
         }
     }
 
-    /// Watches the replica at `address` round by round, while attempts ended there without an answer.
+    /// Checks the replica at `address` in rounds until no suspects are left.
     async fn watch(self: Rc<Self>, address: SocketAddr) {
         let mut last = Time::default();
         while self.suspects.borrow_mut().begin_round(address, last) {
             last = self.knowledge.now();
-            // All that ran there break together: one connection serves them.
+            // All attempts there break together, so one connection serves for all of them.
             if self.connects(address) {
                 self.clone().connect(address).await;
             }
@@ -125,7 +130,8 @@
                 }
                 sleep(pause).await;
                 self.take_ended(address, false);
-                // Callers may leave often, and the process beside a replica knows without a connection.
+                // Callers may leave often, so an abandoned attempt alone causes no connection, unless the
+                // sidecar, which would know of a termination, has not reported recently.
                 if !asked && !self.pool.borrow().heard_of(address, self.knowledge.now()) {
                     asked = true;
                     self.clone().connect(address).await;
@@ -145,13 +151,14 @@
         watch.is_some_and(|watch| !watch.suspects.is_empty())
     }
 
-    /// Connects to `address`, and counts what ran there if nobody listens.
+    /// Tries to connect to `address`; if the connection is refused, all suspects there count.
     async fn connect(self: Rc<Self>, address: SocketAddr) {
         let refused = self.client.refuses(address, CONNECT_TIMEOUT).await;
         self.take_ended(address, refused);
     }
 
-    /// Counts the attempts that were over with the end of a life at `address`; `refused` says that nobody listens there.
+    /// Counts the suspects at `address` whose replica has terminated: all of them if connections are
+    /// `refused`, or else those whose incarnation is over.
     fn take_ended(&self, address: SocketAddr, refused: bool) {
         self.refresh_pool();
         let now = self.knowledge.now();
@@ -171,7 +178,7 @@
         log::warn!(
             replica = &*first.life.id, address:% = address, requests = ended.len(),
             given_up = ended.iter().filter(given_up).count();
-            "a replica ended, with all that ran there"
+            "replica terminated while requests were running"
         );
         for Suspect { name, life, .. } in ended {
             self.instruments.count_replica_end();
@@ -190,16 +197,16 @@
             .borrow()
             .case(name, self.knowledge.now());
         if let Some(case) = case.filter(|case| case.ends.len() == ENDS_MAX) {
-            log::warn!(name:% = name; "barred: {}", describe(&case));
+            log::warn!(name:% = name; "request barred: {}", describe(&case));
         }
     }
 
-    /// A replica answered `name` whole.
+    /// Records that a replica answered the request `name` completely.
     pub(super) fn record_success(&self, name: Name) {
         let now = self.knowledge.now();
         let news = self.knowledge.poison.borrow_mut().came_good(name, now);
         if news {
-            log::info!(name:% = name; "came to an end after replicas had ended under it");
+            log::info!(name:% = name; "request completed that was running when replicas terminated");
             self.knowledge.poison_news.notify_one();
         }
     }
@@ -220,12 +227,12 @@
         register.verdict(self.job.name, knowledge.now())
     }
 
-    /// Whether it may be sent to a replica like any other request.
+    /// Whether the request may be sent to a replica without restriction.
     pub(super) fn is_free(&self) -> bool {
         self.verdict() == Verdict::Free
     }
 
-    /// Refuses it if it is barred, and not due to be tried.
+    /// Refuses the request if it is barred and no try is due.
     pub(super) fn check_barred(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Free | Verdict::Due => Ok(()),
@@ -233,8 +240,9 @@
         }
     }
 
-    /// Refuses it if it is barred, but for the single try that it may be due. Its verdict may have changed while it waited for a
-    /// place, or while an earlier attempt was under way.
+    /// Refuses the request if it is barred, unless a single try is due and is granted to it. To be
+    /// called before each attempt: the verdict may have changed while the request waited for a place,
+    /// or during an earlier attempt.
     pub(super) async fn acquire_try(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Free => Ok(()),
@@ -245,7 +253,7 @@
         }
     }
 
-    /// What its caller is told: to come again serves nobody.
+    /// The refusal of a barred request. It invites no retry, as that would serve nobody.
     pub(super) fn barred_refusal(&self) -> Refusal {
         let knowledge = &self.gateway.knowledge;
         let case = knowledge
