--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -1,5 +1,5 @@
-//! Reads the answer of an attempt. One that the process beside its replica keeps ([`crate::run`]) is read on over a
-//! new connection when the one that brought it breaks, goes silent, or brings nothing for a while.
+//! Reads the response of an attempt. If the sidecar buffers it ([`crate::run`]), reading continues over
+//! a new connection when the current one breaks, goes silent or stalls.
 
 use std::fmt;
 use std::future::pending;
@@ -25,41 +25,42 @@
 use crate::route::notice::{self, Notice};
 use crate::run::{Call, Key, TOLD, Told};
 
-/// How long a connection may bring nothing before the answer is asked for over a new one as well. Events come every 0.1 s, and
-/// a pause of 0.4 s makes a stream late; a new connection brings what has come meanwhile within a few milliseconds.
+/// Time without data after which the response is also requested over a new connection. Events come
+/// every 0.1 s, and a pause of 0.4 s makes a stream late; a new connection delivers what has
+/// accumulated within a few milliseconds.
 const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long it may while others are suspected to be silent: about the time between two events. Whoever finds that out, it
-/// holds for most connections at once.
+/// The same while other connections are suspected of having gone silent: about the time between two
+/// events. Such a failure affects most connections at once, whichever exchange detects it.
 const STALL_TIMEOUT_SUSPECTED: Duration = Duration::from_millis(100);
 
-/// How long it may take to hear that nobody reads a run any more, over a used connection.
+/// Time after which the end of a run, unanswered over a used connection, is sent again over a new one.
 const END_RENEW_AFTER: Duration = Duration::from_millis(60);
 
-/// Connections that are asked already, at which a suspicion has none asked besides: the one that carries the request, and one
-/// more.
+/// Number of pending fetches from which on a suspicion starts no further one: the one that carries
+/// the request, and one more.
 const FETCHES_WHEN_SUSPECTED: usize = 2;
 
-/// Connections in a row that may fail before an answer counts as broken.
+/// Connections that may fail in a row before the response counts as broken.
 const FAILURES_MAX: u32 = 2;
 
-/// Why an answer did not begin.
+/// Why no response started.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The process beside the replica is out of reach, so nothing was sent.
-    #[error("the process beside the replica is out of reach: {reason}")]
+    /// The sidecar is unreachable, so nothing was sent.
+    #[error("sidecar unreachable: {reason}")]
     OutOfReach {
         /// What happened.
         reason: String,
     },
-    /// That process did not send the request on, because its replica wants nothing now.
+    /// The sidecar did not forward the request, because its replica takes none at present.
     #[error("the replica wants nothing now ({notice})")]
     TurnedAway {
-        /// What it told.
+        /// The replica's notice.
         notice: Notice,
     },
-    /// That process says that it did not send the request on, and will not.
-    #[error("the process beside the replica did not send it on")]
+    /// The sidecar did not forward the request, and will not.
+    #[error("the sidecar did not forward the request")]
     NotSent,
     /// The exchange failed.
     #[error(transparent)]
@@ -72,7 +73,7 @@
     }
 }
 
-/// An answer whose head came. Its body ends only if the answer is whole.
+/// A response whose head has arrived. The end of its body means that the response is complete.
 pub struct Reader {
     /// Its status.
     pub status: StatusCode,
@@ -84,12 +85,12 @@
 enum Source {
     /// The replica itself.
     Replica(Box<Response>),
-    /// The process beside it.
+    /// The sidecar, which buffers the response.
     Sidecar(Box<Buffered>),
 }
 
 impl Reader {
-    /// Reads what the replica itself answers.
+    /// Reads the response of the replica itself.
     pub fn of_replica(mut response: Response) -> Self {
         Self {
             status: response.status,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Asks the process at `line` to run a request once, and reads what it keeps of the answer.
+    /// Asks the sidecar to run a request once, and reads the response that it buffers.
     pub async fn begin(
         handle: Handle,
         head: RequestHead,
@@ -108,7 +109,7 @@
         let mut buffered = Buffered::begin(handle, head, body, note)?;
         let mut response = buffered.head().await?;
         let mut headers = std::mem::take(&mut response.headers);
-        // It is for this process alone.
+        // The header is meant for this process only.
         headers.remove(TOLD);
         let status = response.status;
         buffered.current = Some(response);
@@ -119,14 +120,15 @@
         })
     }
 
-    /// Sets whether it ends when its connection turns out to be silent, if nobody keeps the answer.
+    /// Sets whether reading fails as soon as the connection is found to be silent. Has no effect on a
+    /// buffered response, which is read over another connection then.
     pub fn set_guarded(&mut self, guarded: bool) {
         if let Source::Replica(response) = &mut self.source {
             response.set_guarded(guarded);
         }
     }
 
-    /// The next bytes. A call that is given up loses none.
+    /// Returns the next bytes. Cancel-safe: dropping the future loses no data.
     pub async fn next(&mut self) -> Option<Result<Bytes, exchange::Error>> {
         match &mut self.source {
             Source::Replica(response) => response.next().await,
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Reads the whole body of at most `limit` bytes.
+    /// Reads the body to its end, up to `limit` bytes.
     pub async fn read(&mut self, limit: usize) -> Result<Bytes, exchange::Error> {
         let parts = stream::unfold(self, |reader| async move {
             let part = reader.next().await?;
@@ -144,7 +146,7 @@
     }
 }
 
-/// Where a run is kept.
+/// Identifies a run at a sidecar.
 #[derive(Clone)]
 pub struct Handle {
     gateway: Rc<Gateway>,
@@ -161,7 +163,7 @@
 }
 
 impl Handle {
-    /// A run of `request` that `process` is to keep.
+    /// A new run of `request` that `sidecar` is to buffer.
     pub fn new(gateway: &Rc<Gateway>, sidecar: SocketAddr, request: &str) -> Self {
         let key = Key(gateway.knowledge.rng.borrow_mut().random());
         Self {
@@ -177,12 +179,12 @@
         self.gateway.client.clone()
     }
 
-    /// Time since the run was asked for.
+    /// Time since the run was requested.
     fn age(&self) -> Duration {
         self.gateway.knowledge.now().since(self.began)
     }
 
-    /// Asks for the answer from the byte `from` on, over a new connection.
+    /// Requests the response from the byte `from` on, over a new connection.
     async fn read(self, from: u64) -> Result<Response, exchange::Error> {
         let call = Call::Read {
             key: self.key,
@@ -199,7 +201,8 @@
             .await
     }
 
-    /// Tells that nobody reads the run any more: a connection that went silent does not.
+    /// Tells the sidecar that the run has no reader any more. The closing of a connection that went
+    /// silent would not tell it.
     async fn end(self) {
         let call = Call::End { key: self.key };
         let options = Options {
@@ -214,37 +217,37 @@
             client.exchange(self.sidecar, head, None, options).await
         };
         if let Err(error) = told.await {
-            log::info!(request = &*self.request, process:% = self.sidecar; "end of a run not told: {error}");
+            log::info!(request = &*self.request, process:% = self.sidecar; "cannot tell the sidecar that the run has no reader: {error}");
         }
     }
 }
 
-/// One connection that is asked for an answer, or for the rest of one.
+/// The result of requesting a response, or the rest of one, over one connection.
 struct Fetch {
     from: u64,
-    /// Whether it is the one that carries the request.
+    /// Whether this is the connection that carries the request.
     is_initial: bool,
     response: Result<Box<Response>, exchange::Error>,
 }
 
-/// An answer that the process beside a replica keeps.
+/// A response that a sidecar buffers.
 struct Buffered {
     handle: Handle,
-    /// The connection that brings it now.
+    /// The connection that delivers it at present.
     current: Option<Box<Response>>,
-    /// Bytes that this brings once more.
+    /// Bytes that `current` still delivers a second time.
     duplicate_bytes: u64,
-    /// Bytes that came.
+    /// Bytes received, without duplicates.
     received: u64,
     fetches: FuturesUnordered<LocalBoxFuture<'static, Fetch>>,
-    /// When bytes came last.
+    /// When bytes were last received.
     last_received: Time,
-    /// How long after that the answer is asked for over one connection more.
+    /// Time after that at which the response is requested over a further connection.
     stall_timeout: Duration,
-    /// Counts suspicions of other connections.
+    /// Counts suspicions that connections have gone silent.
     suspicions: watch::Receiver<u64>,
     failures: u32,
-    /// Whether nothing more is to be had of the run.
+    /// Whether the run has nothing more to deliver.
     finished: bool,
 }
 
@@ -256,7 +259,7 @@
     }
 }
 
-/// What happened first.
+/// What happened next.
 enum Event {
     Part(Option<Result<Bytes, exchange::Error>>),
     Fetch(Fetch),
@@ -307,7 +310,7 @@
         })
     }
 
-    /// Asks for the rest of the answer over one connection more.
+    /// Requests the rest of the response over a further connection.
     fn fetch_rest(&mut self) {
         let (handle, from) = (self.handle.clone(), self.received);
         let fetch = async move {
@@ -320,7 +323,7 @@
         self.fetches.push(fetch.boxed_local());
     }
 
-    /// Waits for the head of the answer.
+    /// Waits for the head of the response.
     async fn head(&mut self) -> Result<Box<Response>, Error> {
         loop {
             match self.next_event().await {
@@ -329,7 +332,7 @@
                         return Ok(response);
                     }
                 }
-                // There is no connection yet that could bring a part.
+                // No connection delivers the body yet, so there is no part.
                 Event::Part(_) | Event::Stalled => self.fetch_after_stall(),
                 Event::Suspected => self.shorten_stall_timeout(),
             }
@@ -342,8 +345,8 @@
         self.fetch_rest();
     }
 
-    /// Other connections are suspected to be silent, so this one may bring nothing for less long. One that is asked
-    /// for in its place already will show it.
+    /// Shortens the stall timeout because other connections are suspected of having gone silent. Does
+    /// nothing if a replacement has already been requested, as that will show whether this one has.
     fn shorten_stall_timeout(&mut self) {
         if self.fetches.len() < FETCHES_WHEN_SUSPECTED {
             self.stall_timeout = self.stall_timeout.min(STALL_TIMEOUT_SUSPECTED);
@@ -354,7 +357,8 @@
         self.handle.gateway.knowledge.now()
     }
 
-    /// Takes what a way brought: the answer, nothing yet, or that there will be none.
+    /// Processes a fetch: it brought the response, failed so that others are awaited, or showed that
+    /// there will be no response.
     fn accept(&mut self, fetch: Fetch) -> Result<Option<Box<Response>>, Error> {
         let response = match fetch.response {
             Ok(response) => response,
@@ -378,7 +382,7 @@
                 };
                 Err(self.finish_with(error))
             }
-            // A process of an earlier release keeps no runs.
+            // A sidecar of an earlier release does not know the path, as it buffers no runs.
             None if fetch.is_initial && response.status == StatusCode::NOT_FOUND => {
                 Err(self.finish_with(Error::NotSent))
             }
@@ -394,7 +398,7 @@
         error
     }
 
-    /// A connection failed. If it was the last, another is tried.
+    /// Records a failed connection. If no other is left, tries a new one, up to [`FAILURES_MAX`] times.
     fn fetch_failed(&mut self, error: exchange::Error) -> Result<(), Error> {
         if self.current.is_some() || !self.fetches.is_empty() {
             return Ok(());
@@ -428,7 +432,7 @@
                 Event::Part(Some(Err(error))) => {
                     self.current = None;
                     let request = &*self.handle.request;
-                    log::info!(request, came = self.received; "its connection ended: {error}");
+                    log::info!(request, came = self.received; "connection to the sidecar failed: {error}");
                     if let Err(error) = self.fetch_failed(error) {
                         return Some(Err(exchange_error(error)));
                     }
@@ -439,7 +443,7 @@
                     Ok(None) => {}
                     Ok(Some(response)) => {
                         let request = &*self.handle.request;
-                        log::info!(request, came = self.received; "read on over a new connection");
+                        log::info!(request, came = self.received; "reading the response over a new connection");
                         self.current = Some(response);
                     }
                     Err(error) => return Some(Err(exchange_error(error))),
@@ -448,7 +452,7 @@
         }
     }
 
-    /// Waits for the next bytes, for a way, or until it has been quiet for long.
+    /// Waits for the next bytes, the result of a fetch, a suspicion or a stall.
     async fn next_event(&mut self) -> Event {
         let quiet = self
             .stall_timeout
@@ -468,7 +472,7 @@
             }
         };
         let suspected = async {
-            // The sender lives as long as the gateway, which the line holds.
+            // The sender lives as long as the gateway, which the handle refers to.
             let _ = suspicions.changed().await;
         };
         let (part, fetch, suspected) = (pin!(part), pin!(fetch), pin!(suspected));
@@ -481,7 +485,7 @@
         }
     }
 
-    /// Drops what came before over another connection.
+    /// Removes bytes that were already received over another connection.
     fn skip_duplicate(&mut self, mut bytes: Bytes) -> Bytes {
         let known = self.duplicate_bytes.min(bytes.len() as u64);
         self.duplicate_bytes -= known;
@@ -491,7 +495,7 @@
     }
 }
 
-/// The error of an answer that had begun.
+/// Converts the error of a response that had started.
 fn exchange_error(error: Error) -> exchange::Error {
     match error {
         Error::Exchange(error) => error,
