--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on, event by event, and takes it up at another replica when it breaks.
+//! Forwards a stream event by event, and resumes it at another replica when it breaks.
 
 use std::io;
 use std::time::Duration;
@@ -16,20 +16,20 @@
 use crate::patience;
 use crate::route::health::Sign;
 
-/// A stream without an event for so long is taken up elsewhere, if it may be.
+/// Time without data after which a stream is resumed at another replica, if that is allowed.
 const SILENCE_MAX: Duration = Duration::from_millis(1_500);
 
 /// What a step of a stream brought.
 enum Step {
-    /// Whole events.
+    /// Complete events.
     Events(Bytes),
     /// Part of an event.
     Part,
-    /// The end.
+    /// The end of the stream.
     End,
-    /// A break, and what it says about the replica.
+    /// A failure, and what it says about the replica's health.
     Broken(String, Sign),
-    /// The request's time is over.
+    /// The request's deadline has passed.
     Expired,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Relay {
-    /// Passes on what began.
+    /// A relay of the response that has started.
     pub fn new(mut dispatch: Dispatch, reply: Reply) -> Self {
         let head = reply.head();
         let Reply {
@@ -67,7 +67,8 @@
         }
     }
 
-    /// The answer to the caller. It keeps the head of its first replica, whatever follows.
+    /// Returns the response to the caller. Its head is that of the first replica, even if the stream is
+    /// resumed at another.
     pub fn answer(mut self) -> Answer {
         let head = self
             .head
@@ -82,7 +83,7 @@
             let mut relay = relay?;
             match relay.next().await {
                 Some(Ok(events)) => Some((Ok(events), Some(relay))),
-                // The connection breaks, so that the caller sees that this is not the whole.
+                // The error closes the connection, so that the caller sees that the stream is incomplete.
                 Some(Err(error)) => Some((Err(error), None)),
                 None => None,
             }
@@ -106,7 +107,7 @@
                 Step::Expired => {
                     self.dispatch.trace.set_outcome("late_midway");
                     let detail = format!(
-                        "its time was over after {} events",
+                        "the deadline passed after {} events",
                         self.splitter.forwarded()
                     );
                     self.dispatch.trace.reason = detail;
@@ -151,7 +152,7 @@
         } else {
             remaining
         };
-        // What nobody else may take up is waited for.
+        // A stream that cannot fail over waits even on a silent connection.
         self.response.set_guarded(can_fail_over);
         let clock = self.dispatch.gateway.knowledge.clock;
         match patience::within(|| clock.now(), patience, self.response.next()).await {
@@ -161,14 +162,14 @@
                 Err(error) => Step::Broken(error.to_string(), Sign::Broken),
             },
             Some(Some(Err(error))) => Step::Broken(error.to_string(), attempt::sign(&error)),
-            Some(None) if self.splitter.is_partial() => broken("it ended inside an event"),
+            Some(None) if self.splitter.is_partial() => broken("the stream ended inside an event"),
             Some(None) => Step::End,
             None if patience == remaining => Step::Expired,
             None => Step::Broken("the replica is silent".to_owned(), Sign::Silent),
         }
     }
 
-    /// Takes the stream up at another replica, after the last whole event.
+    /// Resumes the stream at another replica, after the last complete event.
     async fn resume(&mut self, detail: String, sign: Sign) -> bool {
         let passed = self.splitter.forwarded();
         let detail = format!("{detail} after {passed} events");
@@ -181,7 +182,7 @@
                 Ok(choice) => choice,
                 Err(shortage) => {
                     self.dispatch.trace.reason =
-                        format!("{}; not taken up: {shortage}", self.dispatch.trace.reason);
+                        format!("{}; not resumed: {shortage}", self.dispatch.trace.reason);
                     return false;
                 }
             };
@@ -200,7 +201,7 @@
                         request = self.dispatch.job.meta.id.as_str(),
                         replica = &*self.attempt.life.id,
                         last_event:? = last;
-                        "stream taken up"
+                        "stream resumed"
                     );
                     return true;
                 }
