--- a/src/gateway/status.rs
+++ b/src/gateway/status.rs
@@ -1,11 +1,11 @@
-//! What a gateway counts.
+//! The metrics of a gateway.
 
 use std::time::Duration;
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, Meter};
 
-/// Bounds of the histograms' buckets, in seconds.
+/// Bucket boundaries of the latency histograms, in seconds.
 const LATENCY_BUCKETS: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 2.0, 4.0, 8.0,
 ];
@@ -24,7 +24,7 @@
 }
 
 impl Instruments {
-    /// Registers them.
+    /// Registers the instruments with `meter`.
     pub fn new(meter: &Meter) -> Self {
         Self {
             requests: meter
@@ -68,38 +68,38 @@
         }
     }
 
-    /// A request ended.
+    /// Records a request that ended with `outcome` after `took`.
     pub fn record_request(&self, outcome: &'static str, took: Duration) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
         self.duration.record(took.as_secs_f64(), &[]);
     }
 
-    /// A stream's first event was passed on.
+    /// Records the latency of a stream's first event.
     pub fn record_first_event(&self, took: Duration) {
         self.first.record(took.as_secs_f64(), &[]);
     }
 
-    /// So many parts of the platform's documents could not be read until now.
+    /// Sets the number of parts of the platform's documents that could not be read so far.
     pub fn set_losses(&self, count: u64) {
         self.losses.record(count, &[]);
     }
 
-    /// So many attempts have not ended.
+    /// Sets the number of attempts in flight.
     pub fn set_in_flight(&self, count: u32) {
         self.under_way.record(u64::from(count), &[]);
     }
 
-    /// An attempt ended with its replica.
+    /// Counts an attempt whose replica terminated.
     pub fn count_replica_end(&self) {
         self.ends.add(1, &[]);
     }
 
-    /// So many requests are barred.
+    /// Sets the number of barred requests.
     pub fn set_barred(&self, count: usize) {
         self.barred.record(count as u64, &[]);
     }
 
-    /// An attempt ended.
+    /// Counts an attempt by how it ended.
     pub fn count_attempt(&self, ended: &'static str) {
         self.attempts.add(1, &[KeyValue::new("ended", ended)]);
     }
