--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -1,4 +1,4 @@
-//! What is counted and written down of one request.
+//! The log record of one request.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,51 +8,51 @@
 use crate::clock::Time;
 use crate::request::poison;
 
-/// What was expected of a replica when it was chosen for a request.
+/// What was expected of the replica when it was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Estimate {
-    /// When it was chosen, from the request's arrival.
+    /// Time from the request's arrival to the choice.
     pub chosen: Duration,
-    /// Time until the first event.
+    /// Expected time to the first event.
     pub first: Duration,
-    /// Requests that it was known to have.
+    /// Requests that the replica was known to have.
     pub requests: u32,
 }
 
-/// Counts a request for as long as it lives, and writes down how it ended.
+/// Collects what is known about a request; when dropped, logs it and updates the metrics.
 pub struct Trace {
     gateway: Rc<Gateway>,
-    /// Its id.
+    /// The id of the request.
     pub id: String,
-    /// What stays the same of it whenever it comes, once that is known.
+    /// The name of the request for counting terminations of replicas, once the body was read.
     pub name: Option<poison::Name>,
-    /// Its route.
+    /// The name of its route.
     pub route: Arc<str>,
-    /// The replica that answers, or the last that was tried.
+    /// The replica that responds, or the last one tried.
     pub replica: Option<Arc<str>>,
-    /// What was expected of that replica when it was chosen.
+    /// What was expected of that replica.
     pub expected: Option<Estimate>,
-    /// Replicas that received it.
+    /// Number of replicas that received the request.
     pub sent: u32,
-    /// Processes beside replicas that were asked for a place.
+    /// Number of sidecars that were asked for a place.
     pub asked: u32,
-    /// Whether the last one of them gave one.
+    /// Whether the last search reserved a place.
     pub place: bool,
-    /// Time to the first event of its stream.
+    /// Time from arrival to the first event of the stream.
     pub first: Option<Duration>,
-    /// Longest pause between two events of its stream.
+    /// Longest pause between two events of the stream.
     pub gap: Duration,
-    /// Whether its caller was refused before, and came back.
+    /// Whether this is a retry of a request that was refused before.
     pub returned: bool,
-    /// Why it ended as it did.
+    /// Why the request ended that way.
     pub reason: String,
-    /// When its head came.
+    /// When the head of the request arrived.
     pub arrived: Time,
     outcome: &'static str,
 }
 
 impl Trace {
-    /// A request whose head came.
+    /// Begins the record of a request whose head has arrived.
     pub fn begin(gateway: &Rc<Gateway>, arrived: Time) -> Self {
         Self {
             gateway: gateway.clone(),
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Says how the request ended.
+    /// Sets how the request ended.
     pub fn set_outcome(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
 
-    /// Time since the request's head came.
+    /// Time since the request's head arrived.
     pub fn elapsed(&self) -> Duration {
         self.gateway.knowledge.now().since(self.arrived)
     }
