--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -5,13 +5,14 @@
 //! * [`intake`] validates a request and reads its body; [`handler`] takes it through admission and
 //!   attempts, with the state in [`dispatch`].
 //! * [`attempt`] is one exchange with a replica; [`reader`] reads its response, from the replica or
-//!   from the buffer of the sidecar; [`event`] splits a stream into events; [`relay`] forwards them.
+//!   from the buffer of the sidecar; [`event`] splits a stream into events; [`relay`] forwards
+//!   them.
 //! * [`place`] reserves a place at a replica by asking its sidecar.
-//! * `poison` blocks requests whose earlier attempts coincided with terminations of replicas.
+//! * `poison` blocks requests whose earlier attempts coincided with crashes of replicas.
 //! * [`retry`] is a retry taken from a service's budget.
 //! * [`trace`] collects what is logged about a request, [`status`] holds the metrics.
-//! * [`control`] answers other processes of the system; [`halls`] exchanges reports with the entries
-//!   of this hall and polls other halls; [`bootstrap`] contacts the sidecars after a start.
+//! * [`control`] answers other processes of the system; [`halls`] exchanges reports with the
+//!   entries of this hall and polls other halls; [`bootstrap`] contacts the sidecars after a start.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::collections::BTreeMap;
@@ -388,8 +389,8 @@
         Some(SocketAddr::new(host, self.setting.sidecar_port))
     }
 
-    /// Joins the burst of the wanted version as a relay: this process has a fast link, the boxes have
-    /// slow ones.
+    /// Joins the burst of the wanted version as a relay: this process has a fast link, the boxes
+    /// have slow ones.
     async fn relay_weights(self: Rc<Self>) {
         loop {
             self.join_burst();
@@ -460,7 +461,7 @@
             self.instruments.set_losses(losses);
             let mut register = self.knowledge.poison.borrow_mut();
             register.sweep(now);
-            self.instruments.set_barred(register.barred());
+            self.instruments.set_blocked(register.barred());
         }
     }
 
@@ -532,7 +533,8 @@
         !self.porter.stopping() && belief.routing().is_some() && belief.lists_replicas()
     }
 
-    /// Announces a stop: the readiness check fails, and each response closes its caller's connection.
+    /// Announces a stop: the readiness check fails, and each response closes its caller's
+    /// connection.
     pub fn drain(&self) {
         self.porter.begin(stop::Setting::default());
     }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -95,7 +95,7 @@
     key: Key,
     /// The incarnation of its replica.
     pub life: Life,
-    /// The name of the request, under which terminations of replicas are counted.
+    /// The name of the request, under which crashes of replicas are counted.
     request: Name,
     choice: Choice,
     address: SocketAddr,
@@ -116,14 +116,15 @@
     fn drop(&mut self) {
         self.record_start(false);
         self.gateway.pool.borrow_mut().end(self.key, self.number);
-        // The caller has left or the replica was silent; the replica may still terminate because of it.
+        // The caller has left or the replica was silent; the replica may still crash because of
+        // it.
         self.suspect(Observation::Abandoned);
     }
 }
 
 impl Attempt {
-    /// Begins an attempt at the chosen replica; `None` if that has gone, or has since announced that
-    /// it takes no requests.
+    /// Begins an attempt at the chosen replica; `None` if that has gone, or has since announced
+    /// that it takes no requests.
     pub fn begin(gateway: &Rc<Gateway>, job: &Job, choice: Choice) -> Option<Self> {
         let sidecar = buffering_sidecar(gateway, job, choice.key);
         let now = gateway.knowledge.now();
@@ -212,8 +213,8 @@
         self.fail(job, Ended::Broken, sign, detail)
     }
 
-    /// Has the replica checked for termination, unless its fate is known or it is leaving: a leaving
-    /// replica terminates as planned, with whatever runs there.
+    /// Has the replica checked for a crash, unless its fate is known or it is leaving: a
+    /// leaving replica terminates as planned, with whatever runs there.
     fn suspect(&self, observation: Observation) {
         if self.outcome_known.replace(true) {
             return;
@@ -254,8 +255,8 @@
         let exchange = self.exchange(job, head, can_fail_over);
         match self.within(job, exchange).await {
             None => Err(self.silent(job)),
-            // The sidecar may mean another incarnation, so the notice is not applied to this one; reports
-            // carry what this one announces.
+            // The sidecar may mean another incarnation, so the notice is not applied to this one;
+            // reports carry what this one announces.
             Some(Err(error @ reader::Error::TurnedAway { .. })) => {
                 let detail = format!("not sent: {error}");
                 Err(self.fail(job, Ended::NotSent, Sign::None, detail))
@@ -295,7 +296,8 @@
         Ok(Reader::of_replica(exchange.await?))
     }
 
-    /// Records that the sidecar did not send the request on, so that it goes to the replica directly.
+    /// Records that the sidecar did not send the request on, so that it goes to the replica
+    /// directly.
     fn bypass_sidecar(&self, job: &Job, error: &reader::Error) {
         log::info!(request = job.meta.id.as_str(), replica = &*self.life.id; "bypassing the sidecar: {error}");
         if matches!(error, reader::Error::OutOfReach { .. }) {
@@ -304,9 +306,9 @@
         }
     }
 
-    /// Awaits `step` for as long as this replica may be silent; `None` after that. While the sidecar
-    /// reports a queue, silence is no sign of failure, and the wait goes on: an abandoned request would
-    /// still be processed there, and a second time elsewhere.
+    /// Awaits `step` for as long as this replica may be silent; `None` after that. While the
+    /// sidecar reports a queue, silence is no sign of failure, and the wait goes on: an abandoned
+    /// request would still be processed there, and a second time elsewhere.
     pub async fn within<T>(&self, job: &Job, step: impl Future<Output = T>) -> Option<T> {
         let mut step = pin!(step);
         let mut silence = if job.route.repeatable() {
@@ -334,8 +336,8 @@
     }
 
     /// The time by which the request has to have started at its replica, as far as is known now. It
-    /// may become earlier while the request waits: a new version may be announced, or turn out to have
-    /// been announced before.
+    /// may become earlier while the request waits: a new version may be announced, or turn out to
+    /// have been announced before.
     fn start_bound(&self, job: &Job) -> Option<Time> {
         if self.start_recorded.get() {
             return None;
@@ -455,8 +457,8 @@
 
 fn options(job: &Job, can_fail_over: bool) -> Options {
     Options {
-        // If the replica closes a reused connection at this moment, it is unknown whether the request
-        // ran.
+        // If the replica closes a reused connection at this moment, it is unknown whether the
+        // request ran.
         reuse: if job.route.repeatable() {
             Reuse::Allowed
         } else {
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -122,7 +122,7 @@
     LateUnknown,
     /// The response was broken off. The request may have run.
     Broken,
-    /// Replicas terminated whenever they processed it.
+    /// Replicas crashed whenever they processed it.
     Poison,
 }
 
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -1,4 +1,5 @@
-//! State of one request: admission, choice of a replica, attempts, and what follows a failed attempt.
+//! State of one request: admission, choice of a replica, attempts, and what follows a failed
+//! attempt.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -223,7 +224,8 @@
         })
     }
 
-    /// Finds a replica for the request, waiting for a short time if need be, or refuses the request.
+    /// Finds a replica for the request, waiting for a short time if need be, or refuses the
+    /// request.
     pub(super) async fn admit(&mut self) -> Result<Choice, Refusal> {
         let mut asks = self.gateway.setting.policy.asks;
         loop {
@@ -292,8 +294,8 @@
         })
     }
 
-    /// Delay that the caller is asked for if all replicas asked for a pause and the shortest lasts for
-    /// `rest`: not less, and with jitter so that callers do not all return at once.
+    /// Delay that the caller is asked for if all replicas asked for a pause and the shortest lasts
+    /// for `rest`: not less, and with jitter so that callers do not all return at once.
     fn delay_after_rest(&self, rest: Duration) -> Duration {
         let apart = self
             .gateway
@@ -311,8 +313,8 @@
         age.map_or(whole, |age| returning::limit(whole, late, age))
     }
 
-    /// Two limits on the time to the first event: that of first tries, which the policy may share among
-    /// all requests of the service, and that of retries whose callers are already late.
+    /// Two limits on the time to the first event: that of first tries, which the policy may share
+    /// among all requests of the service, and that of retries whose callers are already late.
     pub(super) fn limits(&self) -> (Duration, Duration) {
         let gateway = &self.gateway;
         let own = self.job.objective();
@@ -337,9 +339,9 @@
         admission::come_back(arrival, remaining, spread)
     }
 
-    /// Chooses a replica, avoiding those in `full` if possible; for a started response, one with the same
-    /// version. Also returns whether fewer than half of the service's places are taken, in which case
-    /// the request need not be refused.
+    /// Chooses a replica, avoiding those in `full` if possible; for a started response, one with
+    /// the same version. Also returns whether fewer than half of the service's places are taken, in
+    /// which case the request need not be refused.
     pub fn choose(&self, full: &[Key]) -> (Result<Choice, Shortage>, bool) {
         let gateway = &self.gateway;
         gateway.refresh_pool();
@@ -360,7 +362,8 @@
         let service = self.job.routing.service(&self.job.service);
         let model = self.job.meta.inference.as_ref().map(|work| &*work.model);
         let engine = service.and_then(|service| service.engine.as_ref());
-        // Replicas that hold models are engines even if their service's configuration is unreadable.
+        // Replicas that hold models are engines even if their service's configuration is
+        // unreadable.
         let engines = || {
             let belief = gateway.knowledge.belief.borrow();
             engine.is_some() || belief.held_model(Some(&self.job.service)).is_some()
@@ -411,8 +414,8 @@
         })
     }
 
-    /// Returns the choice unless the replica is cold and its rate is used up. A request whose place was
-    /// granted by the sidecar passes: the sidecar has counted it.
+    /// Returns the choice unless the replica is cold and its rate is used up. A request whose place
+    /// was granted by the sidecar passes: the sidecar has counted it.
     fn check_cold(&self, choice: Choice, given: bool) -> Result<Choice, Shortage> {
         let now = self.gateway.knowledge.now();
         let mut pool = self.gateway.pool.borrow_mut();
@@ -462,8 +465,8 @@
         result
     }
 
-    /// Records that a stream broke, or could not be resumed. Returns whether another attempt to resume
-    /// it may follow.
+    /// Records that a stream broke, or could not be resumed. Returns whether another attempt to
+    /// resume it may follow.
     pub fn may_resume(&mut self, failure: Failure) -> bool {
         let (ended, detail) = self.record_failure(failure);
         self.trace.reason = detail;
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -1,4 +1,5 @@
-//! Sends the state of replicas to the other entries of the local hall, and polls other halls for theirs.
+//! Sends the state of replicas to the other entries of the local hall, and polls other halls for
+//! theirs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,8 +20,8 @@
 /// Interval at which this module checks whether a frame or a poll is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Replicas of another hall that a report includes: the least loaded ones. Requests go to another hall only
-/// when the local one is full, and a hall has no more entries than this.
+/// Replicas of another hall that a report includes: the least loaded ones. Requests go to another
+/// hall only when the local one is full, and a hall has no more entries than this.
 const REMOTE_REPLICAS_MAX: usize = 64;
 
 /// Sends frames and polls halls until dropped.
@@ -62,8 +63,8 @@
     }
 }
 
-/// Returns the [`REMOTE_REPLICAS_MAX`] least loaded replicas. Those that take no requests sort last: they mostly
-/// have nothing in progress and would otherwise displace replicas that can serve.
+/// Returns the [`REMOTE_REPLICAS_MAX`] least loaded replicas. Those that take no requests sort
+/// last: they mostly have nothing in progress and would otherwise displace replicas that can serve.
 fn least_loaded(mut reports: Vec<Reported>) -> Vec<Reported> {
     let key = |reported: &Reported| (!reported.load.takes_requests(), reported.load.present());
     reports.sort_by_key(key);
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -38,7 +38,7 @@
 /// Makes attempts until one is answered or no further one is allowed.
 async fn run(mut dispatch: Dispatch) -> Answer {
     let porter = dispatch.gateway.porter.clone();
-    if let Err(refusal) = dispatch.check_barred() {
+    if let Err(refusal) = dispatch.check_blocked() {
         return dispatch.give_up(&refusal);
     }
     loop {
@@ -47,7 +47,7 @@
             Some(Err(refusal)) => return dispatch.give_up(&refusal),
             None => return dispatch.give_up(&dispatch.unanswered_refusal()),
         };
-        if let Err(refusal) = dispatch.acquire_try().await {
+        if let Err(refusal) = dispatch.claim_trial().await {
             return dispatch.give_up(&refusal);
         }
         let attempt = dispatch.attempt(choice, dispatch.job.meta.last_event);
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -20,7 +20,8 @@
 /// Delay that callers are asked for while the configuration is missing or partly unreadable.
 const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Length of the body prefix that is part of the fingerprint, in bytes, to bound the cost of hashing.
+/// Length of the body prefix that is part of the fingerprint, in bytes, to bound the cost of
+/// hashing.
 const FINGERPRINT_BODY_MAX: usize = 4 << 10;
 
 /// Records the id of a request that is refused without further validation.
@@ -124,7 +125,7 @@
     ])
 }
 
-/// The name of the request for counting terminations of replicas: the same for each retry, and for
+/// The name of the request for counting crashes of replicas: the same for each retry, and for
 /// all API keys of a customer.
 fn poison_name(
     head: &RequestHead,
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -41,7 +41,7 @@
     pub deadline: Time,
     /// Identifies the request when its caller retries after a refusal.
     pub fingerprint: Fingerprint,
-    /// Identifies the request, at any entry, for counting terminations of replicas.
+    /// Identifies the request, at any entry, for counting crashes of replicas.
     pub name: poison::Name,
 }
 
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -12,9 +12,9 @@
 use crate::route::pool::{Choice, Key, Limits, Shortage};
 use crate::route::search::{Said, Search, Step};
 
-/// Timeout for a sidecar's answer over a used connection. Within a hall an answer takes 0.2 ms; 60 ms
-/// is the time of two chunks of weights on the sidecar's link. A link that holds an answer up for
-/// longer would hold up the request as well.
+/// Timeout for a sidecar's answer over a used connection. Within a hall an answer takes 0.2 ms; 60
+/// ms is the time of two chunks of weights on the sidecar's link. A link that holds an answer up
+/// for longer would hold up the request as well.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Timeout for the answer over a new connection after the used one brought none: three times the
@@ -45,7 +45,8 @@
 }
 
 impl Dispatch {
-    /// Asks up to `asks` sidecars for a place from which the first event is expected within `limit`.
+    /// Asks up to `asks` sidecars for a place from which the first event is expected within
+    /// `limit`.
     pub(super) async fn find(&self, asks: u32, limit: Duration) -> Found {
         let mut search = Search::new(asks, limit);
         let mut tried_before = None;
@@ -89,9 +90,9 @@
         }
     }
 
-    /// The best replica without a reserved place: the one with the earliest first event according to
-    /// the sidecars that answered; if none did, or most places of the service are free, the one that
-    /// is `known` to be best.
+    /// The best replica without a reserved place: the one with the earliest first event according
+    /// to the sidecars that answered; if none did, or most places of the service are free, the one
+    /// that is `known` to be best.
     fn best_known(
         &self,
         search: &Search,
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Builds the query for a place at the replica `key`. `at` is the limit on the first event for this
-    /// query, `whole` the limit of the request itself.
+    /// Builds the query for a place at the replica `key`. `at` is the limit on the first event for
+    /// this query, `whole` the limit of the request itself.
     fn place_ask(
         &self,
         key: Key,
@@ -210,8 +211,8 @@
         }
     }
 
-    /// The choice of the replica `key` with the estimate from the sidecar's `answer`, which is based on
-    /// the engine's actual passes, corrected by what this entry knows of the link.
+    /// The choice of the replica `key` with the estimate from the sidecar's `answer`, which is
+    /// based on the engine's actual passes, corrected by what this entry knows of the link.
     fn expected_by_sidecar(&self, key: Key, answer: &Answer, now: Time) -> Option<Choice> {
         let choice = self.expected_at(key, now)?;
         let told = answer.expected_ms.map(Duration::from_millis);
@@ -231,8 +232,8 @@
         self.with_ask(&[], |ask| self.gateway.pool.borrow().expects(key, ask, now))
     }
 
-    /// The sidecar of a replica and the limits for its estimate; `None` if it grants no places or has
-    /// recently failed to answer.
+    /// The sidecar of a replica and the limits for its estimate; `None` if it grants no places or
+    /// has recently failed to answer.
     fn sidecar_with_limits(&self, key: Key, limit: Duration) -> Option<(SocketAddr, Limits)> {
         let sidecar = self.gateway.sidecar_of(key)?;
         let now = self.gateway.knowledge.now();
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -1,5 +1,5 @@
-//! Detects replicas that terminated while a request was running, and blocks requests that were running
-//! when several replicas terminated.
+//! Detects replicas that crashed while a request was running, and blocks requests that were
+//! running when several replicas crashed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use crate::member::replica::Life;
 use crate::request::poison::{ENDS_MAX, Name, Told, Verdict};
 
-/// Delays between checks whether the list or the sidecar reports the termination of a replica or a
-/// new incarnation. Connecting once is not enough: a replica that restarts at once accepts connections
-/// as before, and a replica may terminate shortly after an attempt was abandoned. The delays make up
-/// one round.
+/// Delays between checks whether the list or the sidecar reports the crash of a replica or a
+/// new incarnation. Connecting once is not enough: a replica that restarts at once accepts
+/// connections as before, and a replica may crash shortly after an attempt was abandoned. The
+/// delays make up one round.
 const CHECK_DELAYS: [Duration; 3] = [
     Duration::from_millis(300),
     Duration::from_millis(700),
@@ -30,13 +30,13 @@
 /// What the entry observed when an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Observation {
-    /// It broke: if the replica terminated, it already has.
+    /// It broke: if the replica crashed, it already has.
     Broken,
     /// Nothing: it was abandoned before the replica had finished it.
     Abandoned,
 }
 
-/// An attempt during which the replica may have terminated.
+/// An attempt during which the replica may have crashed.
 #[derive(Debug)]
 struct Suspect {
     name: Name,
@@ -70,8 +70,8 @@
 pub(super) struct Suspects(BTreeMap<SocketAddr, Watch>);
 
 impl Suspects {
-    /// Begins a round at `address` and drops the suspects from before the previous round, which began
-    /// at `last`. Returns whether any are left.
+    /// Begins a round at `address` and drops the suspects from before the previous round, which
+    /// began at `last`. Returns whether any are left.
     fn begin_round(&mut self, address: SocketAddr, last: Time) -> bool {
         let watch = self.0.entry(address).or_default();
         watch.suspects.retain(|suspect| suspect.at >= last);
@@ -85,9 +85,9 @@
 }
 
 impl Gateway {
-    /// Adds an attempt of the request `name` that ended without a response from the replica `life`. The
-    /// network may have failed or the caller left; it counts against the request only if the replica
-    /// terminated.
+    /// Adds an attempt of the request `name` that ended without a response from the replica `life`.
+    /// The network may have failed or the caller left; it counts against the request only if the
+    /// replica crashed.
     pub(super) fn suspect(
         self: &Rc<Self>,
         name: Name,
@@ -108,8 +108,8 @@
         if !watched {
             actix_rt::spawn(self.clone().watch(address));
         } else if watch.connects() {
-            // The address may already be checked because of an abandoned attempt, and the replica may
-            // have restarted by the next round.
+            // The address may already be checked because of an abandoned attempt, and the replica
+            // may have restarted by the next round.
             actix_rt::spawn(self.clone().connect(address));
         }
     }
@@ -129,9 +129,9 @@
                     break;
                 }
                 sleep(pause).await;
-                self.take_ended(address, false);
-                // Callers may leave often, so an abandoned attempt alone causes no connection, unless the
-                // sidecar, which would know of a termination, has not reported recently.
+                self.take_crashed(address, false);
+                // Callers may leave often, so an abandoned attempt alone causes no connection,
+                // unless the sidecar, which would know of a crash, has not reported recently.
                 if !asked && !self.pool.borrow().heard_of(address, self.knowledge.now()) {
                     asked = true;
                     self.clone().connect(address).await;
@@ -154,12 +154,12 @@
     /// Tries to connect to `address`; if the connection is refused, all suspects there count.
     async fn connect(self: Rc<Self>, address: SocketAddr) {
         let refused = self.client.refuses(address, CONNECT_TIMEOUT).await;
-        self.take_ended(address, refused);
+        self.take_crashed(address, refused);
     }
 
-    /// Counts the suspects at `address` whose replica has terminated: all of them if connections are
-    /// `refused`, or else those whose incarnation is over.
-    fn take_ended(&self, address: SocketAddr, refused: bool) {
+    /// Counts the suspects at `address` whose replica has crashed: all of them if connections
+    /// are `refused`, or else those whose incarnation is over.
+    fn take_crashed(&self, address: SocketAddr, refused: bool) {
         self.refresh_pool();
         let now = self.knowledge.now();
         let mut suspects = self.suspects.borrow_mut();
@@ -178,26 +178,26 @@
         log::warn!(
             replica = &*first.life.id, address:% = address, requests = ended.len(),
             given_up = ended.iter().filter(given_up).count();
-            "replica terminated while requests were running"
+            "replica crashed while requests were running"
         );
         for Suspect { name, life, .. } in ended {
-            self.instruments.count_replica_end();
+            self.instruments.count_crash();
             let news = self.knowledge.poison.borrow_mut().ended(name, life, now);
             if news {
-                self.log_if_barred(name);
+                self.log_if_blocked(name);
             }
         }
         self.knowledge.poison_news.notify_one();
     }
 
-    fn log_if_barred(&self, name: Name) {
+    fn log_if_blocked(&self, name: Name) {
         let case = self
             .knowledge
             .poison
             .borrow()
             .case(name, self.knowledge.now());
         if let Some(case) = case.filter(|case| case.ends.len() == ENDS_MAX) {
-            log::warn!(name:% = name; "request barred: {}", describe(&case));
+            log::warn!(name:% = name; "request blocked: {}", describe(&case));
         }
     }
 
@@ -206,7 +206,7 @@
         let now = self.knowledge.now();
         let news = self.knowledge.poison.borrow_mut().came_good(name, now);
         if news {
-            log::info!(name:% = name; "request completed that was running when replicas terminated");
+            log::info!(name:% = name; "request completed that was running when replicas crashed");
             self.knowledge.poison_news.notify_one();
         }
     }
@@ -228,33 +228,33 @@
     }
 
     /// Whether the request may be sent to a replica without restriction.
-    pub(super) fn is_free(&self) -> bool {
+    pub(super) fn is_allowed(&self) -> bool {
         self.verdict() == Verdict::Free
     }
 
-    /// Refuses the request if it is barred and no try is due.
-    pub(super) fn check_barred(&self) -> Result<(), Refusal> {
+    /// Refuses the request if it is blocked and no trial is due.
+    pub(super) fn check_blocked(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Free | Verdict::Due => Ok(()),
-            Verdict::Barred => Err(self.barred_refusal()),
+            Verdict::Barred => Err(self.blocked_refusal()),
         }
     }
 
-    /// Refuses the request if it is barred, unless a single try is due and is granted to it. To be
-    /// called before each attempt: the verdict may have changed while the request waited for a place,
-    /// or during an earlier attempt.
-    pub(super) async fn acquire_try(&self) -> Result<(), Refusal> {
+    /// Refuses the request if it is blocked, unless a single trial is due and is granted to it. To be
+    /// called before each attempt: the verdict may have changed while the request waited for a
+    /// place, or during an earlier attempt.
+    pub(super) async fn claim_trial(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Free => Ok(()),
             Verdict::Due if poison::take_try(&self.gateway.knowledge, self.job.name).await => {
                 Ok(())
             }
-            Verdict::Due | Verdict::Barred => Err(self.barred_refusal()),
+            Verdict::Due | Verdict::Barred => Err(self.blocked_refusal()),
         }
     }
 
-    /// The refusal of a barred request. It invites no retry, as that would serve nobody.
-    pub(super) fn barred_refusal(&self) -> Refusal {
+    /// The refusal of a blocked request. It invites no retry, as that would serve nobody.
+    pub(super) fn blocked_refusal(&self) -> Refusal {
         let knowledge = &self.gateway.knowledge;
         let case = knowledge
             .poison
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -1,5 +1,5 @@
-//! Reads the response of an attempt. If the sidecar buffers it ([`crate::run`]), reading continues over
-//! a new connection when the current one breaks, goes silent or stalls.
+//! Reads the response of an attempt. If the sidecar buffers it ([`crate::run`]), reading continues
+//! over a new connection when the current one breaks, goes silent or stalls.
 
 use std::fmt;
 use std::future::pending;
@@ -34,7 +34,8 @@
 /// events. Such a failure affects most connections at once, whichever exchange detects it.
 const STALL_TIMEOUT_SUSPECTED: Duration = Duration::from_millis(100);
 
-/// Time after which the end of a run, unanswered over a used connection, is sent again over a new one.
+/// Time after which the end of a run, unanswered over a used connection, is sent again over a new
+/// one.
 const END_RENEW_AFTER: Duration = Duration::from_millis(60);
 
 /// Number of pending fetches from which on a suspicion starts no further one: the one that carries
@@ -120,8 +121,8 @@
         })
     }
 
-    /// Sets whether reading fails as soon as the connection is found to be silent. Has no effect on a
-    /// buffered response, which is read over another connection then.
+    /// Sets whether reading fails as soon as the connection is found to be silent. Has no effect on
+    /// a buffered response, which is read over another connection then.
     pub fn set_guarded(&mut self, guarded: bool) {
         if let Source::Replica(response) = &mut self.source {
             response.set_guarded(guarded);
@@ -345,8 +346,9 @@
         self.fetch_rest();
     }
 
-    /// Shortens the stall timeout because other connections are suspected of having gone silent. Does
-    /// nothing if a replacement has already been requested, as that will show whether this one has.
+    /// Shortens the stall timeout because other connections are suspected of having gone silent.
+    /// Does nothing if a replacement has already been requested, as that will show whether this one
+    /// has.
     fn shorten_stall_timeout(&mut self) {
         if self.fetches.len() < FETCHES_WHEN_SUSPECTED {
             self.stall_timeout = self.stall_timeout.min(STALL_TIMEOUT_SUSPECTED);
@@ -357,8 +359,8 @@
         self.handle.gateway.knowledge.now()
     }
 
-    /// Processes a fetch: it brought the response, failed so that others are awaited, or showed that
-    /// there will be no response.
+    /// Processes a fetch: it brought the response, failed so that others are awaited, or showed
+    /// that there will be no response.
     fn accept(&mut self, fetch: Fetch) -> Result<Option<Box<Response>>, Error> {
         let response = match fetch.response {
             Ok(response) => response,
@@ -398,7 +400,8 @@
         error
     }
 
-    /// Records a failed connection. If no other is left, tries a new one, up to [`FAILURES_MAX`] times.
+    /// Records a failed connection. If no other is left, tries a new one, up to [`FAILURES_MAX`]
+    /// times.
     fn fetch_failed(&mut self, error: exchange::Error) -> Result<(), Error> {
         if self.current.is_some() || !self.fetches.is_empty() {
             return Ok(());
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Returns the response to the caller. Its head is that of the first replica, even if the stream is
-    /// resumed at another.
+    /// Returns the response to the caller. Its head is that of the first replica, even if the
+    /// stream is resumed at another.
     pub fn answer(mut self) -> Answer {
         let head = self
             .head
@@ -83,7 +83,8 @@
             let mut relay = relay?;
             match relay.next().await {
                 Some(Ok(events)) => Some((Ok(events), Some(relay))),
-                // The error closes the connection, so that the caller sees that the stream is incomplete.
+                // The error closes the connection, so that the caller sees that the stream is
+                // incomplete.
                 Some(Err(error)) => Some((Err(error), None)),
                 None => None,
             }
@@ -186,8 +187,8 @@
                     return false;
                 }
             };
-            if !self.dispatch.is_free() {
-                self.dispatch.trace.reason = self.dispatch.barred_refusal().detail;
+            if !self.dispatch.is_allowed() {
+                self.dispatch.trace.reason = self.dispatch.blocked_refusal().detail;
                 return false;
             }
             let last = self.splitter.last();
--- a/src/gateway/retry.rs
+++ b/src/gateway/retry.rs
@@ -54,8 +54,8 @@
     fn drop(&mut self) {
         let mut budget = self.gateway.budget(&self.service);
         if self.sent {
-            // Bytes that were sent just before the connection was closed arrive within this time, or not
-            // at all.
+            // Bytes that were sent just before the connection was closed arrive within this time,
+            // or not at all.
             let latest = self.gateway.knowledge.now() + exchange::LOST;
             budget.arrived(self.key, latest);
         } else {
--- a/src/gateway/status.rs
+++ b/src/gateway/status.rs
@@ -89,13 +89,13 @@
         self.under_way.record(u64::from(count), &[]);
     }
 
-    /// Counts an attempt whose replica terminated.
-    pub fn count_replica_end(&self) {
+    /// Counts an attempt whose replica crashed.
+    pub fn count_crash(&self) {
         self.ends.add(1, &[]);
     }
 
-    /// Sets the number of barred requests.
-    pub fn set_barred(&self, count: usize) {
+    /// Sets the number of blocked requests.
+    pub fn set_blocked(&self, count: usize) {
         self.barred.record(count as u64, &[]);
     }
 
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -24,7 +24,7 @@
     gateway: Rc<Gateway>,
     /// The id of the request.
     pub id: String,
-    /// The name of the request for counting terminations of replicas, once the body was read.
+    /// The name of the request for counting crashes of replicas, once the body was read.
     pub name: Option<poison::Name>,
     /// The name of its route.
     pub route: Arc<str>,
