--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,5 @@
-//! The gateway's decisions: choice, admission, budget, what follows an attempt, versions, events.
+//! Decisions of the gateway: choice of a replica, admission, retry budget, what follows a failed
+//! attempt, version changes, splitting of event streams.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -88,7 +89,7 @@
     pool
 }
 
-struct Asking {
+struct Query {
     engine: Engine,
     tried: Vec<Key>,
     oldest: u64,
@@ -96,7 +97,7 @@
     regions: Regions,
 }
 
-impl Default for Asking {
+impl Default for Query {
     fn default() -> Self {
         Self {
             engine: engine(),
@@ -108,7 +109,7 @@
     }
 }
 
-impl Asking {
+impl Query {
     fn ask(&self) -> Ask<'_> {
         Ask {
             service: "tutor",
@@ -157,16 +158,16 @@
 const NOW: Time = Time::from_millis(50_000);
 
 #[test]
-fn the_replica_with_less_to_read_is_chosen() {
+fn the_replica_with_fewer_prompts_to_read_is_chosen() {
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     pool.report(address(1), &report(4, 3, 1), NOW);
     pool.report(address(2), &report(6, 0, 1), NOW);
-    assert_eq!(Asking::default().choose(&pool, NOW).unwrap(), "i-2");
+    assert_eq!(Query::default().choose(&pool, NOW).unwrap(), "i-2");
 }
 
-/// Of 100 entries that see the same reports, those that choose each replica.
-fn herd(loads: &[(u32, u32)]) -> Vec<u32> {
-    let asking = Asking::default();
+/// How many of 100 entries with the same reports choose each replica.
+fn choices_of_100_entries(loads: &[(u32, u32)]) -> Vec<u32> {
+    let query = Query::default();
     let mut chosen = vec![0; loads.len()];
     for entry in 0..100 {
         let hosts = 1..=loads.len() as u8;
@@ -175,7 +176,7 @@
             pool.report(address(host), &report(running, queued, 1), NOW);
         }
         let mut rng = SmallRng::seed_from_u64(entry);
-        let choice = pool.choose(asking.ask(), NOW, &mut rng).unwrap();
+        let choice = pool.choose(query.ask(), NOW, &mut rng).unwrap();
         let host = pool.get(choice.key).unwrap().record.address;
         let host = (1..).zip(loads).find(|(index, _)| address(*index) == host);
         chosen[usize::from(host.unwrap().0) - 1] += 1;
@@ -184,47 +185,48 @@
 }
 
 #[test]
-fn entries_that_see_the_same_reports_do_not_all_rush_to_an_empty_replica() {
+fn entries_with_the_same_reports_do_not_all_choose_the_empty_replica() {
     let mut loads = vec![(6, 0); 8];
     loads[0] = (0, 0);
-    let chosen = herd(&loads);
-    // The better of two at random: one that is the best of eight is drawn by 23 of 100.
+    let chosen = choices_of_100_entries(&loads);
+    // Each entry takes the better of two replicas drawn at random. The best of eight is among the
+    // two for 23 of 100 entries.
     assert!((12..=36).contains(&chosen[0]), "{chosen:?}");
     assert!(chosen.iter().all(|count| *count > 0), "{chosen:?}");
 }
 
 #[test]
-fn a_replica_with_a_prompt_more_to_read_is_left_alone_by_all() {
+fn no_entry_chooses_a_replica_with_one_more_prompt_to_read() {
     let mut loads = vec![(6, 0); 8];
     loads[7] = (6, 1);
-    assert_eq!(herd(&loads)[7], 0);
+    assert_eq!(choices_of_100_entries(&loads)[7], 0);
 }
 
 #[test]
-fn a_replica_that_has_no_place_by_its_own_word_is_passed_over_while_another_is_left() {
+fn a_replica_that_reported_no_place_is_chosen_only_if_no_other_is_left() {
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     pool.report(address(1), &report(0, 0, 1), NOW);
     pool.report(address(2), &report(16, 9, 1), NOW);
     let keys = pool.of("tutor").to_vec();
     let first = |key: &&Key| pool.get(**key).unwrap().record.address == address(1);
     let first = *keys.iter().find(first).unwrap();
-    let asking = Asking::default();
+    let query = Query::default();
     let mut rng = SmallRng::seed_from_u64(7);
     let full = [first];
     let ask = Ask {
         full: &full,
-        ..asking.ask()
+        ..query.ask()
     };
     assert_ne!(pool.choose(ask, NOW, &mut rng).unwrap().key, first);
     let ask = Ask {
         full: &keys,
-        ..asking.ask()
+        ..query.ask()
     };
     assert_eq!(pool.choose(ask, NOW, &mut rng).unwrap().key, first);
 }
 
 #[test]
-fn a_process_that_was_silent_is_not_asked_for_a_while_and_its_link_counts_as_held_up() {
+fn a_sidecar_that_timed_out_is_not_asked_for_a_second_and_its_link_counts_as_slow() {
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     for host in [1, 2] {
         pool.report(address(host), &report(2, 0, 1), NOW);
@@ -234,34 +236,34 @@
     assert!(pool.gives_places(key, NOW));
     pool.unheard(key, true, NOW);
     assert!(!pool.gives_places(key, NOW));
-    assert_ne!(Asking::default().choose(&pool, NOW).unwrap(), *id);
+    assert_ne!(Query::default().choose(&pool, NOW).unwrap(), *id);
     let later = NOW + Duration::from_millis(1_100);
     assert!(pool.gives_places(key, later));
 }
 
 #[test]
-fn a_queue_explains_a_silence_while_someone_says_that_it_is_there() {
+fn a_replica_counts_as_queueing_only_while_a_recent_report_says_so() {
     let mut pool = pool_of(vec![record(1, 1)], None);
     let key = pool.of("tutor")[0];
-    assert!(!pool.queues(key, NOW), "nobody says so");
+    assert!(!pool.queues(key, NOW), "no report says so");
     pool.report(address(1), &report(15, 0, 1), NOW);
-    assert!(!pool.queues(key, NOW), "a place is free");
+    assert!(!pool.queues(key, NOW), "a slot is free");
     pool.report(address(1), &report(16, 4, 1), NOW);
     assert!(pool.queues(key, NOW));
     assert!(
         !pool.queues(key, NOW + Duration::from_secs(3)),
-        "it was long ago"
+        "the report is stale"
     );
     let dead = Load {
         alive: false,
         ..report(16, 4, 1)
     };
     pool.report(address(1), &dead, NOW);
-    assert!(!pool.queues(key, NOW), "nobody is there");
+    assert!(!pool.queues(key, NOW), "the replica is dead");
 }
 
 #[test]
-fn a_replica_that_turns_is_told_at_once_and_a_load_is_not() {
+fn a_change_of_availability_is_reported_at_once_and_a_change_of_load_is_not() {
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     let at = |ms| NOW + Duration::from_millis(ms);
     for host in [1, 2] {
@@ -283,7 +285,7 @@
 }
 
 #[test]
-fn a_leaving_a_dead_and_a_denied_replica_take_nothing() {
+fn leaving_dead_and_denied_replicas_get_no_requests() {
     let leaving = Record {
         leaving: true,
         ..record(1, 1)
@@ -294,37 +296,37 @@
         ..report(0, 0, 1)
     };
     pool.report(address(2), &dead, NOW);
-    assert_eq!(Asking::default().choose(&pool, NOW).unwrap(), "i-3");
+    assert_eq!(Query::default().choose(&pool, NOW).unwrap(), "i-3");
     let third = *pool
         .of("tutor")
         .iter()
         .find(|key| &*pool.get(**key).unwrap().record.id == "i-3")
         .unwrap();
     pool.deny(third);
-    assert_eq!(Asking::default().choose(&pool, NOW), Err(Shortage::NoneFit));
+    assert_eq!(Query::default().choose(&pool, NOW), Err(Shortage::NoneFit));
 }
 
 #[test]
-fn a_replica_without_weights_or_of_a_forbidden_version_takes_nothing() {
+fn replicas_without_weights_or_with_a_disallowed_version_get_no_requests() {
     let empty = Record {
         models: Vec::new(),
         ..record(1, 1)
     };
     let pool = pool_of(vec![empty, record(2, 1), record(3, 2)], None);
-    let oldest = Asking {
+    let oldest = Query {
         oldest: 2,
-        ..Asking::default()
+        ..Query::default()
     };
     assert_eq!(oldest.choose(&pool, NOW).unwrap(), "i-3");
-    let only = Asking {
+    let only = Query {
         only: Some(1),
-        ..Asking::default()
+        ..Query::default()
     };
     assert_eq!(only.choose(&pool, NOW).unwrap(), "i-2");
 }
 
 #[test]
-fn nothing_is_sent_that_would_start_on_an_old_version_after_its_bound() {
+fn no_request_is_sent_that_would_start_on_an_old_version_after_its_bound() {
     let due = Due {
         named: vec![Wanted {
             version: 2,
@@ -336,21 +338,21 @@
     };
     let mut pool = pool_of(vec![record(1, 1)], Some(due));
     let at = |millis| NOW + Duration::from_millis(millis);
-    assert!(Asking::default().choose(&pool, at(1_000)).is_ok());
+    assert!(Query::default().choose(&pool, at(1_000)).is_ok());
     assert_eq!(
-        Asking::default().choose(&pool, at(7_390)),
+        Query::default().choose(&pool, at(7_390)),
         Err(Shortage::NoneFit)
     );
-    // Behind others it would wait too long already a little earlier.
+    // Behind a queue, a request would wait too long even if sent slightly earlier.
     pool.report(address(1), &report(16, 8, 1), at(6_900));
     assert_eq!(
-        Asking::default().choose(&pool, at(6_900)),
+        Query::default().choose(&pool, at(6_900)),
         Err(Shortage::NoneFit)
     );
 }
 
 #[test]
-fn a_request_that_outlasts_a_change_of_version_goes_to_a_replica_that_changes_later() {
+fn a_request_that_outlasts_a_version_change_goes_to_a_replica_that_changes_later() {
     let due = |begins| Due {
         named: vec![Wanted {
             version: 2,
@@ -370,14 +372,14 @@
     });
     let now = NOW + Duration::from_millis(4_000);
     for _ in 0..5 {
-        assert_eq!(Asking::default().choose(&pool, now).unwrap(), "i-2");
+        assert_eq!(Query::default().choose(&pool, now).unwrap(), "i-2");
     }
 }
 
-/// The origin of weights fails while a version spreads: the time for which most replicas had planned
-/// their change passes, and nobody has changed.
+/// Guards against overload of the replicas that change last: if the origin of weights fails during
+/// a rollout, most replicas miss the time planned for their change and still serve the old version.
 #[test]
-fn replicas_whose_change_is_late_are_not_left_to_those_that_change_last() {
+fn replicas_with_an_overdue_version_change_are_not_avoided() {
     let named = |begins_ms| Due {
         named: vec![Wanted {
             version: 2,
@@ -392,7 +394,7 @@
         .map(|host| record(host, 1))
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
-    // One in five changes last.
+    // Replica 5 changes last.
     pool.update(&list, |record| {
         let last = record.address == address(5);
         Some(named(if last { 9_000 } else { 3_400 }))
@@ -402,11 +404,11 @@
         pool.report(address(host), &report(4, 0, 1), now);
     }
     pool.report(address(5), &report(16, 4, 1), now);
-    assert_ne!(Asking::default().choose(&pool, now).unwrap(), "i-5");
+    assert_ne!(Query::default().choose(&pool, now).unwrap(), "i-5");
 }
 
 #[test]
-fn a_replica_whose_first_events_are_overdue_is_left_for_another() {
+fn a_replica_with_overdue_first_events_is_avoided() {
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     let key = |pool: &Pool, id: &str| {
         let keys = pool.of("tutor").to_vec();
@@ -418,12 +420,12 @@
     pool.begin(first, Demand::default(), Duration::from_millis(100), NOW);
     let later = NOW + Duration::from_millis(600);
     for _ in 0..5 {
-        assert_eq!(Asking::default().choose(&pool, later).unwrap(), "i-2");
+        assert_eq!(Query::default().choose(&pool, later).unwrap(), "i-2");
     }
 }
 
-/// A replica that has version 2 before it, named now, with its bound after 7.4 s.
-fn due_in_seven_seconds() -> Due {
+/// Change to version 2, announced now, with its bound after 7.4 s.
+fn due_in_7_seconds() -> Due {
     Due {
         named: vec![Wanted {
             version: 2,
@@ -436,33 +438,29 @@
 }
 
 #[test]
-fn a_link_that_holds_requests_up_gets_nothing_that_would_start_after_the_bound() {
-    let mut pool = pool_of(vec![record(1, 1)], Some(due_in_seven_seconds()));
+fn no_request_is_sent_over_a_slow_link_that_would_start_after_the_bound() {
+    let mut pool = pool_of(vec![record(1, 1)], Some(due_in_7_seconds()));
     let slow = Load {
         round_trip_ms: 1_500,
         ..report(2, 0, 1)
     };
-    // A request takes so long to come there, and so does its end: 2.8 s before the bound.
+    // The request and its end are both delayed by the link, so the limit is 2.8 s before the bound.
     for (after, fits) in [(4_000, true), (5_000, false)] {
         let now = NOW + Duration::from_millis(after);
         pool.report(address(1), &slow, now);
-        assert_eq!(
-            Asking::default().choose(&pool, now).is_ok(),
-            fits,
-            "{after}"
-        );
+        assert_eq!(Query::default().choose(&pool, now).is_ok(), fits, "{after}");
         pool.report(address(1), &report(2, 0, 1), now);
-        assert!(Asking::default().choose(&pool, now).is_ok());
+        assert!(Query::default().choose(&pool, now).is_ok());
     }
 }
 
 #[test]
-fn a_replica_whose_reports_are_missing_counts_as_behind_a_slow_link() {
+fn a_replica_with_missing_reports_counts_as_behind_a_slow_link() {
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     pool.report(address(1), &report(0, 0, 1), NOW);
     let later = NOW + Duration::from_millis(2_600);
     pool.report(address(2), &report(3, 0, 1), later);
-    assert_eq!(Asking::default().choose(&pool, later).unwrap(), "i-2");
+    assert_eq!(Query::default().choose(&pool, later).unwrap(), "i-2");
 }
 
 #[test]
@@ -479,17 +477,17 @@
 }
 
 #[test]
-fn the_list_says_who_is_gone_at_once() {
+fn a_replica_that_is_removed_from_the_list_is_dropped_at_once() {
     let mut pool = pool_of(vec![record(1, 1)], None);
     pool.update(&BTreeMap::new(), |_| None);
     assert_eq!(
-        Asking::default().choose(&pool, NOW),
+        Query::default().choose(&pool, NOW),
         Err(Shortage::NoneListed)
     );
 }
 
 #[test]
-fn the_estimate_grows_with_what_is_to_be_read_and_with_the_queue() {
+fn the_estimate_grows_with_unread_prompts_and_with_the_queue() {
     let engine = engine();
     let demand = Demand {
         prompt: 979,
@@ -510,7 +508,7 @@
 }
 
 #[test]
-fn a_replica_that_fails_more_than_its_fellows_is_passed_over_and_tried_again() {
+fn a_replica_that_fails_more_often_than_others_is_paused_and_tried_again() {
     let mut health = Health::default();
     for _ in 0..6 {
         health.note(Sign::Failed, 0.1, NOW);
@@ -525,7 +523,7 @@
             Sign::Whole(Duration::ZERO)
         };
         usual.note(sign, 0.14, NOW);
-        assert!(!usual.paused(NOW), "it fails no more than its fellows");
+        assert!(!usual.paused(NOW), "it fails no more often than others");
     }
 }
 
@@ -565,7 +563,7 @@
 }
 
 #[test]
-fn what_may_run_once_goes_elsewhere_only_when_it_surely_did_not_run() {
+fn a_non_idempotent_request_is_retried_only_if_it_cannot_have_run() {
     for ended in [Ended::Broken, Ended::Failed] {
         let next = attempt::after(ended, situation());
         assert!(!matches!(next, Next::Elsewhere { .. }), "{ended:?}");
@@ -589,7 +587,7 @@
 }
 
 #[test]
-fn not_run_is_never_said_of_what_may_have_run() {
+fn a_request_that_may_have_run_is_never_reported_as_not_run() {
     fn property(ended: u8, repeatable: bool, tainted: bool, sent: u8, left: bool) -> bool {
         let all = [
             Ended::NotSent,
@@ -618,7 +616,8 @@
     quickcheck(property as fn(u8, bool, bool, u8, bool) -> bool);
 }
 
-/// Repeats of all entries within every window, however requests and wishes are spread.
+/// The retries of all entries are counted within each window, for any distribution of requests and
+/// retries over the entries.
 #[test]
 fn the_shared_budget_holds_in_every_window_over_all_entries() {
     fn property(steps: Vec<(u8, bool)>) -> bool {
@@ -631,22 +630,22 @@
         let entries = 4;
         let budget = |_| Budget::new(setting, Time::default());
         let mut budgets: Vec<Budget> = (0..entries).map(budget).collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
-        for (step, (pick, repeat)) in steps.iter().enumerate() {
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
+        for (step, (pick, retry)) in steps.iter().enumerate() {
             let now = Time::from_millis(1_000 + step as u64 * 20);
             let budget = &mut budgets[usize::from(*pick) % entries];
             budget.request(setting, now);
             requests.push(now);
-            let spent = repeat.then(|| budget.spend(setting, entries, now));
-            if let Some(repeat) = spent.flatten() {
-                budget.arrived(repeat, now);
-                repeats.push(now);
+            let spent = retry.then(|| budget.spend(setting, entries, now));
+            if let Some(retry) = spent.flatten() {
+                budget.arrived(retry, now);
+                retries.push(now);
             }
         }
         requests.iter().all(|&end| {
             let within = |at: &Time| *at <= end && end.since(*at) <= setting.window;
             let asked = requests.iter().filter(|at| within(at)).count() as f64;
-            let spent = repeats.iter().filter(|at| within(at)).count() as f64;
+            let spent = retries.iter().filter(|at| within(at)).count() as f64;
             spent <= setting.ratio * asked + setting.slack
         })
     }
@@ -654,7 +653,7 @@
 }
 
 #[test]
-fn waves_leave_places_in_each_hall_and_end_before_the_bound() {
+fn waves_leave_replicas_serving_in_each_hall_and_end_before_the_bound() {
     let setting = rollout::Setting::default();
     let version = Digest::of(b"v2");
     let names: Vec<String> = (0..7).map(|index| format!("10.0.0.{index}")).collect();
@@ -670,7 +669,7 @@
 }
 
 #[test]
-fn a_longer_bound_gives_more_waves_and_each_has_its_time() {
+fn a_longer_bound_gives_more_waves_with_enough_time_for_each() {
     let waves = |bound_ms| {
         let bound = Duration::from_millis(bound_ms);
         let setting = rollout::Setting::due_within(bound, Policy::default());
@@ -679,7 +678,7 @@
             .collect();
         assert_eq!(*begins.last().unwrap(), bound - setting.margin);
         let first = Duration::from_millis(3_400);
-        assert_eq!(begins[0], first, "the transfer has its time");
+        assert_eq!(begins[0], first, "the transfer has enough time");
         let apart = begins.windows(2).map(|pair| pair[1] - pair[0]);
         assert!(apart.min().unwrap() >= Duration::from_millis(1_200));
         setting.waves
@@ -691,7 +690,7 @@
 }
 
 #[test]
-fn all_waves_at_once_are_the_waves_of_each() {
+fn the_waves_of_all_hosts_are_the_waves_of_each_host() {
     let version = Digest::of(b"v2");
     let names: Vec<String> = (0..41).map(|index| format!("10.0.0.{index}")).collect();
     let fellows: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -701,10 +700,11 @@
     }
 }
 
-/// Weights come 3 s after their waves were planned, because their origin was away: all replicas that are behind
-/// their time would change at once, and none of them takes anything meanwhile.
+/// Guards against all late replicas changing at once, when none of them takes requests. This
+/// happens if weights arrive after the planned times of some waves, here by 3 s because the origin
+/// was down.
 #[test]
-fn waves_that_are_behind_their_time_share_what_is_left_of_it() {
+fn late_waves_share_the_remaining_time() {
     let bound = Duration::from_millis(13_400);
     let setting = rollout::Setting::due_within(bound, Policy::default());
     let last = bound - setting.margin;
@@ -715,7 +715,8 @@
     let gaps = waves.windows(2).map(|pair| pair[1] - pair[0]);
     let (shortest, longest) = (gaps.clone().min(), gaps.max());
     assert!(longest.unwrap() - shortest.unwrap() < Duration::from_millis(1));
-    // In time, the plan holds; past the last wave's time nothing is left to share.
+    // With weights in time the plan holds; after the last wave's time there is nothing left to
+    // share.
     for complete in [Duration::ZERO, last] {
         let wave = setting.waves - 1;
         assert_eq!(rollout::begins_with(setting, wave, complete), last);
@@ -723,7 +724,7 @@
 }
 
 #[test]
-fn no_wave_is_planned_for_before_a_narrow_origin_can_have_sent_the_weights() {
+fn no_wave_is_planned_before_a_slow_origin_can_have_sent_the_weights() {
     let bound = Duration::from_millis(13_400);
     let setting = rollout::Setting::due_within(bound, Policy::default());
     let copy = |millis| Some(Duration::from_millis(millis));
@@ -733,13 +734,13 @@
         rollout::begins(narrow, narrow.waves - 1),
         bound - narrow.margin
     );
-    // A copy over a box's own link takes its time however wide the origin's is.
+    // The transfer to a box takes this long over the box's own link, however fast the origin's is.
     assert_eq!(setting.with_copy(copy(1_300), Policy::default()), setting);
     assert_eq!(setting.with_copy(None, Policy::default()), setting);
 }
 
 #[test]
-fn a_change_is_ordered_only_when_everything_is_here_and_told() {
+fn a_version_change_is_ordered_only_after_all_weights_arrived_and_notice_was_given() {
     let setting = rollout::Setting::default();
     let state = rollout::State {
         wanted: 2,
@@ -779,7 +780,7 @@
     );
     let told = late + setting.notice;
     assert_eq!(rollout::step(noticed, setting, told), rollout::Step::Order);
-    // Past its time nobody sends it anything any more.
+    // After the planned time no entry sends it requests any more, so no notice is needed.
     let overdue = NOW + last;
     assert_eq!(
         rollout::step(complete, setting, overdue),
@@ -804,7 +805,7 @@
 }
 
 #[test]
-fn events_are_the_same_however_the_bytes_come() {
+fn events_do_not_depend_on_how_the_bytes_are_split() {
     fn property(count: u8, cuts: Vec<u8>) -> bool {
         let all = events(u64::from(count));
         let mut splitter = Splitter::default();
@@ -822,7 +823,7 @@
 }
 
 #[test]
-fn a_stream_that_is_taken_up_has_every_event_once() {
+fn a_resumed_stream_has_each_event_once() {
     let all = events(9);
     let half = all.len() / 2;
     let mut splitter = Splitter::default();
@@ -832,28 +833,28 @@
         .to_vec();
     assert!(splitter.is_partial());
     splitter.discard_partial();
-    // The second replica goes on a little before the place that it was asked for.
+    // The second replica resumes slightly before the requested event.
     out.extend_from_slice(&splitter.push(Bytes::from(all.clone())).unwrap());
     assert_eq!(out, all);
     assert_eq!(splitter.last(), Some(9));
 }
 
 #[test]
-fn a_list_that_names_weights_which_are_lost_is_noticed() {
+fn a_list_with_weights_that_replicas_have_lost_is_detected() {
     let mut pool = pool_of((1..=4).map(|host| record(host, 1)).collect(), None);
     assert!(!pool.mostly_denied("tutor"));
     let keys = pool.of("tutor").to_vec();
     pool.deny(keys[0]);
     assert!(
         !pool.mostly_denied("tutor"),
-        "one may just have been replaced"
+        "a single replica may just have been replaced"
     );
     pool.deny(keys[1]);
     assert!(pool.mostly_denied("tutor"));
 }
 
 #[test]
-fn the_arrival_of_weights_is_told_by_the_pace_so_far() {
+fn the_arrival_of_weights_is_estimated_from_the_transfer_rate_so_far() {
     let mut pool = pool_of(vec![record(1, 1)], None);
     let progress = |held| Load {
         chunks_held: held,
@@ -862,11 +863,11 @@
         ..report(0, 0, 1)
     };
     pool.report(address(1), &progress(0), NOW);
-    assert_eq!(pool.arrival("tutor", NOW), None, "nothing has come yet");
+    assert_eq!(pool.arrival("tutor", NOW), None, "no chunk has arrived yet");
     let later = NOW + Duration::from_millis(500);
     pool.report(address(1), &progress(16), later);
     let arrival = pool.arrival("tutor", later).unwrap();
-    // 48 more chunks at 32 a second, and the time to take them in.
+    // 48 more chunks at 32 per second, and the time to load them.
     assert!(arrival > Duration::from_millis(1_500) && arrival < Duration::from_millis(2_500));
     let nearer = pool.arrival("tutor", later + Duration::from_millis(300));
     assert_eq!(nearer, Some(arrival - Duration::from_millis(300)));
