--- a/tests/life.rs
+++ b/tests/life.rs
@@ -1,6 +1,7 @@
-//! A replica may start again under the id that it had. It then holds nothing of before, and news of its
-//! earlier life arrives late, through the list, reports and other entries, in any order. Whatever was
-//! believed belongs to one life: a later one replaces it whole.
+//! Guards against using what is known of an earlier incarnation for a later one. A replica may
+//! restart under the same id. It has then lost its weights, but late updates about its earlier
+//! incarnation still arrive, through the list, reports and other entries, in any order. All state
+//! belongs to one incarnation, and a later incarnation replaces it completely.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 
 const NOW: Time = Time::from_millis(50_000);
 
-/// The starts of the two lives, in milliseconds since the Unix epoch.
+/// Start times of the two incarnations, in milliseconds since the Unix epoch.
 const FIRST: u64 = 1_764_720_000_000;
 const SECOND: u64 = FIRST + 700;
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// An entry's picture: what it believes of the list, and its pool.
+/// The state of an entry: what it believes of the list, and its pool.
 struct Entry {
     belief: Belief,
     pool: Pool,
@@ -116,27 +117,27 @@
     }
 }
 
-/// News of the replica, as it may arrive at an entry.
+/// An update about the replica, as it may arrive at an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum News {
-    /// The list's entry of the first life, written early.
+enum Update {
+    /// The record of the first incarnation in the list, written early.
     ListedFirst,
-    /// A heartbeat of the first life, written after the second one began.
+    /// The record of the first incarnation, written by a heartbeat after the second one started.
     ListedLate,
-    /// The list's entry of the second life.
+    /// The record of the second incarnation in the list.
     ListedSecond,
-    /// The process beside it tells of the first life.
+    /// The sidecar's report about the first incarnation.
     ReportedFirst,
-    /// It tells of the second life.
+    /// The sidecar's report about the second incarnation.
     ReportedSecond,
-    /// Another entry tells what it was told of the first life.
+    /// Another entry passes on a report about the first incarnation.
     DigestLate,
 }
 
-use News::*;
+use Update::*;
 
-impl News {
-    fn arrives(self, entry: &mut Entry) {
+impl Update {
+    fn apply(self, entry: &mut Entry) {
         let address = "10.0.0.1:80".parse().unwrap();
         match self {
             ListedFirst => drop(entry.learn(10, record(FIRST, holding(1)))),
@@ -151,12 +152,12 @@
         }
     }
 
-    fn tells_second(self) -> bool {
+    fn is_second(self) -> bool {
         matches!(self, ListedSecond | ReportedSecond)
     }
 }
 
-fn orders(rest: &[News]) -> Vec<Vec<News>> {
+fn permutations(rest: &[Update]) -> Vec<Vec<Update>> {
     if rest.is_empty() {
         return vec![Vec::new()];
     }
@@ -164,7 +165,7 @@
     for (place, &first) in rest.iter().enumerate() {
         let mut others = rest.to_vec();
         others.remove(place);
-        for mut order in orders(&others) {
+        for mut order in permutations(&others) {
             order.insert(0, first);
             all.push(order);
         }
@@ -173,7 +174,7 @@
 }
 
 #[test]
-fn in_every_order_of_news_a_later_life_is_never_used_for_what_an_earlier_one_held() {
+fn a_later_incarnation_is_never_used_for_weights_of_an_earlier_one_in_any_order_of_updates() {
     let all = [
         ListedFirst,
         ListedLate,
@@ -182,19 +183,19 @@
         ReportedSecond,
         DigestLate,
     ];
-    for order in orders(&all) {
+    for order in permutations(&all) {
         let mut entry = Entry::new();
-        let mut told = false;
-        for news in &order {
+        let mut second_known = false;
+        for update in &order {
             let listed = entry.belief.replicas().contains_key("i-1");
-            // A report about a replica that is not listed yet is no news of it.
-            told |= news.tells_second() && (listed || *news == ListedSecond);
-            news.arrives(&mut entry);
-            if told {
+            // A report about a replica that is not listed yet has no effect.
+            second_known |= update.is_second() && (listed || *update == ListedSecond);
+            update.apply(&mut entry);
+            if second_known {
                 assert_eq!(
                     entry.choose(),
                     Err(Shortage::NoneFit),
-                    "{order:?} after {news:?}"
+                    "{order:?} after {update:?}"
                 );
             }
         }
@@ -212,15 +213,15 @@
         );
         assert!(
             entry.choose().is_ok(),
-            "{order:?}: it serves once it holds something"
+            "{order:?}: it serves once it holds weights"
         );
     }
 }
 
 #[test]
-fn the_order_of_lists_makes_no_difference_to_what_is_told_on() {
+fn the_record_that_is_passed_on_does_not_depend_on_the_order_of_lists() {
     let (early, late) = (record(FIRST, holding(1)), record(SECOND, Vec::new()));
-    let learnt = |order: [(u64, &Record); 2]| {
+    let record_after = |order: [(u64, &Record); 2]| {
         let mut belief = Belief::new(true);
         for (revision, record) in order {
             let fact = Fact::Replica(record.clone());
@@ -229,14 +230,15 @@
         belief.replicas()["i-1"].record.clone()
     };
     for (first, second) in [(10, 12), (12, 10)] {
-        assert_eq!(learnt([(first, &early), (second, &late)]), late);
-        assert_eq!(learnt([(second, &late), (first, &early)]), late);
+        assert_eq!(record_after([(first, &early), (second, &late)]), late);
+        assert_eq!(record_after([(second, &late), (first, &early)]), late);
     }
 }
 
-/// Everything that an entry believes of one life, and that another would suffer from.
+/// Guards against state of one incarnation that would harm another: requests in flight, penalties,
+/// lags, denials, connections.
 #[test]
-fn requests_penalties_lags_denials_and_connections_end_with_their_life() {
+fn requests_penalties_lags_denials_and_connections_end_with_their_incarnation() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let address = "10.0.0.1:80".parse().unwrap();
@@ -259,13 +261,13 @@
     let second = entry.key();
     assert_ne!(
         second, first,
-        "whoever tried the first life may try the second"
+        "requests that were tried at the first incarnation may be tried at the second"
     );
     let choice = entry.choose().unwrap();
     assert_eq!((choice.key, choice.requests), (second, 0));
     let alone = choice.expected;
 
-    // What the first life's requests and its process still bring changes nothing.
+    // Late events of the first incarnation's requests and a late report about it change nothing.
     let late = NOW + Duration::from_millis(900);
     for number in numbers {
         entry.pool.started(first, number, demand, true, late);
@@ -280,13 +282,13 @@
     );
     assert!(
         !entry.pool.gives_places(second, late),
-        "its process has not told yet"
+        "its sidecar has not reported yet"
     );
 }
 
 #[test]
-fn where_replicas_tell_their_lives_an_entry_without_one_names_none_and_the_others_hold() {
-    let stranger = Record {
+fn a_record_without_start_time_is_ignored_if_others_of_its_service_have_one() {
+    let without_start = Record {
         id: "i-2".into(),
         address: "10.0.0.9:80".parse().unwrap(),
         ..record(0, holding(1))
@@ -300,16 +302,16 @@
         let ids = ids.map(|&key| entry.pool.get(key).unwrap().record.id.clone());
         ids.collect::<Vec<Arc<str>>>()
     };
-    let sound = record(FIRST, holding(1));
-    assert_eq!(listed([&stranger, &sound]), ["i-1".into()]);
-    assert_eq!(listed([&sound, &stranger]), ["i-1".into()]);
-    // Where nobody tells, all are used.
+    let with_start = record(FIRST, holding(1));
+    assert_eq!(listed([&without_start, &with_start]), ["i-1".into()]);
+    assert_eq!(listed([&with_start, &without_start]), ["i-1".into()]);
+    // If no record of the service has a start time, all are used.
     let silent = record(0, holding(1));
-    assert_eq!(listed([&silent, &stranger]).len(), 2);
+    assert_eq!(listed([&silent, &without_start]).len(), 2);
 }
 
 #[test]
-fn a_report_is_about_the_replica_of_its_life_where_two_are_listed_at_one_address() {
+fn a_report_applies_to_the_replica_of_its_incarnation_if_two_are_listed_at_one_address() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let next = Record {
@@ -328,20 +330,21 @@
     assert_eq!((holds("i-1"), holds("i-2")), (Some(1), Some(2)));
 }
 
-/// What shows, beside a connection that is refused, that a run broke with its replica and not with its connection.
+/// What shows, besides a refused connection, that a run broke because its replica is gone, and not
+/// because its connection failed.
 #[test]
-fn a_life_is_over_when_a_later_one_is_known_or_nobody_is_found_there() {
+fn an_incarnation_is_over_when_a_later_one_is_known_or_the_replica_is_dead() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let address = "10.0.0.1:80".parse().unwrap();
     let known = entry.pool.ids_at(address);
     let over = |entry: &Entry| entry.pool.outlived(address, FIRST, &known, NOW);
     entry.pool.report(address, &load(FIRST, holding(1)), NOW);
-    assert!(!over(&entry), "it is there");
+    assert!(!over(&entry), "it is alive");
 
     let mut reborn = Entry::new();
     reborn.learn(12, record(SECOND, holding(1)));
-    assert!(over(&reborn), "it started again under its id");
+    assert!(over(&reborn), "it restarted under its id");
 
     let other = Record {
         id: "i-2".into(),
@@ -357,5 +360,5 @@
         ..load(FIRST, Vec::new())
     };
     dead.pool.report(address, &nobody, NOW);
-    assert!(over(&dead), "the process beside it finds nobody");
+    assert!(over(&dead), "its sidecar reports it dead");
 }
