--- a/src/burst/joined.rs
+++ b/src/burst/manager.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use super::host::{Host, Origin};
-use super::{Burst, Holders, Purpose};
+use super::{Burst, Holders, Options};
 use crate::audit::Deed;
 use crate::clock::Time;
 use crate::knowledge::Knowledge;
-use crate::member::{Listed, Role, State};
+use crate::member::{Descriptor, Role, State};
 use crate::spread::Favour;
 use crate::weight::Digest;
 
@@ -36,7 +36,7 @@
     /// The version.
     pub version: u64,
     /// When the oldest version was named that is lacked.
-    pub named: Time,
+    pub published: Time,
 }
 
 impl Target {
@@ -53,14 +53,14 @@
 
 /// The newest version that was named for the model that is served; `None` while nothing is known.
 pub fn newest(knowledge: &Knowledge) -> Option<Target> {
-    let brief = knowledge.brief()?;
+    let brief = knowledge.summary()?;
     let figures = brief.engine.as_ref();
     let told = figures.and_then(|engine| engine.models.first().cloned());
     let model = told.or_else(|| knowledge.belief.borrow().held_model(None))?;
     let wanted = knowledge.belief.borrow().wanted(&model);
     Some(Target {
         version: wanted.map_or(FIRST_VERSION, |wanted| wanted.version),
-        named: wanted.map_or(Time::default(), |wanted| wanted.since),
+        published: wanted.map_or(Time::default(), |wanted| wanted.since),
         model,
     })
 }
@@ -74,11 +74,11 @@
 
 /// The members of the burst around the replicas of `service`: the processes beside them, which
 /// listen at `port`, and the entries as relays.
-pub fn members(knowledge: &Knowledge, service: Option<&str>, port: u16) -> Vec<Listed> {
+pub fn members(knowledge: &Knowledge, service: Option<&str>, port: u16) -> Vec<Descriptor> {
     let belief = knowledge.belief.borrow();
     let records = belief.replicas().values().map(|listed| &listed.record);
     let fellows = records.filter(|record| Some(&*record.service) == service);
-    let mut members: Vec<Listed> = fellows
+    let mut members: Vec<Descriptor> = fellows
         .map(|record| {
             let address = SocketAddr::new(record.address.ip(), port);
             let name = address.ip().to_string();
@@ -99,8 +99,8 @@
 }
 
 /// One member.
-pub fn member(name: String, hall: Arc<str>, address: SocketAddr, role: Role) -> Listed {
-    Listed {
+pub fn member(name: String, hall: Arc<str>, address: SocketAddr, role: Role) -> Descriptor {
+    Descriptor {
         name: name.into(),
         hall,
         rack: "".into(),
@@ -122,19 +122,19 @@
 }
 
 /// Who takes part in a burst, and where weights come from.
-pub struct Crew {
+pub struct Topology {
     /// The origin.
     pub origin: SocketAddr,
     /// How long a chunk takes over its link, if that is known.
-    pub origin_chunk: Option<Duration>,
+    pub origin_chunk_time: Option<Duration>,
     /// The members, this process included or not.
-    pub members: Vec<Listed>,
+    pub members: Vec<Descriptor>,
     /// This process.
-    pub own: Listed,
+    pub own: Descriptor,
 }
 
-impl Crew {
-    fn all(mut self) -> Vec<Listed> {
+impl Topology {
+    fn all(mut self) -> Vec<Descriptor> {
         let own = self.own;
         self.members.retain(|listed| listed.name != own.name);
         self.members.push(own);
@@ -144,7 +144,7 @@
 
 /// The bursts that a process takes part in: that of the newest version, and those of older ones that it
 /// serves to others yet.
-pub struct Joined {
+pub struct Manager {
     /// The process's side of them.
     pub host: Rc<Host>,
     origins: Rc<dyn Origins>,
@@ -153,7 +153,7 @@
     parts: RefCell<Vec<Part>>,
 }
 
-impl Joined {
+impl Manager {
     /// None yet. `first_start` tells that the whole system begins now for the first time.
     pub fn new(host: Rc<Host>, origins: Rc<dyn Origins>, first_start: bool) -> Self {
         Self {
@@ -165,38 +165,40 @@
     }
 
     /// Takes part in the burst of `target`. Of older versions, from `oldest` on, it serves what it holds.
-    pub fn join(&self, target: &Target, oldest: u64, crew: Crew) {
+    pub fn join(&self, target: &Target, oldest: u64, topology: Topology) {
         let label = target.label();
         let burst = self.get(label).unwrap_or_else(|| {
             self.rest_others();
             self.make_room();
             log::info!(model = &*target.model, version = target.version; "burst joined");
-            self.begin(target, &crew, false)
+            self.begin(target, &topology, false)
         });
         self.let_go(|place, part| place > 0 && part.target.version < oldest);
-        burst.set_members(&self.host, crew.all());
+        burst.set_members(&self.host, topology.all());
     }
 
     /// Takes `target`, an older version than the newest, from peers that hold it.
-    pub fn join_older(&self, target: &Target, crew: Crew) {
+    pub fn join_older(&self, target: &Target, topology: Topology) {
         let known = self.get(target.label());
         let burst = known.unwrap_or_else(|| {
             log::info!(model = &*target.model, version = target.version; "older version joined");
-            self.begin(target, &crew, true)
+            self.begin(target, &topology, true)
         });
         burst.resume(&self.host);
-        burst.set_members(&self.host, crew.all());
+        burst.set_members(&self.host, topology.all());
     }
 
-    fn begin(&self, target: &Target, crew: &Crew, peers_only: bool) -> Rc<Burst> {
-        let origin = self.origins.of(crew.origin, &target.model, target.version);
-        let purpose = Purpose {
+    fn begin(&self, target: &Target, topology: &Topology, peers_only: bool) -> Rc<Burst> {
+        let origin = self
+            .origins
+            .of(topology.origin, &target.model, target.version);
+        let options = Options {
             favour: Favour::Time,
             holders: self.holders(target),
             peers_only,
-            origin_chunk: crew.origin_chunk,
+            origin_chunk_time: topology.origin_chunk_time,
         };
-        let burst = Burst::start(&self.host, origin, target.label(), purpose);
+        let burst = Burst::start(&self.host, origin, target.label(), options);
         let part = Part {
             target: target.clone(),
             burst: burst.clone(),
@@ -236,7 +238,7 @@
     }
 
     fn holders(&self, target: &Target) -> Holders {
-        let named = self.host.clock.now().since(target.named);
+        let named = self.host.clock.now().since(target.published);
         match target.version {
             FIRST_VERSION if self.first_start => Holders::All,
             FIRST_VERSION => Holders::Some,
--- a/src/gateway/bootstrap.rs
+++ b/src/gateway/bootstrap.rs
@@ -32,7 +32,7 @@
         sleep(CHECK_INTERVAL).await;
     }
     for _ in 0..ROUNDS {
-        gossip::tell(&gateway.knowledge, gateway.unreported_sidecars(), true);
+        gossip::send_heartbeats(&gateway.knowledge, gateway.unreported_sidecars(), true);
         sleep(ROUND_INTERVAL).await;
     }
 }
@@ -46,10 +46,13 @@
         let hall = &self.knowledge.identity.hall;
         let hosts = self.pool.borrow().silent(hall, now);
         let port = self.setting.sidecar_port;
-        let (own, fellows) = (self.knowledge.identity.address, self.knowledge.fellows());
+        let (own, local_peers) = (
+            self.knowledge.identity.address,
+            self.knowledge.local_peers(),
+        );
         let is_assigned = |host: &IpAddr| {
             let subject = host.to_string();
-            rank(own, fellows.iter().copied(), &subject) < ENTRIES_PER_SIDECAR
+            rank(own, local_peers.iter().copied(), &subject) < ENTRIES_PER_SIDECAR
         };
         let assigned = hosts.into_iter().filter(is_assigned);
         assigned.map(|host| SocketAddr::new(host, port)).collect()
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -79,8 +79,8 @@
         SYNC_FORWARD_PATH => match decode::<fanout::ForwardedSync>(&mut request).await {
             Ok(notice) => {
                 let knowledge = &gateway.knowledge;
-                let answer = http::pack(StatusCode::OK, &knowledge.news_for(&notice.sync, false));
-                actix_rt::spawn(fanout::forward_news(knowledge.clone(), notice));
+                let answer = http::pack(StatusCode::OK, &knowledge.update_for(&notice.sync, false));
+                actix_rt::spawn(fanout::forward_notice(knowledge.clone(), notice));
                 answer
             }
             Err(answer) => answer,
@@ -90,7 +90,10 @@
             Err(answer) => answer,
         },
         poison::PATH => match decode::<poison::Notice>(&mut request).await {
-            Ok(notice) => http::pack(StatusCode::OK, &poison::hear(&gateway.knowledge, &notice)),
+            Ok(notice) => http::pack(
+                StatusCode::OK,
+                &poison::apply_notice(&gateway.knowledge, &notice),
+            ),
             Err(answer) => answer,
         },
         poison::TRY_PATH => match decode::<poison::Ask>(&mut request).await {
@@ -102,7 +105,7 @@
         },
         path => {
             let path = path.to_owned();
-            serve::answer_path(&gateway.joined, &gateway.porter, &path).await
+            serve::answer_path(&gateway.bursts, &gateway.tracker, &path).await
         }
     }
 }
@@ -121,11 +124,11 @@
 /// Answers a heartbeat. `from_hub` says whether it arrived in a frame for the whole hall.
 fn answer_sync(gateway: &Gateway, sync: &Sync, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
-    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.lacks(sync.marks) {
-        let fetch = gossip::fetch_news(knowledge.clone(), sync.from, sync.marks, from_hub);
+    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.is_behind(sync.marks) {
+        let fetch = gossip::fetch_update(knowledge.clone(), sync.from, sync.marks, from_hub);
         actix_rt::spawn(fetch);
     }
-    http::pack(StatusCode::OK, &knowledge.news_for(sync, !sync.entry))
+    http::pack(StatusCode::OK, &knowledge.update_for(sync, !sync.entry))
 }
 
 fn answer_report(gateway: &Gateway, report: &Report) -> Answer {
@@ -137,7 +140,7 @@
         .report(report.address, &report.load, now);
     http::pack(
         StatusCode::OK,
-        &gateway.knowledge.news_for(&report.sync, true),
+        &gateway.knowledge.update_for(&report.sync, true),
     )
 }
 
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -43,7 +43,7 @@
 
 /// The refusal of a request that has not run because the process is shutting down.
 pub(super) fn shutting_down() -> Refusal {
-    Refusal::new(Code::Stopping, "the process stops").retry_after(stop::porter::RETRY)
+    Refusal::new(Code::Stopping, "the process stops").retry_after(stop::tracker::RETRY_DELAY)
 }
 
 /// The refusal of a request that may have run when the process gave it up.
@@ -369,7 +369,7 @@
             engine.is_some() || belief.held_model(Some(&self.job.service)).is_some()
         };
         let model = model.filter(|_| engines());
-        let entries = gateway.knowledge.peers.borrow().bound() as u32;
+        let entries = gateway.knowledge.peers.borrow().upper_bound() as u32;
         let connections = service.map_or(u32::MAX, |service| service.connections_max);
         let regions = gateway.knowledge.regions.borrow();
         then(pool::Ask {
@@ -398,7 +398,7 @@
 
     /// This entry's share of that rate, used where no sidecar rations requests to the replica.
     fn own_cold_per_s(&self) -> f64 {
-        let entries = self.gateway.knowledge.peers.borrow().bound();
+        let entries = self.gateway.knowledge.peers.borrow().upper_bound();
         self.cold_per_s() / entries.max(1) as f64
     }
 
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -10,8 +10,8 @@
 use crate::clock::Time;
 use crate::knowledge::fanout::{self, Message};
 use crate::knowledge::gossip;
-use crate::knowledge::halls::Ask;
-use crate::knowledge::hub::Extent;
+use crate::knowledge::hub::Content;
+use crate::knowledge::polls::Poll;
 use crate::knowledge::readers::Readers;
 use crate::knowledge::rounds::PeerExchange;
 use crate::wire::pack;
@@ -34,31 +34,31 @@
     }
 }
 
-async fn poll_hall(gateway: Rc<Gateway>, ask: Ask) {
+async fn poll_hall(gateway: Rc<Gateway>, poll: Poll) {
     let knowledge = &gateway.knowledge;
-    let sync = knowledge.sync_exchanging(if ask.wants_peers {
+    let sync = knowledge.heartbeat_with(if poll.wants_peers {
         PeerExchange::PushPullHall
     } else {
         PeerExchange::Skip
     });
-    let answer = gossip::ask::<_, HallNews>(knowledge, ask.entry, HALL_PATH, &sync).await;
-    gateway.halls.borrow_mut().answered(&ask.hall);
+    let answer = gossip::call::<_, HallNews>(knowledge, poll.entry, HALL_PATH, &sync).await;
+    gateway.halls.borrow_mut().finished(&poll.hall);
     match answer {
         Ok(answer) => {
             let digest = answer.digest();
-            gossip::take(knowledge, ask.entry, answer.news);
+            gossip::apply_answer(knowledge, poll.entry, answer.news);
             match digest {
                 Ok(digest) => gateway.take_digest(&digest),
                 Err(error) => {
                     log::warn!(
-                        entry:% = ask.entry, hall = &*ask.hall;
+                        entry:% = poll.entry, hall = &*poll.hall;
                         "cannot unpack the replicas in the hall's answer: {error}"
                     );
                 }
             }
         }
         Err(error) => {
-            log::debug!(entry:% = ask.entry, hall = &*ask.hall; "cannot poll the hall: {error}");
+            log::debug!(entry:% = poll.entry, hall = &*poll.hall; "cannot poll the hall: {error}");
         }
     }
 }
@@ -77,22 +77,22 @@
         let knowledge = &self.knowledge;
         let now = knowledge.now();
         let own = knowledge.identity.address;
-        let fellows = knowledge.fellows();
-        let place = Readers::place(own, &fellows);
-        if !self.hub.borrow().tells(place, now) {
+        let local_peers = knowledge.local_peers();
+        let rank = Readers::rank(own, &local_peers);
+        if !self.hub.borrow().is_active(rank, now) {
             return;
         }
-        for ask in self.due_polls(now) {
-            actix_rt::spawn(poll_hall(self.clone(), ask));
+        for poll in self.due_polls(now) {
+            actix_rt::spawn(poll_hall(self.clone(), poll));
         }
         let changed = self.pool.borrow().changed(&knowledge.identity.hall);
-        let extent = self.hub.borrow_mut().due(place, changed, now);
-        if let Some(extent) = extent {
-            self.send_frame(extent, now);
+        let content = self.hub.borrow_mut().due(rank, changed, now);
+        if let Some(content) = content {
+            self.send_frame(content, now);
         }
     }
 
-    fn due_polls(&self, now: Time) -> Vec<Ask> {
+    fn due_polls(&self, now: Time) -> Vec<Poll> {
         let knowledge = &self.knowledge;
         let peers = knowledge.peers.borrow();
         let mut rng = knowledge.rng.borrow_mut();
@@ -101,13 +101,13 @@
     }
 
     /// Sends one frame, encoded once, to each other entry of the hall.
-    fn send_frame(&self, extent: Extent, now: Time) {
+    fn send_frame(&self, content: Content, now: Time) {
         let knowledge = &self.knowledge;
-        let sync = knowledge.sync(extent == Extent::Whole { entries: true });
+        let sync = knowledge.heartbeat(content == Content::Whole { entries: true });
         let header = self.hub.borrow_mut().next_header(sync.marks);
         let frame = Frame {
-            digests: self.digests(extent, now),
-            news: knowledge.news_since(header.baseline),
+            digests: self.digests(content, now),
+            news: knowledge.update_since(header.baseline),
             incarnation: header.incarnation,
             number: header.number,
             sync,
@@ -115,20 +115,20 @@
         match pack::pack(&frame) {
             Ok(packed) => {
                 let message = Message::Frame(packed.into());
-                fanout::send(knowledge, &message, knowledge.fellows());
+                fanout::send(knowledge, &message, knowledge.local_peers());
             }
             Err(error) => log::error!("cannot encode the frame for the hall: {error}"),
         }
     }
 
-    fn digests(&self, extent: Extent, now: Time) -> Vec<Digest> {
+    fn digests(&self, content: Content, now: Time) -> Vec<Digest> {
         let own = &self.knowledge.identity.hall;
-        match extent {
-            Extent::Since(since) => vec![Digest {
+        match content {
+            Content::Since(since) => vec![Digest {
                 hall: own.clone(),
                 replicas: self.pool.borrow().reports_since(own, since, now),
             }],
-            Extent::Whole { .. } => {
+            Content::Whole { .. } => {
                 let halls = self.pool.borrow().halls();
                 let digests = halls.into_iter().map(|hall| Digest {
                     replicas: self.reports(&hall, now),
@@ -153,7 +153,7 @@
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
         let replicas = least_loaded(self.pool.borrow().reports(&hall, now));
-        let news = self.knowledge.news_for_hall(sync);
+        let news = self.knowledge.update_for_hall(sync);
         HallNews::new(Digest { hall, replicas }, news, sync.takes_packed_digest)
     }
 
@@ -169,7 +169,7 @@
                 self.take_digest(digest);
             }
             if let Some(news) = frame.news {
-                self.knowledge.take_news(from, news);
+                self.knowledge.apply_update(from, news);
             }
         }
         frame.sync
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -14,15 +14,15 @@
 
 /// Handles one caller's request.
 pub async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Answer {
-    let ticket = gateway.porter.enter(stop::Kind::New);
+    let permit = gateway.tracker.admit(stop::Kind::New);
     let arrived = gateway.knowledge.now();
     let mut trace = Trace::begin(&gateway, arrived);
-    let prepared = if ticket.refused() {
+    let prepared = if permit.is_refused() {
         intake::record_id(&gateway, &request, &mut trace);
         Err(shutting_down())
     } else {
         let work = intake::prepare(&gateway, &mut request, &mut trace);
-        let prepared = gateway.porter.unless_given_up(work).await;
+        let prepared = gateway.tracker.until_abort(work).await;
         prepared.unwrap_or_else(|| Err(shutting_down()))
     };
     let answer = match prepared {
@@ -32,17 +32,17 @@
         }
         Err(refusal) => refuse(&gateway, &mut trace, &refusal),
     };
-    ticket.hold(answer)
+    permit.attach(answer)
 }
 
 /// Makes attempts until one is answered or no further one is allowed.
 async fn run(mut dispatch: Dispatch) -> Answer {
-    let porter = dispatch.gateway.porter.clone();
+    let tracker = dispatch.gateway.tracker.clone();
     if let Err(refusal) = dispatch.check_blocked() {
         return dispatch.give_up(&refusal);
     }
     loop {
-        let choice = match porter.unless_given_up(dispatch.admit()).await {
+        let choice = match tracker.until_abort(dispatch.admit()).await {
             Some(Ok(choice)) => choice,
             Some(Err(refusal)) => return dispatch.give_up(&refusal),
             None => return dispatch.give_up(&dispatch.unanswered_refusal()),
@@ -51,11 +51,11 @@
             return dispatch.give_up(&refusal);
         }
         let attempt = dispatch.attempt(choice, dispatch.job.meta.last_event);
-        let failure = match porter.unless_given_up(attempt).await {
+        let failure = match tracker.until_abort(attempt).await {
             Some(Ok(reply)) if dispatch.job.route.kind == Kind::Streaming => {
                 return Relay::new(dispatch, reply).answer();
             }
-            Some(Ok(reply)) => match porter.unless_given_up(reply.gather(&dispatch.job)).await {
+            Some(Ok(reply)) => match tracker.until_abort(reply.gather(&dispatch.job)).await {
                 Some(Ok(answer)) => {
                     dispatch.gateway.record_success(dispatch.job.name);
                     dispatch.trace.set_outcome("whole");
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -157,7 +157,7 @@
         let knowledge = &self.gateway.knowledge;
         let (within, note) = ((ANSWER_TIMEOUT, RENEWED_ANSWER_TIMEOUT), Note::default());
         let answer =
-            gossip::ask_within::<_, Answer>(knowledge, sidecar, place::PATH, ask, within, &note);
+            gossip::call_within::<_, Answer>(knowledge, sidecar, place::PATH, ask, within, &note);
         let answer = answer.await;
         let now = knowledge.now();
         match answer {
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -14,7 +14,7 @@
 use super::{CONNECT_TIMEOUT, Gateway};
 use crate::clock::Time;
 use crate::knowledge::poison;
-use crate::member::replica::Life;
+use crate::member::replica::Incarnation;
 use crate::request::poison::{ENDS_MAX, Name, Told, Verdict};
 
 /// Delays between checks whether the list or the sidecar reports the crash of a replica or a
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct Suspect {
     name: Name,
-    life: Life,
+    life: Incarnation,
     observation: Observation,
     at: Time,
     /// The ids of the replicas that were known at the address when the attempt ended.
@@ -91,7 +91,7 @@
     pub(super) fn suspect(
         self: &Rc<Self>,
         name: Name,
-        life: Life,
+        life: Incarnation,
         address: SocketAddr,
         observation: Observation,
     ) {
@@ -187,7 +187,7 @@
                 self.log_if_blocked(name);
             }
         }
-        self.knowledge.poison_news.notify_one();
+        self.knowledge.poison_changed.notify_one();
     }
 
     fn log_if_blocked(&self, name: Name) {
@@ -207,7 +207,7 @@
         let news = self.knowledge.poison.borrow_mut().came_good(name, now);
         if news {
             log::info!(name:% = name; "request completed that was running when replicas crashed");
-            self.knowledge.poison_news.notify_one();
+            self.knowledge.poison_changed.notify_one();
         }
     }
 }
--- a/src/gateway/retry.rs
+++ b/src/gateway/retry.rs
@@ -21,7 +21,7 @@
     /// Takes a retry from the budget of `service`, if one is left.
     pub fn acquire(gateway: &Rc<Gateway>, service: &Arc<str>) -> Option<Self> {
         let now = gateway.knowledge.now();
-        let entries = gateway.knowledge.peers.borrow().bound();
+        let entries = gateway.knowledge.peers.borrow().upper_bound();
         let mut budget = gateway.budget(service);
         let key = budget.spend(gateway.setting.budget, entries, now)?;
         Some(Self {
