--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -7,7 +7,7 @@
 //! * [`attempt`] is one exchange with a replica; [`reader`] reads its response, from the replica or
 //!   from the buffer of the sidecar; [`event`] splits a stream into events; [`relay`] forwards
 //!   them.
-//! * [`place`] reserves a place at a replica by asking its sidecar.
+//! * [`place`] asks sidecars for a lease on a place in their replica's engine or queue.
 //! * `poison` blocks requests whose earlier attempts coincided with crashes of replicas.
 //! * [`retry`] is a retry taken from a service's budget.
 //! * [`trace`] collects what is logged about a request, [`status`] holds the metrics.
@@ -85,7 +85,7 @@
 /// Timeout for opening a connection to a replica or its sidecar.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Time before the bound of a version change from which on requests that have not started on the
+/// Time before the cutoff of a version change from which on requests that have not started on the
 /// older version are given up.
 const START_MARGIN: Duration = Duration::from_millis(600);
 
@@ -378,7 +378,7 @@
     }
 
     /// The address of the sidecar of replica `key`; `None` unless it has reported recently and is
-    /// to be asked for places.
+    /// to be asked for leases.
     fn sidecar_of(&self, key: Key) -> Option<SocketAddr> {
         let now = self.knowledge.now();
         let pool = self.pool.borrow();
@@ -568,7 +568,7 @@
     }
 
     /// Records a refused request whose caller first tried at `first`. Only requests to engines are
-    /// recorded: other services are rarely short of places.
+    /// recorded: other services are rarely short of capacity.
     fn record_refusal(&self, job: &Job, first: Time) {
         if job.meta.inference.is_none() {
             return;
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -94,7 +94,7 @@
     gateway: Rc<Gateway>,
     key: Key,
     /// The incarnation of its replica.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The name of the request, under which crashes of replicas are counted.
     request: Name,
     choice: Choice,
@@ -104,7 +104,7 @@
     began: Time,
     demand: Demand,
     number: u64,
-    start_bound: Option<Time>,
+    start_deadline: Option<Time>,
     /// Whether the pool was told that the first event came, or that there will be none.
     start_recorded: Cell<bool>,
     /// Whether the replica is known to have survived the request, or is already being checked.
@@ -132,15 +132,15 @@
         let replica = pool
             .get(choice.key)
             .filter(|replica| !replica.wish().refuses(now))?;
-        let (life, address) = (replica.record.incarnation(), replica.record.address);
+        let (incarnation, address) = (replica.record.incarnation(), replica.record.address);
         let demand = job.demand();
         let model = job.meta.inference.as_ref().map(|work| &*work.model);
-        let start_bound = model.and_then(|model| pool.start_bound(choice.key, model, now));
+        let start_deadline = model.and_then(|model| pool.start_bound(choice.key, model, now));
         let number = pool.begin(choice.key, demand, choice.expected, now);
         Some(Self {
             gateway: gateway.clone(),
             key: choice.key,
-            life,
+            incarnation,
             request: job.name,
             choice,
             address,
@@ -148,7 +148,7 @@
             began: now,
             demand,
             number,
-            start_bound,
+            start_deadline,
             start_recorded: Cell::new(false),
             outcome_known: Cell::new(false),
             connection: Note::default(),
@@ -194,7 +194,7 @@
         log::warn!(
             request = job.meta.id.as_str(),
             name:% = job.name,
-            replica = &*self.life.id,
+            replica = &*self.incarnation.id,
             ended = label(ended),
             known_requests = self.choice.requests,
             expected_ms = self.choice.expected.as_millis() as u64,
@@ -225,9 +225,9 @@
                 .is_some_and(|replica| replica.record.leaving || replica.wish().leaving())
         };
         if !leaves {
-            let life = self.life.clone();
+            let incarnation = self.incarnation.clone();
             self.gateway
-                .suspect(self.request, life, self.address, observation);
+                .suspect(self.request, incarnation, self.address, observation);
         }
     }
 
@@ -244,7 +244,7 @@
         } = send;
         let now = self.gateway.knowledge.now();
         let forward = Forward {
-            replica: &self.life.id,
+            replica: &self.incarnation.id,
             remaining: job.remaining(now),
             customer: job.customer.as_deref(),
             urgency: job.priority.min(URGENCY_MAX),
@@ -299,7 +299,7 @@
     /// Records that the sidecar did not send the request on, so that it goes to the replica
     /// directly.
     fn bypass_sidecar(&self, job: &Job, error: &reader::Error) {
-        log::info!(request = job.meta.id.as_str(), replica = &*self.life.id; "bypassing the sidecar: {error}");
+        log::info!(request = job.meta.id.as_str(), replica = &*self.incarnation.id; "bypassing the sidecar: {error}");
         if matches!(error, reader::Error::OutOfReach { .. }) {
             let now = self.now();
             self.gateway.pool.borrow_mut().unheard(self.key, false, now);
@@ -321,7 +321,7 @@
             let remaining = job.remaining(now);
             // Once the next version is due, the request may not start on the replica's current one.
             let start = self
-                .start_bound(job)
+                .start_deadline(job)
                 .map_or(remaining, |bound| bound.since(now));
             let longest = remaining.min(start);
             let wait = patience::within(|| self.now(), silence.min(longest), &mut step);
@@ -336,16 +336,16 @@
     }
 
     /// The time by which the request has to have started at its replica, as far as is known now. It
-    /// may become earlier while the request waits: a new version may be announced, or turn out to
-    /// have been announced before.
-    fn start_bound(&self, job: &Job) -> Option<Time> {
+    /// may become earlier while the request waits: a new version may be published, or turn out to
+    /// have been published before.
+    fn start_deadline(&self, job: &Job) -> Option<Time> {
         if self.start_recorded.get() {
             return None;
         }
         let model = job.meta.inference.as_ref().map(|work| &*work.model)?;
         let pool = self.gateway.pool.borrow();
         let known = pool.start_bound(self.key, model, self.now());
-        self.start_bound.into_iter().chain(known).min()
+        self.start_deadline.into_iter().chain(known).min()
     }
 
     fn now(&self) -> Time {
@@ -356,7 +356,7 @@
     pub fn silent(&self, job: &Job) -> Failure {
         let late = job.remaining(self.gateway.knowledge.now()).is_zero();
         let now = self.gateway.knowledge.now();
-        let bound = self.start_bound(job).is_some_and(|bound| bound <= now);
+        let bound = self.start_deadline(job).is_some_and(|bound| bound <= now);
         let detail = if late {
             "the request's time is over"
         } else if bound {
@@ -383,7 +383,7 @@
             }),
             Classification::NotRun => {
                 let detail = format!("the replica answered {status}, not run");
-                // A replica that asks for a pause is healthy.
+                // A replica that asks for backoff is healthy.
                 let sign = if notice.rest.is_some() {
                     Sign::None
                 } else {
@@ -411,10 +411,10 @@
     fn apply_notice(&self, job: &Job, notice: Notice) {
         let now = self.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        if pool.take_notice(self.key, &self.life, notice, now) {
+        if pool.take_notice(self.key, &self.incarnation, notice, now) {
             log::info!(
                 request = job.meta.id.as_str(),
-                replica = &*self.life.id,
+                replica = &*self.incarnation.id,
                 notice:% = notice;
                 "replica changed what it accepts"
             );
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -219,8 +219,8 @@
     /// Classifies a replica's response to the request `id` by its head.
     fn classify(&self, answer: &Reader, id: &str) -> Classification;
 
-    /// Reads from a response's `status` and `headers` whether its replica is leaving or asks for a
-    /// pause.
+    /// Reads from a response's `status` and `headers` whether its replica is leaving or asks for
+    /// backoff.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
 
     /// Copies the headers of a replica's response that the caller may see.
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -29,13 +29,13 @@
 /// Delay that callers are asked for after a replica refused the request.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Time over which the retries of callers are spread after the pause that a replica asked for.
+/// Time over which the retries of callers are spread after the backoff that a replica asked for.
 const RETRY_JITTER: Duration = Duration::from_millis(400);
 
 /// Lower bound of an entry's share of the connections to one replica.
 const CONNECTIONS_MIN: u32 = 3;
 
-/// Sidecars that are asked for a place each time a waiting request is judged again.
+/// Sidecars that are asked for a lease each time a waiting request is judged again.
 const ASKS_PER_RECHECK: u32 = 1;
 
 /// Service time that another attempt needs: none is made unless more is left before the deadline.
@@ -73,7 +73,7 @@
     pub trace: Trace,
     tried: Vec<Key>,
     /// Attempts of which no byte was sent.
-    unreached: u32,
+    connect_failures: u32,
     /// Whether an attempt may have run.
     tainted: bool,
     /// The last error response of a replica.
@@ -96,7 +96,7 @@
             job,
             trace,
             tried: Vec::new(),
-            unreached: 0,
+            connect_failures: 0,
             tainted: false,
             failure: None,
             retry: None,
@@ -171,7 +171,7 @@
             answer,
         } = failure;
         if ended == Ended::NotSent {
-            self.unreached += 1;
+            self.connect_failures += 1;
         }
         self.tainted |= next::ran(ended) != Outcome::NotRun;
         if answer.is_some() {
@@ -188,7 +188,7 @@
             tainted: self.tainted,
             sent: self.trace.sent,
             sent_max: self.job.route.attempts_max,
-            unreached: self.unreached,
+            unreached: self.connect_failures,
             time_left: remaining > RETRY_TIME_MIN,
         }
     }
@@ -229,27 +229,27 @@
     pub(super) async fn admit(&mut self) -> Result<Choice, Refusal> {
         let mut asks = self.gateway.setting.policy.asks;
         loop {
-            let chosen_before = self.trace.sent + self.unreached > 0;
+            let chosen_before = self.trace.sent + self.connect_failures > 0;
             let limit = if chosen_before {
                 // After an earlier attempt, only the deadline limits the wait for the first event.
                 self.job.deadline.since(self.job.arrived)
             } else {
                 self.limit()
             };
-            let found = self.find(asks, limit).await;
+            let found = self.find_replica(asks, limit).await;
             if let Some(age) = found.tried_before {
                 self.record_earlier_try(age);
             }
             let limit = if chosen_before { limit } else { self.limit() };
             self.trace.asked += found.asked;
-            self.trace.place = found.given;
+            self.trace.leased = found.leased;
             let (choice, idle) = (found.choice, found.idle);
             if chosen_before {
                 return choice
-                    .and_then(|choice| self.check_cold(choice, found.given))
+                    .and_then(|choice| self.check_cold(choice, found.leased))
                     .map_err(|shortage| self.refusal_after(Ended::Refused, shortage.to_string()));
             }
-            if found.given {
+            if found.leased {
                 return choice.map_err(|shortage| self.shortage(shortage));
             }
             asks = asks.min(ASKS_PER_RECHECK);
@@ -267,7 +267,7 @@
             };
             match (verdict, choice) {
                 (Verdict::Send, Ok(choice)) => {
-                    let choice = self.check_cold(choice, found.given);
+                    let choice = self.check_cold(choice, found.leased);
                     return choice.map_err(|shortage| self.shortage(shortage));
                 }
                 (Verdict::Wait(pause), _) => sleep(pause).await,
@@ -294,7 +294,7 @@
         })
     }
 
-    /// Delay that the caller is asked for if all replicas asked for a pause and the shortest lasts
+    /// Delay that the caller is asked for if all replicas asked for backoff and the shortest lasts
     /// for `rest`: not less, and with jitter so that callers do not all return at once.
     fn delay_after_rest(&self, rest: Duration) -> Duration {
         let apart = self
@@ -340,7 +340,7 @@
     }
 
     /// Chooses a replica, avoiding those in `full` if possible; for a started response, one with
-    /// the same version. Also returns whether fewer than half of the service's places are taken, in
+    /// the same version. Also returns whether fewer than half of the service's slots are taken, in
     /// which case the request need not be refused.
     pub fn choose(&self, full: &[Key]) -> (Result<Choice, Shortage>, bool) {
         let gateway = &self.gateway;
@@ -414,12 +414,12 @@
         })
     }
 
-    /// Returns the choice unless the replica is cold and its rate is used up. A request whose place
-    /// was granted by the sidecar passes: the sidecar has counted it.
-    fn check_cold(&self, choice: Choice, given: bool) -> Result<Choice, Shortage> {
+    /// Returns the choice unless the replica is cold and its rate is used up. A request
+    /// that was granted a lease passes: the sidecar has counted it.
+    fn check_cold(&self, choice: Choice, leased: bool) -> Result<Choice, Shortage> {
         let now = self.gateway.knowledge.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        let bears = given || pool.take_cold(choice.key, self.own_cold_per_s(), now);
+        let bears = leased || pool.take_cold(choice.key, self.own_cold_per_s(), now);
         bears.then_some(choice).ok_or(Shortage::Cold)
     }
 
@@ -441,7 +441,7 @@
             return Err(Failure::new(Ended::NotSent, detail));
         };
         self.tried.push(choice.key);
-        self.trace.replica = Some(attempt.life.id.clone());
+        self.trace.replica = Some(attempt.incarnation.id.clone());
         self.trace.expected = Some(Estimate {
             chosen: self.trace.elapsed(),
             first: choice.expected,
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,4 +1,5 @@
-//! Finds a replica with a place for a request, by asking sidecars or from what the entry knows.
+//! Finds a replica for a request, by asking sidecars for a lease or from what the entry knows. A
+//! lease reserves a place in the replica's engine or queue.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,13 +22,13 @@
 /// longest round trip between two halls.
 const RENEWED_ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// The result of the search for a place.
+/// The result of the search for a lease.
 pub struct Found {
     /// The replica to send the request to, or else the best known one.
     pub choice: Result<Choice, Shortage>,
-    /// Whether a place is reserved there.
-    pub given: bool,
-    /// Whether fewer than half of the service's places are taken, as far as the entry knows.
+    /// Whether a lease was granted there.
+    pub leased: bool,
+    /// Whether fewer than half of the service's slots are taken, as far as the entry knows.
     pub idle: bool,
     /// Number of sidecars that were asked.
     pub asked: u32,
@@ -38,16 +39,16 @@
 /// A sidecar's answer.
 #[derive(Default)]
 struct Offer {
-    /// The replica, if a place was granted.
+    /// The replica, if a lease was granted.
     choice: Option<Choice>,
     /// Time since the caller's first try, if the sidecar knows it.
     tried_before: Option<Duration>,
 }
 
 impl Dispatch {
-    /// Asks up to `asks` sidecars for a place from which the first event is expected within
+    /// Asks up to `asks` sidecars for a lease with which the first event is expected within
     /// `limit`.
-    pub(super) async fn find(&self, asks: u32, limit: Duration) -> Found {
+    pub(super) async fn find_replica(&self, asks: u32, limit: Duration) -> Found {
         let mut search = Search::new(asks, limit);
         let mut tried_before = None;
         loop {
@@ -75,13 +76,13 @@
             };
             let again = search.asked().contains(&key);
             let at = if again { limits.whole } else { limits.tight };
-            let ask = self.place_ask(key, sidecar, at, limits.whole);
-            let answer = self.ask(&mut search, key, sidecar, &ask).await;
+            let ask = self.build_lease_request(key, sidecar, at, limits.whole);
+            let answer = self.request_lease(&mut search, key, sidecar, &ask).await;
             tried_before = tried_before.max(answer.tried_before);
             if let Some(choice) = answer.choice {
                 return Found {
                     choice: Ok(choice),
-                    given: true,
+                    leased: true,
                     idle: false,
                     asked: search.asked().len() as u32 + 1,
                     tried_before,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// The best replica without a reserved place: the one with the earliest first event according
-    /// to the sidecars that answered; if none did, or most places of the service are free, the one
+    /// The best replica without a lease: the one with the earliest first event according
+    /// to the sidecars that answered; if none did, or most slots of the service are free, the one
     /// that is `known` to be best.
     fn best_known(
         &self,
@@ -109,16 +110,16 @@
         });
         Found {
             choice: least.map_or(known, Ok),
-            given: false,
+            leased: false,
             idle,
             asked: search.asked().len() as u32,
             tried_before,
         }
     }
 
-    /// Builds the query for a place at the replica `key`. `at` is the limit on the first event for
-    /// this query, `whole` the limit of the request itself.
-    fn place_ask(
+    /// Builds the request for a lease at the replica `key`. `at` is the limit on the first event
+    /// for this lease, `whole` that of the caller\'s request itself.
+    fn build_lease_request(
         &self,
         key: Key,
         sidecar: SocketAddr,
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Asks the sidecar of the replica `key` for a place.
-    async fn ask(
+    /// Asks the sidecar of the replica `key` for a lease.
+    async fn request_lease(
         &self,
         search: &mut Search,
         key: Key,
@@ -194,7 +195,7 @@
             Err(error) => {
                 log::info!(
                     request = self.job.meta.id.as_str(), process:% = sidecar, connection:% = note;
-                    "sidecar did not grant a place: {error}"
+                    "lease request failed: {error}"
                 );
                 let silent = matches!(
                     error,
@@ -232,7 +233,7 @@
         self.with_ask(&[], |ask| self.gateway.pool.borrow().expects(key, ask, now))
     }
 
-    /// The sidecar of a replica and the limits for its estimate; `None` if it grants no places or
+    /// The sidecar of a replica and the limits for its estimate; `None` if it grants no leases or
     /// has recently failed to answer.
     fn sidecar_with_limits(&self, key: Key, limit: Duration) -> Option<(SocketAddr, Limits)> {
         let sidecar = self.gateway.sidecar_of(key)?;
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct Suspect {
     name: Name,
-    life: Incarnation,
+    incarnation: Incarnation,
     observation: Observation,
     at: Time,
     /// The ids of the replicas that were known at the address when the attempt ended.
@@ -85,13 +85,13 @@
 }
 
 impl Gateway {
-    /// Adds an attempt of the request `name` that ended without a response from the replica `life`.
-    /// The network may have failed or the caller left; it counts against the request only if the
-    /// replica crashed.
+    /// Adds an attempt of the request `name` that ended without a response from the replica
+    /// `incarnation`. The network may have failed or the caller left; it counts against the request
+    /// only if the replica crashed.
     pub(super) fn suspect(
         self: &Rc<Self>,
         name: Name,
-        life: Incarnation,
+        incarnation: Incarnation,
         address: SocketAddr,
         observation: Observation,
     ) {
@@ -100,7 +100,7 @@
         let watch = suspects.0.entry(address).or_default();
         watch.suspects.push(Suspect {
             name,
-            life,
+            incarnation,
             observation,
             at: self.knowledge.now(),
             known: self.pool.borrow().ids_at(address),
@@ -168,7 +168,7 @@
         };
         let pool = self.pool.borrow();
         let over = |suspect: &mut Suspect| {
-            refused || pool.outlived(address, suspect.life.born, &suspect.known, now)
+            refused || pool.outlived(address, suspect.incarnation.born, &suspect.known, now)
         };
         let ended: Vec<Suspect> = watch.suspects.extract_if(.., over).collect();
         let Some(first) = ended.first() else {
@@ -176,13 +176,20 @@
         };
         let given_up = |suspect: &&Suspect| suspect.observation == Observation::Abandoned;
         log::warn!(
-            replica = &*first.life.id, address:% = address, requests = ended.len(),
+            replica = &*first.incarnation.id, address:% = address, requests = ended.len(),
             given_up = ended.iter().filter(given_up).count();
             "replica crashed while requests were running"
         );
-        for Suspect { name, life, .. } in ended {
+        for Suspect {
+            name, incarnation, ..
+        } in ended
+        {
             self.instruments.count_crash();
-            let news = self.knowledge.poison.borrow_mut().ended(name, life, now);
+            let news = self
+                .knowledge
+                .poison
+                .borrow_mut()
+                .ended(name, incarnation, now);
             if news {
                 self.log_if_blocked(name);
             }
@@ -240,9 +247,9 @@
         }
     }
 
-    /// Refuses the request if it is blocked, unless a single trial is due and is granted to it. To be
-    /// called before each attempt: the verdict may have changed while the request waited for a
-    /// place, or during an earlier attempt.
+    /// Refuses the request if it is blocked, unless a single trial is due and is granted to it. To
+    /// be called before each attempt: the verdict may have changed while the request waited for a
+    /// lease, or during an earlier attempt.
     pub(super) async fn claim_trial(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Free => Ok(()),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -200,7 +200,7 @@
                     self.dispatch.pinned_version = self.dispatch.pinned_version.or(reply.version);
                     log::info!(
                         request = self.dispatch.job.meta.id.as_str(),
-                        replica = &*self.attempt.life.id,
+                        replica = &*self.attempt.incarnation.id,
                         last_event:? = last;
                         "stream resumed"
                     );
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -34,10 +34,10 @@
     pub expected: Option<Estimate>,
     /// Number of replicas that received the request.
     pub sent: u32,
-    /// Number of sidecars that were asked for a place.
+    /// Number of sidecars that were asked for a lease.
     pub asked: u32,
-    /// Whether the last search reserved a place.
-    pub place: bool,
+    /// Whether the last search was granted a lease.
+    pub leased: bool,
     /// Time from arrival to the first event of the stream.
     pub first: Option<Duration>,
     /// Longest pause between two events of the stream.
@@ -63,7 +63,7 @@
             expected: None,
             sent: 0,
             asked: 0,
-            place: false,
+            leased: false,
             first: None,
             gap: Duration::ZERO,
             returned: false,
@@ -105,7 +105,7 @@
             replica = self.replica.as_deref().unwrap_or_default(),
             sent = self.sent,
             asked = self.asked,
-            place = self.place,
+            place = self.leased,
             ms = took.as_millis() as u64,
             chosen_ms = millis(self.expected.map(|expected| expected.chosen)),
             expected_ms = millis(self.expected.map(|expected| expected.first)),
