--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -23,7 +23,7 @@
 use crate::member::replica::Incarnation;
 use crate::patience;
 use crate::request::attempt::Ended;
-use crate::request::poison::Name;
+use crate::request::poison::RequestHash;
 use crate::route::estimate::Demand;
 use crate::route::health::Sign;
 use crate::route::notice::Notice;
@@ -96,7 +96,7 @@
     /// The incarnation of its replica.
     pub incarnation: Incarnation,
     /// The name of the request, under which crashes of replicas are counted.
-    request: Name,
+    request: RequestHash,
     choice: Choice,
     address: SocketAddr,
     /// The sidecar of the replica, if it is to buffer the response.
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -173,7 +173,7 @@
         if ended == Ended::NotSent {
             self.connect_failures += 1;
         }
-        self.tainted |= next::ran(ended) != Outcome::NotRun;
+        self.tainted |= next::outcome_of(ended) != Outcome::NotRun;
         if answer.is_some() {
             self.failure = answer;
         }
@@ -188,7 +188,7 @@
             tainted: self.tainted,
             sent: self.trace.sent,
             sent_max: self.job.route.attempts_max,
-            unreached: self.connect_failures,
+            connect_failures: self.connect_failures,
             time_left: remaining > RETRY_TIME_MIN,
         }
     }
@@ -196,7 +196,7 @@
     /// The refusal when no further attempt is made.
     fn refusal_after(&self, ended: Ended, detail: String) -> Refusal {
         let late = self.job.remaining(self.gateway.knowledge.now()) <= RETRY_TIME_MIN;
-        if self.tainted || next::ran(ended) != Outcome::NotRun {
+        if self.tainted || next::outcome_of(ended) != Outcome::NotRun {
             let code = if late {
                 Code::LateUnknown
             } else {
@@ -318,7 +318,7 @@
     pub(super) fn limits(&self) -> (Duration, Duration) {
         let gateway = &self.gateway;
         let own = self.job.objective();
-        let tightest = self.job.routing.tightest_ms(&self.job.service);
+        let tightest = self.job.routing.min_objective_ms(&self.job.service);
         let base = match tightest.filter(|_| gateway.setting.policy.shared_limit) {
             Some(tightest) => own.min(Duration::from_millis(tightest)),
             None => own,
@@ -365,8 +365,8 @@
         // Replicas that hold models are engines even if their service's configuration is
         // unreadable.
         let engines = || {
-            let belief = gateway.knowledge.belief.borrow();
-            engine.is_some() || belief.held_model(Some(&self.job.service)).is_some()
+            let catalog = gateway.knowledge.catalog.borrow();
+            engine.is_some() || catalog.loaded_model(Some(&self.job.service)).is_some()
         };
         let model = model.filter(|_| engines());
         let entries = gateway.knowledge.peers.borrow().upper_bound() as u32;
@@ -425,9 +425,9 @@
 
     fn oldest_version(&self, model: &str, now: Time) -> u64 {
         let rollout = self.gateway.setting.rollout;
-        let belief = self.gateway.knowledge.belief.borrow();
+        let catalog = self.gateway.knowledge.catalog.borrow();
         let bound = rollout.bound.saturating_sub(rollout.margin);
-        belief.oldest_allowed(model, bound, now)
+        catalog.oldest_allowed(model, bound, now)
     }
 
     /// Makes an attempt at the chosen replica.
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -37,7 +37,7 @@
     request: &mut Request,
     trace: &mut Trace,
 ) -> Result<Job, Refusal> {
-    let routing = gateway.knowledge.belief.borrow().routing().cloned();
+    let routing = gateway.knowledge.catalog.borrow().routing().cloned();
     let meta = gateway.dialect.parse(request.head());
     if let Ok(meta) = &meta {
         trace.id.clone_from(&meta.id);
@@ -67,7 +67,7 @@
     let priority = priority.unwrap_or(route.priority);
     let residency = customer.map_or_else(
         || route.residency.clone(),
-        |customer| route.residency.and(&customer.residency),
+        |customer| route.residency.intersection(&customer.residency),
     );
     let customer = customer.map(|customer| customer.name.clone());
     let draw = gateway.knowledge.rng.borrow_mut().random();
@@ -132,13 +132,13 @@
     meta: &Metadata,
     customer: Option<&str>,
     body: Option<&[u8]>,
-) -> poison::Name {
+) -> poison::RequestHash {
     let path = head
         .uri
         .path_and_query()
         .map_or(&*meta.path, |path| path.as_str());
     let caller = customer.or(meta.api_key.as_deref()).unwrap_or_default();
-    poison::Name::of(&meta.host, path, caller, body.unwrap_or_default())
+    poison::RequestHash::of(&meta.host, path, caller, body.unwrap_or_default())
 }
 
 /// Refuses a request that may depend on an unreadable part of the configuration. The caller must
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -15,7 +15,7 @@
 use crate::clock::Time;
 use crate::knowledge::poison;
 use crate::member::replica::Incarnation;
-use crate::request::poison::{ENDS_MAX, Name, Told, Verdict};
+use crate::request::poison::{CaseReport, MAX_CRASHES, RequestHash, Verdict};
 
 /// Delays between checks whether the list or the sidecar reports the crash of a replica or a
 /// new incarnation. Connecting once is not enough: a replica that restarts at once accepts
@@ -39,7 +39,7 @@
 /// An attempt during which the replica may have crashed.
 #[derive(Debug)]
 struct Suspect {
-    name: Name,
+    name: RequestHash,
     incarnation: Incarnation,
     observation: Observation,
     at: Time,
@@ -90,7 +90,7 @@
     /// only if the replica crashed.
     pub(super) fn suspect(
         self: &Rc<Self>,
-        name: Name,
+        name: RequestHash,
         incarnation: Incarnation,
         address: SocketAddr,
         observation: Observation,
@@ -189,7 +189,7 @@
                 .knowledge
                 .poison
                 .borrow_mut()
-                .ended(name, incarnation, now);
+                .record_crash(name, incarnation, now);
             if news {
                 self.log_if_blocked(name);
             }
@@ -197,21 +197,21 @@
         self.knowledge.poison_changed.notify_one();
     }
 
-    fn log_if_blocked(&self, name: Name) {
+    fn log_if_blocked(&self, name: RequestHash) {
         let case = self
             .knowledge
             .poison
             .borrow()
             .case(name, self.knowledge.now());
-        if let Some(case) = case.filter(|case| case.ends.len() == ENDS_MAX) {
+        if let Some(case) = case.filter(|case| case.crashes.len() == MAX_CRASHES) {
             log::warn!(name:% = name; "request blocked: {}", describe(&case));
         }
     }
 
     /// Records that a replica answered the request `name` completely.
-    pub(super) fn record_success(&self, name: Name) {
+    pub(super) fn record_success(&self, name: RequestHash) {
         let now = self.knowledge.now();
-        let news = self.knowledge.poison.borrow_mut().came_good(name, now);
+        let news = self.knowledge.poison.borrow_mut().record_success(name, now);
         if news {
             log::info!(name:% = name; "request completed that was running when replicas crashed");
             self.knowledge.poison_changed.notify_one();
@@ -219,10 +219,10 @@
     }
 }
 
-fn describe(case: &Told) -> String {
-    let ends = case.ends.iter();
+fn describe(case: &CaseReport) -> String {
+    let ends = case.crashes.iter();
     let ends: Vec<String> = ends
-        .map(|end| format!("{} {} ms ago", end.life.id, end.age_ms))
+        .map(|end| format!("{} {} ms ago", end.incarnation.id, end.age_ms))
         .collect();
     format!("replicas ended under it: {}", ends.join(", "))
 }
@@ -236,14 +236,14 @@
 
     /// Whether the request may be sent to a replica without restriction.
     pub(super) fn is_allowed(&self) -> bool {
-        self.verdict() == Verdict::Free
+        self.verdict() == Verdict::Allowed
     }
 
     /// Refuses the request if it is blocked and no trial is due.
     pub(super) fn check_blocked(&self) -> Result<(), Refusal> {
         match self.verdict() {
-            Verdict::Free | Verdict::Due => Ok(()),
-            Verdict::Barred => Err(self.blocked_refusal()),
+            Verdict::Allowed | Verdict::TrialDue => Ok(()),
+            Verdict::Blocked => Err(self.blocked_refusal()),
         }
     }
 
@@ -252,11 +252,11 @@
     /// lease, or during an earlier attempt.
     pub(super) async fn claim_trial(&self) -> Result<(), Refusal> {
         match self.verdict() {
-            Verdict::Free => Ok(()),
-            Verdict::Due if poison::take_try(&self.gateway.knowledge, self.job.name).await => {
+            Verdict::Allowed => Ok(()),
+            Verdict::TrialDue if poison::take_try(&self.gateway.knowledge, self.job.name).await => {
                 Ok(())
             }
-            Verdict::Due | Verdict::Barred => Err(self.blocked_refusal()),
+            Verdict::TrialDue | Verdict::Blocked => Err(self.blocked_refusal()),
         }
     }
 
--- a/src/gateway/retry.rs
+++ b/src/gateway/retry.rs
@@ -6,14 +6,14 @@
 use super::Gateway;
 use crate::exchange;
 use crate::request::attempt::Ended;
-use crate::request::budget::Key;
+use crate::request::budget::Reservation;
 
 /// A retry taken from the budget. When dropped, it is returned to the budget if it was not sent;
 /// otherwise it counts as having arrived at any time until now.
 pub struct Retry {
     gateway: Rc<Gateway>,
     service: Arc<str>,
-    key: Key,
+    key: Reservation,
     sent: bool,
 }
 
@@ -23,7 +23,7 @@
         let now = gateway.knowledge.now();
         let entries = gateway.knowledge.peers.borrow().upper_bound();
         let mut budget = gateway.budget(service);
-        let key = budget.spend(gateway.setting.budget, entries, now)?;
+        let key = budget.reserve(gateway.setting.budget, entries, now)?;
         Some(Self {
             gateway: gateway.clone(),
             service: service.clone(),
@@ -59,7 +59,7 @@
             let latest = self.gateway.knowledge.now() + exchange::LOST;
             budget.arrived(self.key, latest);
         } else {
-            budget.unsent(self.key);
+            budget.release(self.key);
         }
     }
 }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -25,7 +25,7 @@
     /// The id of the request.
     pub id: String,
     /// The name of the request for counting crashes of replicas, once the body was read.
-    pub name: Option<poison::Name>,
+    pub name: Option<poison::RequestHash>,
     /// The name of its route.
     pub route: Arc<str>,
     /// The replica that responds, or the last one tried.
@@ -93,8 +93,8 @@
         let gateway = &self.gateway;
         let took = self.elapsed();
         gateway.instruments.record_request(self.outcome, took);
-        let belief = gateway.knowledge.belief.borrow();
-        let version = belief
+        let catalog = gateway.knowledge.catalog.borrow();
+        let version = catalog
             .routing()
             .map_or(0, |routing| routing.document.version);
         log::info!(
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -22,7 +22,7 @@
 use crate::config::routing::Engine;
 use crate::member::replica::Incarnation;
 use crate::policy::Policy;
-use crate::wire::sync::Reported;
+use crate::wire::sync::ReplicaStatus;
 
 mod life;
 
@@ -195,18 +195,18 @@
     }
 
     /// How the replicas of `hall` do, by reports that are fresh.
-    pub fn reports(&self, hall: &str, now: Time) -> Vec<Reported> {
+    pub fn reports(&self, hall: &str, now: Time) -> Vec<ReplicaStatus> {
         self.reports_since(hall, Time::default(), now)
     }
 
     /// How those replicas of `hall` do that began or ended to take requests after `since`, by reports
     /// that are fresh.
-    pub fn reports_since(&self, hall: &str, since: Time, now: Time) -> Vec<Reported> {
+    pub fn reports_since(&self, hall: &str, since: Time, now: Time) -> Vec<ReplicaStatus> {
         let turned = self.of_hall(hall);
         let turned = turned.filter(|replica| replica.turned_at() > since);
         let told = turned.filter_map(|replica| {
             let (load, at) = replica.reported(now)?;
-            Some(Reported {
+            Some(ReplicaStatus {
                 address: replica.record.address,
                 load: load.clone(),
                 age_ms: now.since(at).as_millis() as u64,
@@ -395,7 +395,7 @@
     /// Whether a replica stands where the request may be served.
     fn there(&self, replica: &Replica, ask: Ask<'_>) -> bool {
         let hall = &replica.record.hall;
-        !self.evacuated.contains(hall) && ask.residency.allows(ask.regions.of(hall))
+        !self.evacuated.contains(hall) && ask.residency.allows(ask.regions.get(hall))
     }
 
     fn fit(&self, replica: &Replica, ask: Ask<'_>, now: Time) -> bool {
@@ -470,7 +470,7 @@
         let whole = self.uncorrected(ask.service, engine, limit.saturating_sub(late));
         let light = Work {
             requests: engine.slots.saturating_sub(1),
-            unread: engine.usual_prompt * LIGHT_PROMPTS,
+            unread: engine.mean_prompt_tokens * LIGHT_PROMPTS,
             pace: 1.0,
         };
         let spread = self.policy.queue_spread;
@@ -496,7 +496,7 @@
 
     /// The limit on an estimate by the engine's figures, where `limit` is that on the corrected one.
     fn uncorrected(&self, service: &str, engine: &Engine, limit: Duration) -> Duration {
-        let known = self.corrections.get(service).filter(|_| engine.guessed);
+        let known = self.corrections.get(service).filter(|_| engine.incomplete);
         known.map_or(limit, |correction| correction.undo(limit))
     }
 
@@ -540,7 +540,7 @@
     fn work(&self, replica: &Replica, engine: &Engine, now: Time) -> Work {
         Work {
             requests: replica.requests(now),
-            unread: replica.unread(engine.usual_prompt, now),
+            unread: replica.unread(engine.mean_prompt_tokens, now),
             pace: replica.pace(now),
         }
     }
@@ -566,7 +566,7 @@
 
     /// The estimate `first` of an engine of `service`, corrected if its figures are guesses.
     fn corrected(&self, service: &str, engine: &Engine, first: Duration) -> Duration {
-        let known = self.corrections.get(service).filter(|_| engine.guessed);
+        let known = self.corrections.get(service).filter(|_| engine.incomplete);
         known.map_or(first, |correction| correction.apply(first))
     }
 
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -23,7 +23,7 @@
 use crate::burst::manager::{self, Manager, Origins, Target, label};
 use crate::burst::{self};
 use crate::clock::Time;
-use crate::config::belief::first_lacking;
+use crate::config::catalog::first_missing;
 use crate::daemon;
 use crate::exchange::{self, path::Paths};
 use crate::gateway::control::decode;
@@ -40,7 +40,7 @@
 use crate::stop::{self, Tracker};
 use crate::version::rollout;
 use crate::weight::{Digest, Store};
-use crate::wire::sync::{SYNC_PATH, Sync};
+use crate::wire::sync::{Heartbeat, SYNC_PATH};
 
 mod carry;
 pub mod engine;
@@ -328,8 +328,9 @@
         let target = manager::newest(&self.knowledge)?;
         let state = self.state.borrow();
         let held = state.as_ref().and_then(|state| state.held(&target.model));
-        let belief = self.knowledge.belief.borrow();
-        let lacking = held.and_then(|held| first_lacking(belief.named(&target.model), held));
+        let catalog = self.knowledge.catalog.borrow();
+        let lacking =
+            held.and_then(|held| first_missing(catalog.desired_versions(&target.model), held));
         Some(Target {
             published: lacking.map_or(target.published, |wanted| wanted.since),
             ..target
@@ -347,7 +348,7 @@
         return sidecar.answer_run(call, request).await;
     }
     if path == SYNC_PATH {
-        return match decode::<Sync>(&mut request).await {
+        return match decode::<Heartbeat>(&mut request).await {
             Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.update_for(&sync, false)),
             Err(answer) => answer,
         };
--- a/src/source.rs
+++ b/src/source.rs
@@ -4,7 +4,7 @@
 
 use futures_util::future::LocalBoxFuture;
 
-use crate::config::belief::Dated;
+use crate::config::catalog::Revisioned;
 use crate::patience::Progress;
 
 /// What is read or watched as one.
@@ -63,9 +63,9 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Batch {
     /// The facts.
-    pub facts: Vec<Dated>,
+    pub facts: Vec<Revisioned>,
     /// The store's revision.
-    pub at: u64,
+    pub revision: u64,
     /// Bytes of the answers that brought the facts.
     pub bytes: usize,
     /// Entries that could not be understood, or not whole.
@@ -92,10 +92,10 @@
     },
     /// The history after the given revision is not kept any more.
     #[error("store has forgotten what followed")]
-    Forgotten,
+    Compacted,
     /// The answer makes no sense.
     #[error("store's answer is not understood: {reason}")]
-    Text {
+    Malformed {
         /// What the codec reported.
         reason: String,
     },
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::{Listed, Wanted};
+use pumicelatch::config::catalog::{DesiredVersion, ListedReplica};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::gateway::event::Splitter;
@@ -40,12 +40,12 @@
         read_per_s: 20_700.0,
         pairs_ms_per_million: 0.0,
         stride: 5,
-        usual_prompt: 979.0,
-        usual_answer: 92.0,
+        mean_prompt_tokens: 979.0,
+        mean_answer_tokens: 92.0,
         models: vec![MODEL.into()],
         chunks: 96,
         chunk_bytes: 24_576,
-        guessed: false,
+        incomplete: false,
     }
 }
 
@@ -70,18 +70,18 @@
     }
 }
 
-fn listed(record: Record) -> Listed {
-    Listed {
+fn listed(record: Record) -> ListedReplica {
+    ListedReplica {
         record,
         revision: 1,
-        gone: None,
-        doubted: false,
+        removed_at: None,
+        provisional: false,
     }
 }
 
 fn pool_of(records: Vec<Record>, due: Option<Due>) -> Pool {
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = records
+    let list: BTreeMap<Arc<str>, ListedReplica> = records
         .into_iter()
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
@@ -328,7 +328,7 @@
 #[test]
 fn no_request_is_sent_that_would_start_on_an_old_version_after_its_bound() {
     let due = Due {
-        named: vec![Wanted {
+        named: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -354,7 +354,7 @@
 #[test]
 fn a_request_that_outlasts_a_version_change_goes_to_a_replica_that_changes_later() {
     let due = |begins| Due {
-        named: vec![Wanted {
+        named: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -363,7 +363,7 @@
         bound: Duration::from_millis(7_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = [record(1, 1), record(2, 1)]
+    let list: BTreeMap<Arc<str>, ListedReplica> = [record(1, 1), record(2, 1)]
         .into_iter()
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
@@ -381,7 +381,7 @@
 #[test]
 fn replicas_with_an_overdue_version_change_are_not_avoided() {
     let named = |begins_ms| Due {
-        named: vec![Wanted {
+        named: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -390,7 +390,7 @@
         bound: Duration::from_millis(9_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
-    let list: BTreeMap<Arc<str>, Listed> = (1..=5)
+    let list: BTreeMap<Arc<str>, ListedReplica> = (1..=5)
         .map(|host| record(host, 1))
         .map(|record| (record.id.clone(), listed(record)))
         .collect();
@@ -427,7 +427,7 @@
 /// Change to version 2, announced now, with its bound after 7.4 s.
 fn due_in_7_seconds() -> Due {
     Due {
-        named: vec![Wanted {
+        named: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
@@ -557,7 +557,7 @@
         tainted: false,
         sent: 1,
         sent_max: 2,
-        unreached: 0,
+        connect_failures: 0,
         time_left: true,
     }
 }
@@ -602,7 +602,7 @@
             tainted,
             sent: u32::from(sent % 4),
             sent_max: 2,
-            unreached: 0,
+            connect_failures: 0,
             time_left: left,
         };
         let may_have_run = tainted || matches!(ended, Ended::Failed | Ended::Broken);
@@ -636,7 +636,7 @@
             let budget = &mut budgets[usize::from(*pick) % entries];
             budget.request(setting, now);
             requests.push(now);
-            let spent = retry.then(|| budget.spend(setting, entries, now));
+            let spent = retry.then(|| budget.reserve(setting, entries, now));
             if let Some(retry) = spent.flatten() {
                 budget.arrived(retry, now);
                 retries.push(now);
@@ -661,7 +661,7 @@
     let mut sizes = BTreeMap::new();
     for name in &fellows {
         let wave = rollout::wave(version, name, &fellows, setting.waves);
-        assert!(rollout::begins(setting, wave) < setting.bound);
+        assert!(rollout::wave_start(setting, wave) < setting.bound);
         *sizes.entry(wave).or_insert(0) += 1;
     }
     assert_eq!(sizes.len(), setting.waves as usize);
@@ -672,9 +672,9 @@
 fn a_longer_bound_gives_more_waves_with_enough_time_for_each() {
     let waves = |bound_ms| {
         let bound = Duration::from_millis(bound_ms);
-        let setting = rollout::Setting::due_within(bound, Policy::default());
+        let setting = rollout::Setting::for_bound(bound, Policy::default());
         let begins: Vec<Duration> = (0..setting.waves)
-            .map(|wave| rollout::begins(setting, wave))
+            .map(|wave| rollout::wave_start(setting, wave))
             .collect();
         assert_eq!(*begins.last().unwrap(), bound - setting.margin);
         let first = Duration::from_millis(3_400);
@@ -685,7 +685,7 @@
     };
     assert_eq!([8_000, 10_000, 13_400].map(waves), [4, 5, 8]);
     let forced = Policy::with(["waves=3"]).unwrap();
-    let setting = rollout::Setting::due_within(Duration::from_secs(10), forced);
+    let setting = rollout::Setting::for_bound(Duration::from_secs(10), forced);
     assert_eq!(setting.waves, 3);
 }
 
@@ -694,7 +694,7 @@
     let version = Digest::of(b"v2");
     let names: Vec<String> = (0..41).map(|index| format!("10.0.0.{index}")).collect();
     let fellows: Vec<&str> = names.iter().map(String::as_str).collect();
-    let all = rollout::waves_of(version, fellows.iter().copied(), 5);
+    let all = rollout::assign_waves(version, fellows.iter().copied(), 5);
     for name in &fellows {
         assert_eq!(all[*name], rollout::wave(version, name, &fellows, 5));
     }
@@ -706,10 +706,10 @@
 #[test]
 fn late_waves_share_the_remaining_time() {
     let bound = Duration::from_millis(13_400);
-    let setting = rollout::Setting::due_within(bound, Policy::default());
+    let setting = rollout::Setting::for_bound(bound, Policy::default());
     let last = bound - setting.margin;
-    let complete = rollout::begins(setting, 0) + Duration::from_secs(3);
-    let begins = |wave| rollout::begins_with(setting, wave, complete);
+    let complete = rollout::wave_start(setting, 0) + Duration::from_secs(3);
+    let begins = |wave| rollout::wave_start_after(setting, wave, complete);
     let waves: Vec<Duration> = (0..setting.waves).map(begins).collect();
     assert_eq!((waves[0], waves[waves.len() - 1]), (complete, last));
     let gaps = waves.windows(2).map(|pair| pair[1] - pair[0]);
@@ -719,46 +719,52 @@
     // share.
     for complete in [Duration::ZERO, last] {
         let wave = setting.waves - 1;
-        assert_eq!(rollout::begins_with(setting, wave, complete), last);
+        assert_eq!(rollout::wave_start_after(setting, wave, complete), last);
     }
 }
 
 #[test]
 fn no_wave_is_planned_before_a_slow_origin_can_have_sent_the_weights() {
     let bound = Duration::from_millis(13_400);
-    let setting = rollout::Setting::due_within(bound, Policy::default());
+    let setting = rollout::Setting::for_bound(bound, Policy::default());
     let copy = |millis| Some(Duration::from_millis(millis));
-    let narrow = setting.with_copy(copy(4_300), Policy::default());
-    assert!(rollout::begins(narrow, 0) >= Duration::from_millis(5_100));
+    let narrow = setting.with_transfer_time(copy(4_300), Policy::default());
+    assert!(rollout::wave_start(narrow, 0) >= Duration::from_millis(5_100));
     assert_eq!(
-        rollout::begins(narrow, narrow.waves - 1),
+        rollout::wave_start(narrow, narrow.waves - 1),
         bound - narrow.margin
     );
     // The transfer to a box takes this long over the box's own link, however fast the origin's is.
-    assert_eq!(setting.with_copy(copy(1_300), Policy::default()), setting);
-    assert_eq!(setting.with_copy(None, Policy::default()), setting);
+    assert_eq!(
+        setting.with_transfer_time(copy(1_300), Policy::default()),
+        setting
+    );
+    assert_eq!(setting.with_transfer_time(None, Policy::default()), setting);
 }
 
 #[test]
 fn a_version_change_is_ordered_only_after_all_weights_arrived_and_notice_was_given() {
     let setting = rollout::Setting::default();
     let state = rollout::State {
-        wanted: 2,
-        named: NOW,
-        held: Some(1),
+        desired: 2,
+        published_at: NOW,
+        loaded: Some(1),
         busy: false,
-        complete: None,
+        complete_since: None,
         wave: 0,
-        noticed: None,
+        notice_since: None,
     };
-    let last = rollout::begins(setting, setting.waves - 1);
+    let last = rollout::wave_start(setting, setting.waves - 1);
     let late = NOW + last - setting.notice;
     assert_eq!(rollout::step(state, setting, late), rollout::Step::Receive);
     let complete = rollout::State {
-        complete: Some(NOW),
+        complete_since: Some(NOW),
         ..state
     };
-    assert_eq!(rollout::step(complete, setting, NOW), rollout::Step::Await);
+    assert_eq!(
+        rollout::step(complete, setting, NOW),
+        rollout::Step::AwaitWave
+    );
     assert_eq!(
         rollout::step(
             rollout::State {
@@ -768,15 +774,15 @@
             setting,
             late
         ),
-        rollout::Step::Notice
+        rollout::Step::BeginNotice
     );
     let noticed = rollout::State {
-        noticed: Some(late),
+        notice_since: Some(late),
         ..complete
     };
     assert_eq!(
         rollout::step(noticed, setting, late),
-        rollout::Step::Noticed
+        rollout::Step::AwaitNotice
     );
     let told = late + setting.notice;
     assert_eq!(rollout::step(noticed, setting, told), rollout::Step::Order);
@@ -787,15 +793,15 @@
         rollout::Step::Order
     );
     let empty = rollout::State {
-        held: None,
+        loaded: None,
         ..complete
     };
     assert_eq!(rollout::step(empty, setting, NOW), rollout::Step::Order);
     let held = rollout::State {
-        held: Some(2),
+        loaded: Some(2),
         ..complete
     };
-    assert_eq!(rollout::step(held, setting, late), rollout::Step::Rest);
+    assert_eq!(rollout::step(held, setting, late), rollout::Step::Idle);
 }
 
 fn events(count: u64) -> Vec<u8> {
--- a/tests/knowledge.rs
+++ b/tests/knowledge.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::{Dated, Fact, Marks};
+use pumicelatch::config::catalog::{Fact, Revisioned, Revisions};
 use pumicelatch::config::routing::{Document, Kind};
 use pumicelatch::knowledge::draws::{Draws, Place};
 use pumicelatch::knowledge::hub::{self, Content, Hub};
@@ -23,7 +23,7 @@
 use pumicelatch::policy::Policy;
 use pumicelatch::route::replica::Load;
 use pumicelatch::source::{Batch, Topic};
-use pumicelatch::wire::sync::{Digest, HallNews, News, Reported, Sync};
+use pumicelatch::wire::sync::{HallStatus, HallUpdate, Heartbeat, ReplicaStatus, Update};
 use quickcheck::quickcheck;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -322,16 +322,16 @@
         unknown: [1, 2],
     };
     let sync = rmp_serde::to_vec_named(&other).unwrap();
-    let sync: Sync = rmp_serde::from_slice(&sync).unwrap();
-    assert_eq!(sync.marks, Marks::default());
-    let news: News = rmp_serde::from_slice(&encode(&serde_json::json!({}))).unwrap();
+    let sync: Heartbeat = rmp_serde::from_slice(&sync).unwrap();
+    assert_eq!(sync.revisions, Revisions::default());
+    let news: Update = rmp_serde::from_slice(&encode(&serde_json::json!({}))).unwrap();
     assert!(news.routing.is_none() && news.peers.is_empty());
     let document = serde_json::json!({"routes": [{"host": "a.example", "prefix": "/x/"}],
         "services": [{"name": "s", "engine": {"step_ms": 9.0}}]});
     let document: Document = rmp_serde::from_slice(&encode(&document)).unwrap();
     assert_eq!(document.routes[0].kind, Kind::NonIdempotent);
     let engine = document.services[0].engine.as_ref().unwrap();
-    assert!(engine.guessed && engine.read_per_s > 0.0);
+    assert!(engine.incomplete && engine.read_per_s > 0.0);
 }
 
 /// Time after the end of a store's trouble from which a machine is bound by its bounds again.
@@ -391,8 +391,8 @@
         knowledge.record_store_failure();
         let gone = batch(6, Fact::ReplicaGone("i-1".into()));
         knowledge.apply_batch(Topic::Replicas, false, gone);
-        let belief = knowledge.belief.borrow();
-        belief.replicas()["i-1"].doubted
+        let catalog = knowledge.catalog.borrow();
+        catalog.replicas()["i-1"].provisional
     };
     assert!(removal_is_doubted(false));
     assert!(!removal_is_doubted(true));
@@ -415,8 +415,8 @@
 /// A batch from the store that holds only `fact`, written at revision `at`.
 fn batch(at: u64, fact: Fact) -> Batch {
     Batch {
-        facts: vec![Dated { revision: at, fact }],
-        at,
+        facts: vec![Revisioned { revision: at, fact }],
+        revision: at,
         ..Batch::default()
     }
 }
@@ -435,8 +435,8 @@
 fn an_entry_that_the_store_turns_away_hears_of_evacuations_and_their_end() {
     let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
     let asked = |knowledge: &Knowledge| {
-        let belief = knowledge.belief.borrow();
-        belief.evacuations().asked().cloned().collect::<Vec<_>>()
+        let catalog = knowledge.catalog.borrow();
+        catalog.evacuations().active().cloned().collect::<Vec<_>>()
     };
     let tell = || {
         let news = reader.update_for(&other.heartbeat(false), false);
@@ -444,19 +444,19 @@
     };
     let batch = |at, facts| Batch {
         facts,
-        at,
+        revision: at,
         ..Batch::default()
     };
     let evacuation = Fact::Evacuation {
         hall: hall(2),
-        asked: true,
+        active: true,
     };
-    let dated = Dated {
+    let dated = Revisioned {
         revision: 6,
         fact: evacuation,
     };
     reader.apply_batch(Topic::Operator, false, batch(6, vec![dated]));
-    assert!(other.is_behind(reader.heartbeat(false).marks));
+    assert!(other.is_behind(reader.heartbeat(false).revisions));
     tell();
     assert_eq!(asked(&other), [hall(2)]);
     // A configuration of before may still be on its way: it is not skipped in the store.
@@ -487,39 +487,42 @@
 #[test]
 fn an_entry_that_begins_gets_the_list_when_it_draws_it_and_not_with_each_heartbeat() {
     let (reader, other) = (entry_knowing_nothing(1), entry_knowing_nothing(2));
-    let facts = (1..=90).map(|index| Dated {
+    let facts = (1..=90).map(|index| Revisioned {
         revision: index.into(),
         fact: Fact::Replica(record(index)),
     });
     let whole_list = Batch {
         facts: facts.collect(),
-        at: 90,
+        revision: 90,
         ..Batch::default()
     };
     reader.apply_batch(Topic::Replicas, true, whole_list);
-    let size = |news: &News| rmp_serde::to_vec_named(news).unwrap().len();
+    let size = |news: &Update| rmp_serde::to_vec_named(news).unwrap().len();
     let heartbeat = reader.update_for(&other.heartbeat(false), false);
     assert!(heartbeat.replicas.is_none() && heartbeat.list.is_none());
     // The previous release cannot draw the list and gets it with each heartbeat.
-    let older = Sync {
+    let older = Heartbeat {
         draws_list: false,
         ..other.heartbeat(false)
     };
     let whole = reader.update_for(&older, false);
     assert_eq!(whole.replicas.as_ref().unwrap().records.len(), 90);
-    let draws = Sync {
+    let draws = Heartbeat {
         wants_list: true,
         ..other.heartbeat(false)
     };
     let drawn = reader.update_for(&draws, false);
     assert!(size(&drawn) * 3 < size(&whole), "{}", size(&drawn));
     other.apply_update(entry(1, 1), drawn);
-    assert_eq!(other.belief.borrow().replicas().len(), 90);
-    assert_eq!(other.heartbeat(false).marks, reader.heartbeat(false).marks);
+    assert_eq!(other.catalog.borrow().replicas().len(), 90);
+    assert_eq!(
+        other.heartbeat(false).revisions,
+        reader.heartbeat(false).revisions
+    );
     // An entry that read the list while it was empty does not draw it again.
     let early = entry_knowing_nothing(3);
     let empty = Batch {
-        at: 1,
+        revision: 1,
         ..Batch::default()
     };
     early.apply_batch(Topic::Replicas, true, empty);
@@ -527,27 +530,27 @@
         entry(1, 1),
         reader.update_for(&early.heartbeat(false), false),
     );
-    assert_eq!(early.belief.borrow().replicas().len(), 90);
+    assert_eq!(early.catalog.borrow().replicas().len(), 90);
     // After the first list, only changes are sent.
     let gone = batch(91, Fact::ReplicaGone("i-7".into()));
     reader.apply_batch(Topic::Replicas, false, gone);
     let news = reader.update_for(&other.heartbeat(false), false);
     assert!(news.replicas.is_none() && news.list.is_none());
-    assert_eq!(news.changes.unwrap().gone.len(), 1);
+    assert_eq!(news.changes.unwrap().removals.len(), 1);
 }
 
 /// The reply of an entry that knows `each` entries in each of three halls to a heartbeat of the
 /// sidecar at `sidecar` in the first hall.
-fn news_for_sidecar(sidecar: &str, each: u8) -> News {
+fn news_for_sidecar(sidecar: &str, each: u8) -> Update {
     let sender = entry_knowing_nothing(1);
     *sender.peers.borrow_mut() = peers(entry(1, 1), each, sender.now());
-    let sync = Sync {
+    let sync = Heartbeat {
         from: sidecar.parse().unwrap(),
         entry: false,
         takes_packed_peers: false,
         ..sender.heartbeat(true)
     };
-    let sync = Sync {
+    let sync = Heartbeat {
         peers: Vec::new(),
         ..sync
     };
@@ -607,13 +610,13 @@
 #[test]
 fn frames_hold_the_news_since_the_last_frame_but_one() {
     let mut hub = Hub::new(1, NOW);
-    let marks = |replicas| Marks {
+    let revisions = |replicas| Revisions {
         replicas,
-        ..Marks::default()
+        ..Revisions::default()
     };
     let baselines: Vec<u64> = [4, 6, 6, 9, 9]
         .into_iter()
-        .map(|replicas| hub.next_header(marks(replicas)).baseline.replicas)
+        .map(|replicas| hub.next_header(revisions(replicas)).baseline.replicas)
         .collect();
     assert_eq!(baselines, [0, 0, 4, 6, 6]);
 }
@@ -625,7 +628,7 @@
         Topic::Replicas,
         true,
         Batch {
-            at: 3,
+            revision: 3,
             ..Batch::default()
         },
     );
@@ -633,11 +636,11 @@
         Topic::Replicas,
         true,
         Batch {
-            at: 3,
+            revision: 3,
             ..Batch::default()
         },
     );
-    let before = reader.heartbeat(false).marks;
+    let before = reader.heartbeat(false).revisions;
     assert!(reader.update_since(before).is_none());
     let document = Arc::new(Document {
         version: 1,
@@ -647,19 +650,19 @@
     assert!(reader.update_since(before).is_none());
     let evacuation = Fact::Evacuation {
         hall: hall(2),
-        asked: true,
+        active: true,
     };
     reader.apply_batch(Topic::Operator, false, batch(6, evacuation));
     let news = reader.update_since(before).unwrap();
     assert!(news.routing.is_none());
     other.apply_update(entry(1, 1), news);
-    assert_eq!(other.belief.borrow().evacuations().asked().count(), 1);
+    assert_eq!(other.catalog.borrow().evacuations().active().count(), 1);
 }
 
 /// Guards against answers to other halls that repeat the field names for each replica.
 #[test]
 fn packed_hall_answers_take_less_than_a_quarter_of_the_plain_size() {
-    let reported = |index: u8| Reported {
+    let reported = |index: u8| ReplicaStatus {
         address: format!("10.2.0.{index}:80").parse().unwrap(),
         load: Load {
             born: 1_769_398_072_020 + u64::from(index),
@@ -674,14 +677,14 @@
         },
         age_ms: 40 * u64::from(index),
     };
-    let digest = Digest {
+    let digest = HallStatus {
         hall: hall(2),
         replicas: (1..=64).map(reported).collect(),
     };
     let entry = entry_knowing_nothing(1);
     let news = || entry.update_for(&entry.heartbeat(false), false);
     let answer = |pack_replicas| {
-        let answer = HallNews::new(digest.clone(), news(), pack_replicas);
+        let answer = HallUpdate::new(digest.clone(), news(), pack_replicas);
         rmp_serde::to_vec_named(&answer).unwrap()
     };
     let (plain, packed) = (answer(false), answer(true));
@@ -692,7 +695,7 @@
         plain.len()
     );
     for bytes in [plain, packed] {
-        let answer: HallNews = rmp_serde::from_slice(&bytes).unwrap();
+        let answer: HallUpdate = rmp_serde::from_slice(&bytes).unwrap();
         assert_eq!(answer.digest().unwrap(), digest);
     }
 }
@@ -704,13 +707,13 @@
     let responder = entry_knowing_nothing(1);
     *responder.peers.borrow_mut() = peers(entry(1, 1), 60, responder.now());
     let answer = |takes_packed_peers| {
-        let sync = Sync {
+        let sync = Heartbeat {
             from: entry(2, 1),
             hall: hall(2),
             takes_packed_peers,
             ..responder.heartbeat(true)
         };
-        responder.update_for_hall(&Sync {
+        responder.update_for_hall(&Heartbeat {
             peers: Vec::new(),
             ..sync
         })
@@ -720,7 +723,7 @@
     assert!(plain.peers.iter().all(|told| told.hall == hall(1)));
     let packed = answer(true);
     assert!(packed.peers.is_empty());
-    let size = |news: &News| rmp_serde::to_vec_named(news).unwrap().len();
+    let size = |news: &Update| rmp_serde::to_vec_named(news).unwrap().len();
     assert!(
         size(&packed) * 3 < size(&plain),
         "packed: {} bytes, plain: {} bytes",
@@ -771,7 +774,7 @@
         entry(1, 1),
         sender.update_for(&receiver.heartbeat(false), false),
     );
-    assert_eq!(receiver.belief.borrow().versions().count(), 1);
+    assert_eq!(receiver.catalog.borrow().versions().count(), 1);
     assert_eq!(receiver.revision(Topic::Operator), 0);
     let document = Arc::new(Document {
         version: 1,
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::config::belief::{Belief, Dated, Effect, Fact};
+use pumicelatch::config::catalog::{Catalog, Effect, Fact, Revisioned};
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::member::replica::{LoadedModel, Record};
@@ -59,7 +59,7 @@
 
 /// The state of an entry: what it believes of the list, and its pool.
 struct Entry {
-    belief: Belief,
+    catalog: Catalog,
     pool: Pool,
     engine: Engine,
     regions: Regions,
@@ -68,10 +68,10 @@
 impl Entry {
     fn new() -> Self {
         Self {
-            belief: Belief::new(true),
+            catalog: Catalog::new(true),
             pool: Pool::new("hall".into(), Policy::default()),
             engine: Engine {
-                guessed: false,
+                incomplete: false,
                 ..Engine::default()
             },
             regions: Regions::default(),
@@ -80,8 +80,10 @@
 
     fn learn(&mut self, revision: u64, record: Record) -> Effect {
         let fact = Fact::Replica(record);
-        let effect = self.belief.learn(Dated { revision, fact }, NOW, false);
-        self.pool.update(self.belief.replicas(), |_| None);
+        let effect = self
+            .catalog
+            .apply(Revisioned { revision, fact }, NOW, false);
+        self.pool.update(self.catalog.replicas(), |_| None);
         effect
     }
 
@@ -187,7 +189,7 @@
         let mut entry = Entry::new();
         let mut second_known = false;
         for update in &order {
-            let listed = entry.belief.replicas().contains_key("i-1");
+            let listed = entry.catalog.replicas().contains_key("i-1");
             // A report about a replica that is not listed yet has no effect.
             second_known |= update.is_second() && (listed || *update == ListedSecond);
             update.apply(&mut entry);
@@ -199,9 +201,9 @@
                 );
             }
         }
-        let listed = &entry.belief.replicas()["i-1"];
+        let listed = &entry.catalog.replicas()["i-1"];
         assert_eq!(
-            (listed.record.born, listed.gone),
+            (listed.record.born, listed.removed_at),
             (SECOND, None),
             "{order:?}"
         );
@@ -222,12 +224,12 @@
 fn the_record_that_is_passed_on_does_not_depend_on_the_order_of_lists() {
     let (early, late) = (record(FIRST, holding(1)), record(SECOND, Vec::new()));
     let record_after = |order: [(u64, &Record); 2]| {
-        let mut belief = Belief::new(true);
+        let mut catalog = Catalog::new(true);
         for (revision, record) in order {
             let fact = Fact::Replica(record.clone());
-            belief.learn(Dated { revision, fact }, NOW, false);
+            catalog.apply(Revisioned { revision, fact }, NOW, false);
         }
-        belief.replicas()["i-1"].record.clone()
+        catalog.replicas()["i-1"].record.clone()
     };
     for (first, second) in [(10, 12), (12, 10)] {
         assert_eq!(record_after([(first, &early), (second, &late)]), late);
