--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -289,7 +289,7 @@
             dialect,
             setting,
         });
-        let others = gateway.clone();
+        let targets = gateway.clone();
         let tasks = vec![
             actix_rt::spawn(store::follow(
                 knowledge.clone(),
@@ -300,7 +300,7 @@
             actix_rt::spawn(gossip::announce_updates(knowledge.clone())),
             actix_rt::spawn(traffic::log(knowledge.clone())),
             actix_rt::spawn(knowledge::poison::run(knowledge.clone())),
-            actix_rt::spawn(gossip::run(knowledge, move || others.sidecars())),
+            actix_rt::spawn(gossip::run(knowledge, move || targets.sidecars())),
             actix_rt::spawn(gateway.clone().tick()),
             actix_rt::spawn(gateway.clone().relay_weights()),
             actix_rt::spawn(halls::run(gateway.clone())),
@@ -481,8 +481,8 @@
             pool.evacuate(evacuated);
             pool.tell_cold(self.knowledge.now());
         }
-        let reborn = self.pool.borrow_mut().take_reborn();
-        for address in reborn {
+        let restarted = self.pool.borrow_mut().take_reborn();
+        for address in restarted {
             log::info!(replica:% = address; "replica restarted; closing idle connections to its address");
             self.client.forget(address);
         }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -93,9 +93,9 @@
 pub struct Attempt {
     gateway: Rc<Gateway>,
     key: Key,
-    /// The incarnation of its replica.
-    pub incarnation: Incarnation,
-    /// The name of the request, under which crashes of replicas are counted.
+    /// The instance of its replica.
+    pub instance: Incarnation,
+    /// The hash of the request, under which crashes of replicas are counted.
     request: RequestHash,
     choice: Choice,
     address: SocketAddr,
@@ -132,7 +132,7 @@
         let replica = pool
             .get(choice.key)
             .filter(|replica| !replica.wish().refuses(now))?;
-        let (incarnation, address) = (replica.record.incarnation(), replica.record.address);
+        let (instance, address) = (replica.record.incarnation(), replica.record.address);
         let demand = job.demand();
         let model = job.meta.inference.as_ref().map(|work| &*work.model);
         let start_deadline = model.and_then(|model| pool.start_bound(choice.key, model, now));
@@ -140,8 +140,8 @@
         Some(Self {
             gateway: gateway.clone(),
             key: choice.key,
-            incarnation,
-            request: job.name,
+            instance,
+            request: job.request_hash,
             choice,
             address,
             sidecar,
@@ -169,7 +169,7 @@
     }
 
     /// Records a sign of the replica's health.
-    pub fn note(&self, sign: Sign) {
+    pub fn record_health(&self, sign: Sign) {
         let now = self.gateway.knowledge.now();
         self.gateway.pool.borrow_mut().note(self.key, sign, now);
     }
@@ -186,15 +186,15 @@
     }
 
     fn fail(&self, job: &Job, ended: Ended, sign: Sign, detail: String) -> Failure {
-        self.note(sign);
+        self.record_health(sign);
         if ended != Ended::Broken {
             self.outcome_known.set(true);
         }
         self.gateway.instruments.count_attempt(label(ended));
         log::warn!(
             request = job.meta.id.as_str(),
-            name:% = job.name,
-            replica = &*self.incarnation.id,
+            name:% = job.request_hash,
+            replica = &*self.instance.id,
             ended = label(ended),
             known_requests = self.choice.requests,
             expected_ms = self.choice.expected.as_millis() as u64,
@@ -225,9 +225,9 @@
                 .is_some_and(|replica| replica.record.leaving || replica.wish().leaving())
         };
         if !leaves {
-            let incarnation = self.incarnation.clone();
+            let instance = self.instance.clone();
             self.gateway
-                .suspect(self.request, incarnation, self.address, observation);
+                .suspect(self.request, instance, self.address, observation);
         }
     }
 
@@ -244,7 +244,7 @@
         } = send;
         let now = self.gateway.knowledge.now();
         let forward = Forward {
-            replica: &self.incarnation.id,
+            replica: &self.instance.id,
             remaining: job.remaining(now),
             customer: job.customer.as_deref(),
             urgency: job.priority.min(URGENCY_MAX),
@@ -253,9 +253,9 @@
         };
         let head = self.gateway.dialect.forward(&job.head, forward);
         let exchange = self.exchange(job, head, can_fail_over);
-        match self.within(job, exchange).await {
-            None => Err(self.silent(job)),
-            // The sidecar may mean another incarnation, so the notice is not applied to this one;
+        match self.await_response(job, exchange).await {
+            None => Err(self.timeout_failure(job)),
+            // The sidecar may mean another instance, so the notice is not applied to this one;
             // reports carry what this one announces.
             Some(Err(error @ reader::Error::TurnedAway { .. })) => {
                 let detail = format!("not sent: {error}");
@@ -299,7 +299,7 @@
     /// Records that the sidecar did not send the request on, so that it goes to the replica
     /// directly.
     fn bypass_sidecar(&self, job: &Job, error: &reader::Error) {
-        log::info!(request = job.meta.id.as_str(), replica = &*self.incarnation.id; "bypassing the sidecar: {error}");
+        log::info!(request = job.meta.id.as_str(), replica = &*self.instance.id; "bypassing the sidecar: {error}");
         if matches!(error, reader::Error::OutOfReach { .. }) {
             let now = self.now();
             self.gateway.pool.borrow_mut().unheard(self.key, false, now);
@@ -309,7 +309,7 @@
     /// Awaits `step` for as long as this replica may be silent; `None` after that. While the
     /// sidecar reports a queue, silence is no sign of failure, and the wait goes on: an abandoned
     /// request would still be processed there, and a second time elsewhere.
-    pub async fn within<T>(&self, job: &Job, step: impl Future<Output = T>) -> Option<T> {
+    pub async fn await_response<T>(&self, job: &Job, step: impl Future<Output = T>) -> Option<T> {
         let mut step = pin!(step);
         let mut silence = if job.route.repeatable() {
             (job.objective() * SILENCE_FACTOR).max(SILENCE_MIN)
@@ -353,7 +353,7 @@
     }
 
     /// The failure after the replica has been silent for as long as it may.
-    pub fn silent(&self, job: &Job) -> Failure {
+    pub fn timeout_failure(&self, job: &Job) -> Failure {
         let late = job.remaining(self.gateway.knowledge.now()).is_zero();
         let now = self.gateway.knowledge.now();
         let bound = self.start_deadline(job).is_some_and(|bound| bound <= now);
@@ -411,10 +411,10 @@
     fn apply_notice(&self, job: &Job, notice: Notice) {
         let now = self.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        if pool.take_notice(self.key, &self.incarnation, notice, now) {
+        if pool.take_notice(self.key, &self.instance, notice, now) {
             log::info!(
                 request = job.meta.id.as_str(),
-                replica = &*self.incarnation.id,
+                replica = &*self.instance.id,
                 notice:% = notice;
                 "replica changed what it accepts"
             );
@@ -429,7 +429,7 @@
             response,
             version: None,
         };
-        let (attempt, answer) = reply.whole(job).await?;
+        let (attempt, answer) = reply.read_to_end(job).await?;
         let mut failure = attempt.fail(job, Ended::Failed, Sign::Failed, detail);
         failure.answer = Some(answer);
         Err(failure)
@@ -494,19 +494,19 @@
     }
 
     /// Reads a successful response to its end.
-    pub async fn gather(self, job: &Job) -> Result<Answer, Failure> {
-        let (attempt, answer) = self.whole(job).await?;
+    pub async fn read_success(self, job: &Job) -> Result<Answer, Failure> {
+        let (attempt, answer) = self.read_to_end(job).await?;
         attempt.first_event_received();
-        attempt.note(Sign::Whole(attempt.elapsed()));
+        attempt.record_health(Sign::Whole(attempt.elapsed()));
         attempt.record_complete();
         Ok(answer)
     }
 
     /// Reads the body to its end.
-    async fn whole(mut self, job: &Job) -> Result<(Attempt, Answer), Failure> {
+    async fn read_to_end(mut self, job: &Job) -> Result<(Attempt, Answer), Failure> {
         let read = self.response.read(BUFFERED_BODY_MAX);
-        let body: Bytes = match self.attempt.within(job, read).await {
-            None => return Err(self.attempt.silent(job)),
+        let body: Bytes = match self.attempt.await_response(job, read).await {
+            None => return Err(self.attempt.timeout_failure(job)),
             Some(Err(error)) => return Err(self.attempt.exchange_failed(job, &error)),
             Some(Ok(body)) => body,
         };
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -55,11 +55,11 @@
 pub async fn handle(gateway: Rc<Gateway>, mut request: Request) -> Answer {
     match request.path() {
         SYNC_PATH => match decode::<Heartbeat>(&mut request).await {
-            Ok(sync) => answer_sync(&gateway, &sync, false),
+            Ok(heartbeat) => answer_heartbeat(&gateway, &heartbeat, false),
             Err(answer) => answer,
         },
         HALL_PATH => match decode::<Heartbeat>(&mut request).await {
-            Ok(sync) => http::pack(StatusCode::OK, &gateway.hall_news(&sync)),
+            Ok(heartbeat) => http::pack(StatusCode::OK, &gateway.hall_update(&heartbeat)),
             Err(answer) => answer,
         },
         FRAME_PATH => match body(&mut request).await {
@@ -114,21 +114,32 @@
 fn answer_frame(gateway: &Gateway, packed: &[u8]) -> Answer {
     match pack::unpack::<Frame>(packed) {
         Ok(frame) => {
-            let sync = gateway.take_frame(frame);
-            answer_sync(gateway, &sync, true)
+            let heartbeat = gateway.apply_frame(frame);
+            answer_heartbeat(gateway, &heartbeat, true)
         }
         Err(error) => undecodable(error),
     }
 }
 
 /// Answers a heartbeat. `from_hub` says whether it arrived in a frame for the whole hall.
-fn answer_sync(gateway: &Gateway, sync: &Heartbeat, from_hub: bool) -> Answer {
+fn answer_heartbeat(gateway: &Gateway, heartbeat: &Heartbeat, from_hub: bool) -> Answer {
     let knowledge = &gateway.knowledge;
-    if sync.entry && sync.hall == knowledge.identity.hall && knowledge.is_behind(sync.revisions) {
-        let fetch = gossip::fetch_update(knowledge.clone(), sync.from, sync.revisions, from_hub);
+    if heartbeat.entry
+        && heartbeat.hall == knowledge.identity.hall
+        && knowledge.is_behind(heartbeat.revisions)
+    {
+        let fetch = gossip::fetch_update(
+            knowledge.clone(),
+            heartbeat.from,
+            heartbeat.revisions,
+            from_hub,
+        );
         actix_rt::spawn(fetch);
     }
-    http::pack(StatusCode::OK, &knowledge.update_for(sync, !sync.entry))
+    http::pack(
+        StatusCode::OK,
+        &knowledge.update_for(heartbeat, !heartbeat.entry),
+    )
 }
 
 fn answer_report(gateway: &Gateway, report: &Report) -> Answer {
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -441,7 +441,7 @@
             return Err(Failure::new(Ended::NotSent, detail));
         };
         self.tried.push(choice.key);
-        self.trace.replica = Some(attempt.incarnation.id.clone());
+        self.trace.replica = Some(attempt.instance.id.clone());
         self.trace.expected = Some(Estimate {
             chosen: self.trace.elapsed(),
             first: choice.expected,
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -36,19 +36,19 @@
 
 async fn poll_hall(gateway: Rc<Gateway>, poll: Poll) {
     let knowledge = &gateway.knowledge;
-    let sync = knowledge.heartbeat_with(if poll.wants_peers {
+    let heartbeat = knowledge.heartbeat_with(if poll.wants_peers {
         PeerExchange::PushPullHall
     } else {
         PeerExchange::Skip
     });
-    let answer = gossip::call::<_, HallUpdate>(knowledge, poll.entry, HALL_PATH, &sync).await;
+    let answer = gossip::call::<_, HallUpdate>(knowledge, poll.entry, HALL_PATH, &heartbeat).await;
     gateway.halls.borrow_mut().finished(&poll.hall);
     match answer {
         Ok(answer) => {
-            let digest = answer.digest();
+            let status = answer.digest();
             gossip::apply_answer(knowledge, poll.entry, answer.update);
-            match digest {
-                Ok(digest) => gateway.take_digest(&digest),
+            match status {
+                Ok(status) => gateway.apply_hall_status(&status),
                 Err(error) => {
                     log::warn!(
                         entry:% = poll.entry, hall = &*poll.hall;
@@ -103,14 +103,14 @@
     /// Sends one frame, encoded once, to each other entry of the hall.
     fn send_frame(&self, content: Content, now: Time) {
         let knowledge = &self.knowledge;
-        let sync = knowledge.heartbeat(content == Content::Whole { entries: true });
-        let header = self.hub.borrow_mut().next_header(sync.revisions);
+        let heartbeat = knowledge.heartbeat(content == Content::Whole { entries: true });
+        let header = self.hub.borrow_mut().next_header(heartbeat.revisions);
         let frame = Frame {
-            digests: self.digests(content, now),
+            digests: self.statuses(content, now),
             update: knowledge.update_since(header.baseline),
             incarnation: header.incarnation,
             number: header.number,
-            heartbeat: sync,
+            heartbeat,
         };
         match pack::pack(&frame) {
             Ok(packed) => {
@@ -121,7 +121,7 @@
         }
     }
 
-    fn digests(&self, content: Content, now: Time) -> Vec<HallStatus> {
+    fn statuses(&self, content: Content, now: Time) -> Vec<HallStatus> {
         let own = &self.knowledge.identity.hall;
         match content {
             Content::Since(since) => vec![HallStatus {
@@ -130,11 +130,11 @@
             }],
             Content::Whole { .. } => {
                 let halls = self.pool.borrow().halls();
-                let digests = halls.into_iter().map(|hall| HallStatus {
+                let statuses = halls.into_iter().map(|hall| HallStatus {
                     replicas: self.reports(&hall, now),
                     hall,
                 });
-                digests.collect()
+                statuses.collect()
             }
         }
     }
@@ -149,44 +149,44 @@
     }
 
     /// Answers another hall's poll with the state of this hall's least loaded replicas.
-    pub(super) fn hall_news(&self, sync: &Heartbeat) -> HallUpdate {
+    pub(super) fn hall_update(&self, heartbeat: &Heartbeat) -> HallUpdate {
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
         let replicas = least_loaded(self.pool.borrow().reports(&hall, now));
-        let news = self.knowledge.update_for_hall(sync);
+        let update = self.knowledge.update_for_hall(heartbeat);
         HallUpdate::new(
             HallStatus { hall, replicas },
-            news,
-            sync.takes_packed_digest,
+            update,
+            heartbeat.takes_packed_digest,
         )
     }
 
     /// Applies a frame from another entry of the hall unless it is outdated. Returns its heartbeat
     /// in both cases.
-    pub(super) fn take_frame(&self, frame: Frame) -> Heartbeat {
+    pub(super) fn apply_frame(&self, frame: Frame) -> Heartbeat {
         let (from, now) = (frame.heartbeat.from, self.knowledge.now());
         let mut hub = self.hub.borrow_mut();
         let accepted = hub.accept_frame(from, frame.incarnation, frame.number, now);
         drop(hub);
         if accepted {
-            for digest in &frame.digests {
-                self.take_digest(digest);
+            for status in &frame.digests {
+                self.apply_hall_status(status);
             }
-            if let Some(news) = frame.update {
-                self.knowledge.apply_update(from, news);
+            if let Some(update) = frame.update {
+                self.knowledge.apply_update(from, update);
             }
         }
         frame.heartbeat
     }
 
     /// Applies the reports of a hall's replicas to the pool.
-    fn take_digest(&self, digest: &HallStatus) {
+    fn apply_hall_status(&self, status: &HallStatus) {
         self.refresh_pool();
         let now = self.knowledge.now();
         let mut pool = self.pool.borrow_mut();
-        for told in &digest.replicas {
-            let age = Duration::from_millis(told.age_ms);
-            pool.report(told.address, &told.load, now - age);
+        for reported in &status.replicas {
+            let age = Duration::from_millis(reported.age_ms);
+            pool.report(reported.address, &reported.load, now - age);
         }
     }
 }
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -55,9 +55,9 @@
             Some(Ok(reply)) if dispatch.job.route.kind == Kind::Streaming => {
                 return Relay::new(dispatch, reply).answer();
             }
-            Some(Ok(reply)) => match tracker.until_abort(reply.gather(&dispatch.job)).await {
+            Some(Ok(reply)) => match tracker.until_abort(reply.read_success(&dispatch.job)).await {
                 Some(Ok(answer)) => {
-                    dispatch.gateway.record_success(dispatch.job.name);
+                    dispatch.gateway.record_success(dispatch.job.request_hash);
                     dispatch.trace.set_outcome("whole");
                     return answer;
                 }
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -82,8 +82,8 @@
     let arrived = trace.arrived;
     let body = read_body(request, limits, timeout, || gateway.knowledge.now()).await?;
     let fingerprint = fingerprint(&meta, body.as_deref());
-    let name = poison_name(request.head(), &meta, customer.as_deref(), body.as_deref());
-    trace.name = Some(name);
+    let request_hash = request_hash(request.head(), &meta, customer.as_deref(), body.as_deref());
+    trace.request_hash = Some(request_hash);
     Ok(Job {
         head: copy_head(request.head()),
         meta,
@@ -97,7 +97,7 @@
         arrived,
         deadline: arrived + timeout,
         fingerprint,
-        name,
+        request_hash,
     })
 }
 
@@ -125,9 +125,9 @@
     ])
 }
 
-/// The name of the request for counting crashes of replicas: the same for each retry, and for
+/// The hash of the request for counting crashes of replicas: the same for each retry, and for
 /// all API keys of a customer.
-fn poison_name(
+fn request_hash(
     head: &RequestHead,
     meta: &Metadata,
     customer: Option<&str>,
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -42,7 +42,7 @@
     /// Identifies the request when its caller retries after a refusal.
     pub fingerprint: Fingerprint,
     /// Identifies the request, at any entry, for counting crashes of replicas.
-    pub name: poison::RequestHash,
+    pub request_hash: poison::RequestHash,
 }
 
 impl Job {
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -18,7 +18,7 @@
 use crate::request::poison::{CaseReport, MAX_CRASHES, RequestHash, Verdict};
 
 /// Delays between checks whether the list or the sidecar reports the crash of a replica or a
-/// new incarnation. Connecting once is not enough: a replica that restarts at once accepts
+/// new instance. Connecting once is not enough: a replica that restarts at once accepts
 /// connections as before, and a replica may crash shortly after an attempt was abandoned. The
 /// delays make up one round.
 const CHECK_DELAYS: [Duration; 3] = [
@@ -39,8 +39,8 @@
 /// An attempt during which the replica may have crashed.
 #[derive(Debug)]
 struct Suspect {
-    name: RequestHash,
-    incarnation: Incarnation,
+    request: RequestHash,
+    instance: Incarnation,
     observation: Observation,
     at: Time,
     /// The ids of the replicas that were known at the address when the attempt ended.
@@ -85,13 +85,13 @@
 }
 
 impl Gateway {
-    /// Adds an attempt of the request `name` that ended without a response from the replica
-    /// `incarnation`. The network may have failed or the caller left; it counts against the request
+    /// Adds an attempt of `request` that ended without a response from the replica
+    /// `instance`. The network may have failed or the caller left; it counts against the request
     /// only if the replica crashed.
     pub(super) fn suspect(
         self: &Rc<Self>,
-        name: RequestHash,
-        incarnation: Incarnation,
+        request: RequestHash,
+        instance: Incarnation,
         address: SocketAddr,
         observation: Observation,
     ) {
@@ -99,8 +99,8 @@
         let watched = suspects.0.contains_key(&address);
         let watch = suspects.0.entry(address).or_default();
         watch.suspects.push(Suspect {
-            name,
-            incarnation,
+            request,
+            instance,
             observation,
             at: self.knowledge.now(),
             known: self.pool.borrow().ids_at(address),
@@ -158,7 +158,7 @@
     }
 
     /// Counts the suspects at `address` whose replica has crashed: all of them if connections
-    /// are `refused`, or else those whose incarnation is over.
+    /// are `refused`, or else those whose instance is over.
     fn take_crashed(&self, address: SocketAddr, refused: bool) {
         self.refresh_pool();
         let now = self.knowledge.now();
@@ -168,7 +168,7 @@
         };
         let pool = self.pool.borrow();
         let over = |suspect: &mut Suspect| {
-            refused || pool.outlived(address, suspect.incarnation.born, &suspect.known, now)
+            refused || pool.outlived(address, suspect.instance.born, &suspect.known, now)
         };
         let ended: Vec<Suspect> = watch.suspects.extract_if(.., over).collect();
         let Some(first) = ended.first() else {
@@ -176,44 +176,48 @@
         };
         let given_up = |suspect: &&Suspect| suspect.observation == Observation::Abandoned;
         log::warn!(
-            replica = &*first.incarnation.id, address:% = address, requests = ended.len(),
+            replica = &*first.instance.id, address:% = address, requests = ended.len(),
             given_up = ended.iter().filter(given_up).count();
             "replica crashed while requests were running"
         );
         for Suspect {
-            name, incarnation, ..
+            request, instance, ..
         } in ended
         {
             self.instruments.count_crash();
-            let news = self
+            let changed = self
                 .knowledge
                 .poison
                 .borrow_mut()
-                .record_crash(name, incarnation, now);
-            if news {
-                self.log_if_blocked(name);
+                .record_crash(request, instance, now);
+            if changed {
+                self.log_if_blocked(request);
             }
         }
         self.knowledge.poison_changed.notify_one();
     }
 
-    fn log_if_blocked(&self, name: RequestHash) {
+    fn log_if_blocked(&self, request: RequestHash) {
         let case = self
             .knowledge
             .poison
             .borrow()
-            .case(name, self.knowledge.now());
+            .case(request, self.knowledge.now());
         if let Some(case) = case.filter(|case| case.crashes.len() == MAX_CRASHES) {
-            log::warn!(name:% = name; "request blocked: {}", describe(&case));
+            log::warn!(name:% = request; "request blocked: {}", describe(&case));
         }
     }
 
-    /// Records that a replica answered the request `name` completely.
-    pub(super) fn record_success(&self, name: RequestHash) {
+    /// Records that a replica answered `request` completely.
+    pub(super) fn record_success(&self, request: RequestHash) {
         let now = self.knowledge.now();
-        let news = self.knowledge.poison.borrow_mut().record_success(name, now);
-        if news {
-            log::info!(name:% = name; "request completed that was running when replicas crashed");
+        let changed = self
+            .knowledge
+            .poison
+            .borrow_mut()
+            .record_success(request, now);
+        if changed {
+            log::info!(name:% = request; "request completed that was running when replicas crashed");
             self.knowledge.poison_changed.notify_one();
         }
     }
@@ -231,7 +235,7 @@
     fn verdict(&self) -> Verdict {
         let knowledge = &self.gateway.knowledge;
         let register = knowledge.poison.borrow();
-        register.verdict(self.job.name, knowledge.now())
+        register.verdict(self.job.request_hash, knowledge.now())
     }
 
     /// Whether the request may be sent to a replica without restriction.
@@ -253,7 +257,9 @@
     pub(super) async fn claim_trial(&self) -> Result<(), Refusal> {
         match self.verdict() {
             Verdict::Allowed => Ok(()),
-            Verdict::TrialDue if poison::take_try(&self.gateway.knowledge, self.job.name).await => {
+            Verdict::TrialDue
+                if poison::take_try(&self.gateway.knowledge, self.job.request_hash).await =>
+            {
                 Ok(())
             }
             Verdict::TrialDue | Verdict::Blocked => Err(self.blocked_refusal()),
@@ -266,7 +272,7 @@
         let case = knowledge
             .poison
             .borrow()
-            .case(self.job.name, knowledge.now());
+            .case(self.job.request_hash, knowledge.now());
         let detail = case.map_or_else(String::new, |case| describe(&case));
         Refusal::new(Code::Poison, detail)
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -101,7 +101,9 @@
                 }
                 Step::End => {
                     self.attempt.record_complete();
-                    self.dispatch.gateway.record_success(self.dispatch.job.name);
+                    self.dispatch
+                        .gateway
+                        .record_success(self.dispatch.job.request_hash);
                     self.dispatch.trace.set_outcome("whole");
                     return None;
                 }
@@ -141,7 +143,8 @@
         let first = self.dispatch.trace.elapsed();
         self.dispatch.trace.first = Some(first);
         self.dispatch.gateway.instruments.record_first_event(first);
-        self.attempt.note(Sign::Whole(self.attempt.elapsed()));
+        self.attempt
+            .record_health(Sign::Whole(self.attempt.elapsed()));
     }
 
     async fn step(&mut self) -> Step {
@@ -200,7 +203,7 @@
                     self.dispatch.pinned_version = self.dispatch.pinned_version.or(reply.version);
                     log::info!(
                         request = self.dispatch.job.meta.id.as_str(),
-                        replica = &*self.attempt.incarnation.id,
+                        replica = &*self.attempt.instance.id,
                         last_event:? = last;
                         "stream resumed"
                     );
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -24,8 +24,8 @@
     gateway: Rc<Gateway>,
     /// The id of the request.
     pub id: String,
-    /// The name of the request for counting crashes of replicas, once the body was read.
-    pub name: Option<poison::RequestHash>,
+    /// The hash of the request for counting crashes of replicas, once the body was read.
+    pub request_hash: Option<poison::RequestHash>,
     /// The name of its route.
     pub route: Arc<str>,
     /// The replica that responds, or the last one tried.
@@ -57,7 +57,7 @@
         Self {
             gateway: gateway.clone(),
             id: String::new(),
-            name: None,
+            request_hash: None,
             route: "".into(),
             replica: None,
             expected: None,
@@ -99,7 +99,7 @@
             .map_or(0, |routing| routing.document.version);
         log::info!(
             request = self.id.as_str(),
-            name = self.name.map(|name| name.to_string()).unwrap_or_default(),
+            name = self.request_hash.map(|hash| hash.to_string()).unwrap_or_default(),
             route = &*self.route,
             outcome = self.outcome,
             replica = self.replica.as_deref().unwrap_or_default(),
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -1,7 +1,7 @@
-//! Guards against using what is known of an earlier incarnation for a later one. A replica may
-//! restart under the same id. It has then lost its weights, but late updates about its earlier
-//! incarnation still arrive, through the list, reports and other entries, in any order. All state
-//! belongs to one incarnation, and a later incarnation replaces it completely.
+//! Guards against using what is known of an earlier instance for a later one. A replica may restart
+//! under the same id, as a new instance. It has then lost its weights, but late updates about its
+//! earlier instance still arrive, through the list, reports and other entries, in any order. All
+//! state belongs to one instance, and a later instance replaces it completely.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 
 const NOW: Time = Time::from_millis(50_000);
 
-/// Start times of the two incarnations, in milliseconds since the Unix epoch.
+/// Start times of the two instances, in milliseconds since the Unix epoch.
 const FIRST: u64 = 1_764_720_000_000;
 const SECOND: u64 = FIRST + 700;
 
@@ -122,17 +122,17 @@
 /// An update about the replica, as it may arrive at an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Update {
-    /// The record of the first incarnation in the list, written early.
+    /// The record of the first instance in the list, written early.
     ListedFirst,
-    /// The record of the first incarnation, written by a heartbeat after the second one started.
+    /// The record of the first instance, written by a heartbeat after the second one started.
     ListedLate,
-    /// The record of the second incarnation in the list.
+    /// The record of the second instance in the list.
     ListedSecond,
-    /// The sidecar's report about the first incarnation.
+    /// The sidecar's report about the first instance.
     ReportedFirst,
-    /// The sidecar's report about the second incarnation.
+    /// The sidecar's report about the second instance.
     ReportedSecond,
-    /// Another entry passes on a report about the first incarnation.
+    /// Another entry passes on a report about the first instance.
     DigestLate,
 }
 
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_later_incarnation_is_never_used_for_weights_of_an_earlier_one_in_any_order_of_updates() {
+fn a_later_instance_is_never_used_for_weights_of_an_earlier_one_in_any_order_of_updates() {
     let all = [
         ListedFirst,
         ListedLate,
@@ -237,10 +237,10 @@
     }
 }
 
-/// Guards against state of one incarnation that would harm another: requests in flight, penalties,
+/// Guards against state of one instance that would harm another: requests in flight, penalties,
 /// lags, denials, connections.
 #[test]
-fn requests_penalties_lags_denials_and_connections_end_with_their_incarnation() {
+fn requests_penalties_lags_denials_and_connections_end_with_their_instance() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let address = "10.0.0.1:80".parse().unwrap();
@@ -263,13 +263,13 @@
     let second = entry.key();
     assert_ne!(
         second, first,
-        "requests that were tried at the first incarnation may be tried at the second"
+        "requests that were tried at the first instance may be tried at the second"
     );
     let choice = entry.choose().unwrap();
     assert_eq!((choice.key, choice.requests), (second, 0));
     let alone = choice.expected;
 
-    // Late events of the first incarnation's requests and a late report about it change nothing.
+    // Late events of the first instance's requests and a late report about it change nothing.
     let late = NOW + Duration::from_millis(900);
     for number in numbers {
         entry.pool.started(first, number, demand, true, late);
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn a_report_applies_to_the_replica_of_its_incarnation_if_two_are_listed_at_one_address() {
+fn a_report_applies_to_the_replica_of_its_instance_if_two_are_listed_at_one_address() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let next = Record {
@@ -335,7 +335,7 @@
 /// What shows, besides a refused connection, that a run broke because its replica is gone, and not
 /// because its connection failed.
 #[test]
-fn an_incarnation_is_over_when_a_later_one_is_known_or_the_replica_is_dead() {
+fn an_instance_is_over_when_a_later_one_is_known_or_the_replica_is_dead() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let address = "10.0.0.1:80".parse().unwrap();
