--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -40,14 +40,14 @@
 use crate::knowledge::hub::Hub;
 use crate::knowledge::polls::Polls;
 use crate::knowledge::{Identity, Knowledge, gossip, store, traffic};
-use crate::limit::returning::{Refusals, Refused};
+use crate::limit::retry::{Rejection, Rejections};
 use crate::member::Role;
 use crate::member::replica::Record;
 use crate::metric::{self, Metrics};
 use crate::policy::Policy;
 use crate::request::budget::{self, Budget};
 use crate::route::pool::{Key, Pool};
-use crate::route::replica::Due;
+use crate::route::replica::Schedule;
 use crate::source::{Source, Topic};
 use crate::spread;
 use crate::stop::{self, Tracker};
@@ -161,7 +161,7 @@
     halls: RefCell<Polls>,
     hub: RefCell<Hub>,
     /// Recently refused requests, here or at other entries.
-    refusals: RefCell<Refusals>,
+    rejections: RefCell<Rejections>,
     suspects: RefCell<poison::Suspects>,
 }
 
@@ -272,7 +272,7 @@
             bursts: Manager::new(host.clone(), origins, setting.first_start),
             client: exchange::Client::sharing(paths),
             pool: RefCell::new(Pool::new(setting.identity.hall.clone(), setting.policy)),
-            refusals: RefCell::default(),
+            rejections: RefCell::default(),
             suspects: RefCell::default(),
             pool_generation: Cell::new(0),
             budgets: RefCell::default(),
@@ -382,7 +382,7 @@
     fn sidecar_of(&self, key: Key) -> Option<SocketAddr> {
         let now = self.knowledge.now();
         let pool = self.pool.borrow();
-        if !pool.gives_places(key, now) {
+        if !pool.grants_leases(key, now) {
             return None;
         }
         let host = pool.get(key)?.record.address.ip();
@@ -437,7 +437,7 @@
     }
 
     fn log_in_flight(&self) {
-        let under_way = self.pool.borrow().under_way();
+        let under_way = self.pool.borrow().in_flight();
         self.instruments.set_in_flight(under_way);
         if under_way > 0 {
             log::info!(under_way; "attempts in flight");
@@ -478,10 +478,10 @@
             let evacuated = catalog.evacuations().active().cloned().collect();
             let mut pool = self.pool.borrow_mut();
             pool.update(list, due);
-            pool.evacuate(evacuated);
-            pool.tell_cold(self.knowledge.now());
+            pool.set_evacuated(evacuated);
+            pool.refresh_cold(self.knowledge.now());
         }
-        let restarted = self.pool.borrow_mut().take_reborn();
+        let restarted = self.pool.borrow_mut().take_restarted();
         for address in restarted {
             log::info!(replica:% = address; "replica restarted; closing idle connections to its address");
             self.client.forget(address);
@@ -514,15 +514,15 @@
         rollout: rollout::Setting,
         waves: &Waves,
         record: &Record,
-    ) -> Option<Due> {
+    ) -> Option<Schedule> {
         let group = (record.service.clone(), record.hall.clone());
         let host = record.address.ip().to_string();
         let wave = *waves.get(&group)?.get(&host)?;
         let model = self.knowledge.model_of(&record.service)?;
-        Some(Due {
-            named: catalog.desired_versions(&model).to_vec(),
-            begins: rollout::wave_start(rollout, wave).saturating_sub(rollout.notice),
-            bound: rollout.bound.saturating_sub(START_MARGIN),
+        Some(Schedule {
+            versions: catalog.desired_versions(&model).to_vec(),
+            drain_after: rollout::wave_start(rollout, wave).saturating_sub(rollout.notice),
+            cutoff: rollout.bound.saturating_sub(START_MARGIN),
         })
     }
 
@@ -558,22 +558,22 @@
 
     /// When the caller first tried a request that was refused before.
     fn first_try(&self, job: &Job) -> Option<Time> {
-        let refusals = self.refusals.borrow();
-        refusals.first_try(job.fingerprint, job.arrived)
+        let rejections = self.rejections.borrow();
+        rejections.first_try(job.fingerprint, job.arrived)
     }
 
     /// Merges refusals that another process reported.
-    fn merge_refusals(&self, told: &[Refused], now: Time) {
-        self.refusals.borrow_mut().hear(told, now);
+    fn merge_rejections(&self, told: &[Rejection], now: Time) {
+        self.rejections.borrow_mut().merge(told, now);
     }
 
     /// Records a refused request whose caller first tried at `first`. Only requests to engines are
     /// recorded: other services are rarely short of capacity.
-    fn record_refusal(&self, job: &Job, first: Time) {
+    fn record_rejection(&self, job: &Job, first: Time) {
         if job.meta.inference.is_none() {
             return;
         }
-        let mut refusals = self.refusals.borrow_mut();
-        refusals.refused(job.fingerprint, first, job.deadline);
+        let mut rejections = self.rejections.borrow_mut();
+        rejections.record(job.fingerprint, first, job.deadline);
     }
 }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -21,13 +21,13 @@
 use crate::exchange::{self, Note, Options, Reuse, Unframed};
 use crate::http::Answer;
 use crate::member::replica::Incarnation;
-use crate::patience;
 use crate::request::attempt::Ended;
 use crate::request::poison::RequestHash;
 use crate::route::estimate::Demand;
-use crate::route::health::Sign;
+use crate::route::health::Signal;
 use crate::route::notice::Notice;
 use crate::route::pool::{Choice, Key};
+use crate::timeout;
 
 /// Multiple of the latency objective for which a replica may be silent before an idempotent request
 /// is sent to another.
@@ -131,11 +131,11 @@
         let mut pool = gateway.pool.borrow_mut();
         let replica = pool
             .get(choice.key)
-            .filter(|replica| !replica.wish().refuses(now))?;
+            .filter(|replica| !replica.suspension().rejects(now))?;
         let (instance, address) = (replica.record.incarnation(), replica.record.address);
         let demand = job.demand();
         let model = job.meta.inference.as_ref().map(|work| &*work.model);
-        let start_deadline = model.and_then(|model| pool.start_bound(choice.key, model, now));
+        let start_deadline = model.and_then(|model| pool.start_deadline(choice.key, model, now));
         let number = pool.begin(choice.key, demand, choice.expected, now);
         Some(Self {
             gateway: gateway.clone(),
@@ -164,14 +164,17 @@
         if !self.start_recorded.replace(true) {
             let now = self.gateway.knowledge.now();
             let mut pool = self.gateway.pool.borrow_mut();
-            pool.started(self.key, self.number, self.demand, came, now);
+            pool.record_first_event(self.key, self.number, self.demand, came, now);
         }
     }
 
     /// Records a sign of the replica's health.
-    pub fn record_health(&self, sign: Sign) {
+    pub fn record_health(&self, sign: Signal) {
         let now = self.gateway.knowledge.now();
-        self.gateway.pool.borrow_mut().note(self.key, sign, now);
+        self.gateway
+            .pool
+            .borrow_mut()
+            .record_health(self.key, sign, now);
     }
 
     /// Time since the attempt began.
@@ -185,7 +188,7 @@
         self.gateway.instruments.count_attempt("whole");
     }
 
-    fn fail(&self, job: &Job, ended: Ended, sign: Sign, detail: String) -> Failure {
+    fn fail(&self, job: &Job, ended: Ended, sign: Signal, detail: String) -> Failure {
         self.record_health(sign);
         if ended != Ended::Broken {
             self.outcome_known.set(true);
@@ -206,8 +209,8 @@
     }
 
     /// A failure after bytes were sent: the response is missing, invalid or incomplete.
-    pub fn broken(&self, job: &Job, detail: String, sign: Sign) -> Failure {
-        if sign == Sign::Broken {
+    pub fn broken(&self, job: &Job, detail: String, sign: Signal) -> Failure {
+        if sign == Signal::Broken {
             self.suspect(Observation::Broken);
         }
         self.fail(job, Ended::Broken, sign, detail)
@@ -222,7 +225,7 @@
         let leaves = {
             let pool = self.gateway.pool.borrow();
             pool.get(self.key)
-                .is_some_and(|replica| replica.record.leaving || replica.wish().leaving())
+                .is_some_and(|replica| replica.record.leaving || replica.suspension().leaving())
         };
         if !leaves {
             let instance = self.instance.clone();
@@ -236,7 +239,7 @@
     }
 
     /// Sends the request and reads the head of the response.
-    pub async fn send(self, job: &Job, send: Params) -> Result<Reply, Failure> {
+    pub async fn send(self, job: &Job, send: Params) -> Result<Incoming, Failure> {
         let Params {
             last_event,
             version,
@@ -259,14 +262,14 @@
             // reports carry what this one announces.
             Some(Err(error @ reader::Error::TurnedAway { .. })) => {
                 let detail = format!("not sent: {error}");
-                Err(self.fail(job, Ended::NotSent, Sign::None, detail))
+                Err(self.fail(job, Ended::NotSent, Signal::Neutral, detail))
             }
             Some(Err(reader::Error::Exchange(exchange::Error::NotSent { reason }))) => {
                 let detail = format!("not sent: {reason}");
-                Err(self.fail(job, Ended::NotSent, Sign::Unreachable, detail))
+                Err(self.fail(job, Ended::NotSent, Signal::Unreachable, detail))
             }
             Some(Err(reader::Error::Exchange(error))) => Err(self.exchange_failed(job, &error)),
-            Some(Err(error)) => Err(self.broken(job, error.to_string(), Sign::Broken)),
+            Some(Err(error)) => Err(self.broken(job, error.to_string(), Signal::Broken)),
             Some(Ok(response)) => self.read(job, version.is_some(), response).await,
         }
     }
@@ -302,7 +305,10 @@
         log::info!(request = job.meta.id.as_str(), replica = &*self.instance.id; "bypassing the sidecar: {error}");
         if matches!(error, reader::Error::OutOfReach { .. }) {
             let now = self.now();
-            self.gateway.pool.borrow_mut().unheard(self.key, false, now);
+            self.gateway
+                .pool
+                .borrow_mut()
+                .mark_unresponsive(self.key, false, now);
         }
     }
 
@@ -324,11 +330,11 @@
                 .start_deadline(job)
                 .map_or(remaining, |bound| bound.since(now));
             let longest = remaining.min(start);
-            let wait = patience::within(|| self.now(), silence.min(longest), &mut step);
+            let wait = timeout::within(|| self.now(), silence.min(longest), &mut step);
             if let Some(done) = wait.await {
                 return Some(done);
             }
-            if silence >= longest || !self.gateway.pool.borrow().queues(self.key, self.now()) {
+            if silence >= longest || !self.gateway.pool.borrow().has_queue(self.key, self.now()) {
                 return None;
             }
             silence = QUEUE_POLL_INTERVAL;
@@ -344,7 +350,7 @@
         }
         let model = job.meta.inference.as_ref().map(|work| &*work.model)?;
         let pool = self.gateway.pool.borrow();
-        let known = pool.start_bound(self.key, model, self.now());
+        let known = pool.start_deadline(self.key, model, self.now());
         self.start_deadline.into_iter().chain(known).min()
     }
 
@@ -364,10 +370,10 @@
         } else {
             "the replica is silent"
         };
-        self.broken(job, detail.to_owned(), Sign::Silent)
+        self.broken(job, detail.to_owned(), Signal::TimedOut)
     }
 
-    async fn read(self, job: &Job, versioned: bool, response: Reader) -> Result<Reply, Failure> {
+    async fn read(self, job: &Job, versioned: bool, response: Reader) -> Result<Incoming, Failure> {
         let status = response.status.as_u16();
         let dialect = &self.gateway.dialect;
         let reading = dialect.classify(&response, &job.meta.id);
@@ -376,7 +382,7 @@
             self.apply_notice(job, notice);
         }
         match reading {
-            Classification::Success { version } => Ok(Reply {
+            Classification::Success { version } => Ok(Incoming {
                 attempt: self,
                 response,
                 version,
@@ -384,24 +390,24 @@
             Classification::NotRun => {
                 let detail = format!("the replica answered {status}, not run");
                 // A replica that asks for backoff is healthy.
-                let sign = if notice.rest.is_some() {
-                    Sign::None
+                let sign = if notice.backoff.is_some() {
+                    Signal::Neutral
                 } else {
-                    Sign::Refused
+                    Signal::Refused
                 };
                 Err(self.fail(job, Ended::Refused, sign, detail))
             }
             Classification::Misdirected => {
                 // The request named no version, so the address must belong to another replica.
                 if !versioned {
-                    self.gateway.pool.borrow_mut().deny(self.key);
+                    self.gateway.pool.borrow_mut().invalidate(self.key);
                 }
                 let detail = "another replica has the address, or it holds another version";
-                Err(self.fail(job, Ended::Misdirected, Sign::None, detail.to_owned()))
+                Err(self.fail(job, Ended::Misdirected, Signal::Neutral, detail.to_owned()))
             }
             Classification::Foreign => {
                 let detail = format!("answer {status} is none to this request");
-                Err(self.broken(job, detail, Sign::Broken))
+                Err(self.broken(job, detail, Signal::Broken))
             }
             Classification::Failure => self.replica_error(job, response).await,
         }
@@ -411,7 +417,7 @@
     fn apply_notice(&self, job: &Job, notice: Notice) {
         let now = self.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        if pool.take_notice(self.key, &self.instance, notice, now) {
+        if pool.apply_notice(self.key, &self.instance, notice, now) {
             log::info!(
                 request = job.meta.id.as_str(),
                 replica = &*self.instance.id,
@@ -422,15 +428,15 @@
     }
 
     /// Reads the replica's error response to its end; it is forwarded if no later attempt succeeds.
-    async fn replica_error(self, job: &Job, response: Reader) -> Result<Reply, Failure> {
+    async fn replica_error(self, job: &Job, response: Reader) -> Result<Incoming, Failure> {
         let detail = format!("the replica answered {}", response.status.as_u16());
-        let reply = Reply {
+        let incoming = Incoming {
             attempt: self,
             response,
             version: None,
         };
-        let (attempt, answer) = reply.read_to_end(job).await?;
-        let mut failure = attempt.fail(job, Ended::Failed, Sign::Failed, detail);
+        let (attempt, answer) = incoming.read_to_end(job).await?;
+        let mut failure = attempt.fail(job, Ended::Failed, Signal::Failed, detail);
         failure.answer = Some(answer);
         Err(failure)
     }
@@ -438,10 +444,10 @@
 
 /// What a failed exchange says about the replica's health: nothing if connections to other peers
 /// went silent as well.
-pub fn sign(error: &exchange::Error) -> Sign {
+pub fn sign(error: &exchange::Error) -> Signal {
     match error {
-        exchange::Error::Silent => Sign::None,
-        _ => Sign::Broken,
+        exchange::Error::Silent => Signal::Neutral,
+        _ => Signal::Broken,
     }
 }
 
@@ -449,7 +455,7 @@
 /// buffered, so that a killed sidecar costs no more than a killed replica.
 fn buffering_sidecar(gateway: &Gateway, job: &Job, key: Key) -> Option<SocketAddr> {
     let streams = job.route.kind == Kind::Streaming && job.route.repeatable();
-    if !streams || !gateway.setting.policy.kept {
+    if !streams || !gateway.setting.policy.stream_buffering {
         return None;
     }
     gateway.sidecar_of(key)
@@ -474,7 +480,7 @@
 }
 
 /// A response whose head has arrived.
-pub struct Reply {
+pub struct Incoming {
     /// The attempt.
     pub attempt: Attempt,
     /// The response.
@@ -483,7 +489,7 @@
     pub version: Option<u64>,
 }
 
-impl Reply {
+impl Incoming {
     /// The response head for the caller.
     pub fn head(&self) -> HttpResponse<()> {
         let mut answer = HttpResponse::with_body(self.response.status, ());
@@ -497,7 +503,7 @@
     pub async fn read_success(self, job: &Job) -> Result<Answer, Failure> {
         let (attempt, answer) = self.read_to_end(job).await?;
         attempt.first_event_received();
-        attempt.record_health(Sign::Whole(attempt.elapsed()));
+        attempt.record_health(Signal::Success(attempt.elapsed()));
         attempt.record_complete();
         Ok(answer)
     }
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -8,19 +8,19 @@
 use rand::RngExt;
 
 use super::Gateway;
-use super::attempt::{Attempt, Failure, Params, Reply};
+use super::attempt::{Attempt, Failure, Incoming, Params};
 use super::dialect::{Code, Refusal};
 use super::job::Job;
 use super::retry::Retry;
 use super::trace::{Estimate, Trace};
 use crate::clock::Time;
 use crate::http::Answer;
-use crate::limit::admission::{self, Bounds, Case, Verdict};
-use crate::limit::returning;
-use crate::place::Ration;
+use crate::lease::Throttle;
+use crate::limit::admission::{self, Bounds, Input, Verdict};
+use crate::limit::retry;
 use crate::request::Outcome;
 use crate::request::attempt::{self as next, Ended, Next, Situation};
-use crate::route::pool::{self, Choice, Key, ModelNeed, Shortage};
+use crate::route::pool::{self, Choice, Key, ModelQuery, Unavailable};
 use crate::stop;
 
 /// Delay that callers are asked for if the service has no replica.
@@ -124,7 +124,7 @@
             None => {
                 if refusal.code.outcome() == Some(Outcome::NotRun) {
                     let first = self.first_try.unwrap_or(self.job.arrived);
-                    self.gateway.record_refusal(&self.job, first);
+                    self.gateway.record_rejection(&self.job, first);
                 }
                 refuse(&self.gateway, &mut self.trace, refusal)
             }
@@ -211,12 +211,16 @@
         let refusal = Refusal::new(Code::NoReplica, detail);
         let rest = {
             let pool = self.gateway.pool.borrow();
-            self.with_ask(&[], |ask| pool.rest(ask, now))
+            self.with_query(&[], |ask| pool.backoff(ask, now))
         };
         if let Some(rest) = rest {
             return refusal.retry_after(self.delay_after_rest(rest));
         }
-        let outage = self.gateway.pool.borrow().mostly_denied(&self.job.service);
+        let outage = self
+            .gateway
+            .pool
+            .borrow()
+            .mostly_invalidated(&self.job.service);
         refusal.retry_after(if outage {
             self.weights_retry_delay(self.job.remaining(now))
         } else {
@@ -227,7 +231,7 @@
     /// Finds a replica for the request, waiting for a short time if need be, or refuses the
     /// request.
     pub(super) async fn admit(&mut self) -> Result<Choice, Refusal> {
-        let mut asks = self.gateway.setting.policy.asks;
+        let mut asks = self.gateway.setting.policy.lease_requests;
         loop {
             let chosen_before = self.trace.sent + self.connect_failures > 0;
             let limit = if chosen_before {
@@ -255,7 +259,7 @@
             asks = asks.min(ASKS_PER_RECHECK);
             let now = self.gateway.knowledge.now();
             let remaining = self.job.remaining(now);
-            let case = Case {
+            let case = Input {
                 elapsed: now.since(self.job.arrived),
                 remaining,
                 expected: choice.as_ref().ok().map(|choice| choice.expected),
@@ -263,7 +267,7 @@
             let verdict = if idle {
                 Verdict::Send
             } else {
-                admission::judge(case, Bounds::new(self.job.objective(), limit))
+                admission::evaluate(case, Bounds::new(self.job.objective(), limit))
             };
             match (verdict, choice) {
                 (Verdict::Send, Ok(choice)) => {
@@ -285,11 +289,11 @@
         }
     }
 
-    fn shortage(&self, shortage: Shortage) -> Refusal {
+    fn shortage(&self, shortage: Unavailable) -> Refusal {
         let remaining = self.job.remaining(self.gateway.knowledge.now());
         let refusal = Refusal::new(Code::NoReplica, shortage.to_string());
         refusal.retry_after(match shortage {
-            Shortage::Resting { rest } => self.delay_after_rest(rest),
+            Unavailable::BackingOff { remaining: rest } => self.delay_after_rest(rest),
             _ => self.weights_retry_delay(remaining),
         })
     }
@@ -310,7 +314,7 @@
     fn limit(&self) -> Duration {
         let (whole, late) = self.limits();
         let age = self.first_try.map(|first| self.job.arrived.since(first));
-        age.map_or(whole, |age| returning::limit(whole, late, age))
+        age.map_or(whole, |age| retry::remaining_limit(whole, late, age))
     }
 
     /// Two limits on the time to the first event: that of first tries, which the policy may share
@@ -324,29 +328,32 @@
             None => own,
         };
         let policy = &gateway.setting.policy;
-        (base * policy.admit / 100, base * policy.return_admit / 100)
+        (
+            base * policy.admit_percent / 100,
+            base * policy.retry_admit_percent / 100,
+        )
     }
 
     /// Delay that the caller is asked for until replicas are expected to have received weights.
     fn weights_retry_delay(&self, remaining: Duration) -> Duration {
         let gateway = &self.gateway;
-        if !gateway.setting.policy.named_return {
+        if !gateway.setting.policy.retry_after_eta {
             return NO_REPLICA_RETRY_DELAY;
         }
         let now = gateway.knowledge.now();
-        let arrival = gateway.pool.borrow().arrival(&self.job.service, now);
+        let arrival = gateway.pool.borrow().weights_eta(&self.job.service, now);
         let spread = gateway.knowledge.rng.borrow_mut().random_range(0.0..1.0);
-        admission::come_back(arrival, remaining, spread)
+        admission::retry_after(arrival, remaining, spread)
     }
 
     /// Chooses a replica, avoiding those in `full` if possible; for a started response, one with
     /// the same version. Also returns whether fewer than half of the service's slots are taken, in
     /// which case the request need not be refused.
-    pub fn choose(&self, full: &[Key]) -> (Result<Choice, Shortage>, bool) {
+    pub fn choose(&self, full: &[Key]) -> (Result<Choice, Unavailable>, bool) {
         let gateway = &self.gateway;
         gateway.refresh_pool();
         let now = gateway.knowledge.now();
-        self.with_ask(full, |ask| {
+        self.with_query(full, |ask| {
             let pool = gateway.pool.borrow();
             let mut rng = gateway.knowledge.rng.borrow_mut();
             let choice = pool.choose(ask, now, &mut *rng);
@@ -356,7 +363,7 @@
     }
 
     /// Calls `then` with this request's query to the pool.
-    pub(super) fn with_ask<T>(&self, full: &[Key], then: impl FnOnce(pool::Ask<'_>) -> T) -> T {
+    pub(super) fn with_query<T>(&self, full: &[Key], then: impl FnOnce(pool::Query<'_>) -> T) -> T {
         let gateway = &self.gateway;
         let now = gateway.knowledge.now();
         let service = self.job.routing.service(&self.job.service);
@@ -372,12 +379,12 @@
         let entries = gateway.knowledge.peers.borrow().upper_bound() as u32;
         let connections = service.map_or(u32::MAX, |service| service.connections_max);
         let regions = gateway.knowledge.regions.borrow();
-        then(pool::Ask {
+        then(pool::Query {
             service: &self.job.service,
-            model: model.map(|model| ModelNeed {
+            model: model.map(|model| ModelQuery {
                 model,
-                oldest: self.oldest_version(model, now),
-                only: self.pinned_version,
+                min_version: self.oldest_version(model, now),
+                pinned_version: self.pinned_version,
             }),
             engine,
             demand: self.job.demand(),
@@ -403,12 +410,12 @@
     }
 
     /// The ration of the replica `key`, if it is cold and its rate is limited.
-    pub(super) fn ration(&self, key: Key) -> Option<Ration> {
+    pub(super) fn ration(&self, key: Key) -> Option<Throttle> {
         let per_s = self.cold_per_s();
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
-        let rest = pool.get(key)?.cold(now);
-        (per_s > 0.0 && !rest.is_zero()).then_some(Ration {
+        let rest = pool.get(key)?.cold_remaining(now);
+        (per_s > 0.0 && !rest.is_zero()).then_some(Throttle {
             rest_ms: rest.as_millis() as u64,
             per_s,
         })
@@ -416,11 +423,11 @@
 
     /// Returns the choice unless the replica is cold and its rate is used up. A request
     /// that was granted a lease passes: the sidecar has counted it.
-    fn check_cold(&self, choice: Choice, leased: bool) -> Result<Choice, Shortage> {
+    fn check_cold(&self, choice: Choice, leased: bool) -> Result<Choice, Unavailable> {
         let now = self.gateway.knowledge.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        let bears = leased || pool.take_cold(choice.key, self.own_cold_per_s(), now);
-        bears.then_some(choice).ok_or(Shortage::Cold)
+        let bears = leased || pool.take_cold_token(choice.key, self.own_cold_per_s(), now);
+        bears.then_some(choice).ok_or(Unavailable::Cold)
     }
 
     fn oldest_version(&self, model: &str, now: Time) -> u64 {
@@ -435,7 +442,7 @@
         &mut self,
         choice: Choice,
         last_event: Option<u64>,
-    ) -> Result<Reply, Failure> {
+    ) -> Result<Incoming, Failure> {
         let Some(attempt) = Attempt::begin(&self.gateway, &self.job, choice) else {
             let detail = "the replica has gone, or wants nothing now";
             return Err(Failure::new(Ended::NotSent, detail));
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -66,7 +66,12 @@
 /// Returns the [`REMOTE_REPLICAS_MAX`] least loaded replicas. Those that take no requests sort
 /// last: they mostly have nothing in progress and would otherwise displace replicas that can serve.
 fn least_loaded(mut reports: Vec<ReplicaStatus>) -> Vec<ReplicaStatus> {
-    let key = |reported: &ReplicaStatus| (!reported.load.takes_requests(), reported.load.present());
+    let key = |reported: &ReplicaStatus| {
+        (
+            !reported.load.accepts_requests(),
+            reported.load.in_progress(),
+        )
+    };
     reports.sort_by_key(key);
     reports.truncate(REMOTE_REPLICAS_MAX);
     reports
@@ -85,7 +90,10 @@
         for poll in self.due_polls(now) {
             actix_rt::spawn(poll_hall(self.clone(), poll));
         }
-        let changed = self.pool.borrow().changed(&knowledge.identity.hall);
+        let changed = self
+            .pool
+            .borrow()
+            .last_availability_change(&knowledge.identity.hall);
         let content = self.hub.borrow_mut().due(rank, changed, now);
         if let Some(content) = content {
             self.send_frame(content, now);
--- a/src/gateway/handler.rs
+++ b/src/gateway/handler.rs
@@ -52,10 +52,13 @@
         }
         let attempt = dispatch.attempt(choice, dispatch.job.meta.last_event);
         let failure = match tracker.until_abort(attempt).await {
-            Some(Ok(reply)) if dispatch.job.route.kind == Kind::Streaming => {
-                return Relay::new(dispatch, reply).answer();
+            Some(Ok(incoming)) if dispatch.job.route.kind == Kind::Streaming => {
+                return Relay::new(dispatch, incoming).answer();
             }
-            Some(Ok(reply)) => match tracker.until_abort(reply.read_success(&dispatch.job)).await {
+            Some(Ok(incoming)) => match tracker
+                .until_abort(incoming.read_success(&dispatch.job))
+                .await
+            {
                 Some(Ok(answer)) => {
                     dispatch.gateway.record_success(dispatch.job.request_hash);
                     dispatch.trace.set_outcome("whole");
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -13,9 +13,9 @@
 use crate::clock::Time;
 use crate::config::routing::{Access, Limits, Routing};
 use crate::http::{self, Error};
-use crate::limit::returning::Fingerprint;
-use crate::patience;
+use crate::limit::retry::Fingerprint;
 use crate::request::poison;
+use crate::timeout;
 
 /// Delay that callers are asked for while the configuration is missing or partly unreadable.
 const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(300);
@@ -197,7 +197,7 @@
         return Ok(None);
     }
     let body = http::read_request(request, limits.body_bytes);
-    match patience::within(now, timeout, body).await {
+    match timeout::within(now, timeout, body).await {
         None => Err(Refusal::new(
             Code::BodyTooSlow,
             "the body did not come in time",
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -8,10 +8,10 @@
 use crate::clock::Time;
 use crate::exchange::Note;
 use crate::knowledge::gossip;
-use crate::patience;
-use crate::place::{self, Answer};
-use crate::route::pool::{Choice, Key, Limits, Shortage};
-use crate::route::search::{Said, Search, Step};
+use crate::lease::{self, Response};
+use crate::route::pool::{Choice, Key, Limits, Unavailable};
+use crate::route::search::{Reply, Search, Step};
+use crate::timeout;
 
 /// Timeout for a sidecar's answer over a used connection. Within a hall an answer takes 0.2 ms; 60
 /// ms is the time of two chunks of weights on the sidecar's link. A link that holds an answer up
@@ -25,7 +25,7 @@
 /// The result of the search for a lease.
 pub struct Found {
     /// The replica to send the request to, or else the best known one.
-    pub choice: Result<Choice, Shortage>,
+    pub choice: Result<Choice, Unavailable>,
     /// Whether a lease was granted there.
     pub leased: bool,
     /// Whether fewer than half of the service's slots are taken, as far as the entry knows.
@@ -53,15 +53,15 @@
         let mut tried_before = None;
         loop {
             let (key, known) = match search.step() {
-                Step::Judge => {
-                    let known = self.choose(search.asked());
+                Step::Decide => {
+                    let known = self.choose(search.probed());
                     return self.best_known(&search, known, tried_before);
                 }
-                Step::Again(key) => (key, None),
-                Step::Another => {
-                    let known = self.choose(search.asked());
+                Step::Retry(key) => (key, None),
+                Step::Probe => {
+                    let known = self.choose(search.probed());
                     match known.0 {
-                        Ok(choice) if search.asked().contains(&choice.key) => {
+                        Ok(choice) if search.probed().contains(&choice.key) => {
                             search.exhausted();
                             continue;
                         }
@@ -71,12 +71,16 @@
                 }
             };
             let Some((sidecar, limits)) = self.sidecar_with_limits(key, limit) else {
-                let known = known.unwrap_or_else(|| self.choose(search.asked()));
+                let known = known.unwrap_or_else(|| self.choose(search.probed()));
                 return self.best_known(&search, known, tried_before);
             };
-            let again = search.asked().contains(&key);
-            let at = if again { limits.whole } else { limits.tight };
-            let ask = self.build_lease_request(key, sidecar, at, limits.whole);
+            let again = search.probed().contains(&key);
+            let at = if again {
+                limits.queued
+            } else {
+                limits.immediate
+            };
+            let ask = self.build_lease_request(key, sidecar, at, limits.queued);
             let answer = self.request_lease(&mut search, key, sidecar, &ask).await;
             tried_before = tried_before.max(answer.tried_before);
             if let Some(choice) = answer.choice {
@@ -84,7 +88,7 @@
                     choice: Ok(choice),
                     leased: true,
                     idle: false,
-                    asked: search.asked().len() as u32 + 1,
+                    asked: search.probed().len() as u32 + 1,
                     tried_before,
                 };
             }
@@ -97,12 +101,12 @@
     fn best_known(
         &self,
         search: &Search,
-        known: (Result<Choice, Shortage>, bool),
+        known: (Result<Choice, Unavailable>, bool),
         tried_before: Option<Duration>,
     ) -> Found {
         let (known, idle) = known;
         let now = self.gateway.knowledge.now();
-        let least = search.least().filter(|_| !idle);
+        let least = search.best().filter(|_| !idle);
         // The sidecar's estimate is better than this entry's: it knows the replica's actual load.
         let least = least.and_then(|(expected, key)| {
             let choice = self.expected_at(key, now)?;
@@ -112,7 +116,7 @@
             choice: least.map_or(known, Ok),
             leased: false,
             idle,
-            asked: search.asked().len() as u32,
+            asked: search.probed().len() as u32,
             tried_before,
         }
     }
@@ -125,14 +129,17 @@
         sidecar: SocketAddr,
         at: Duration,
         whole: Duration,
-    ) -> place::Ask {
+    ) -> lease::Request {
         let gateway = &self.gateway;
         let knowledge = &gateway.knowledge;
         let demand = self.job.demand();
         let known = self.first_try.is_some();
         let (_, late) = self.limits();
-        let told = gateway.refusals.borrow_mut().tell(sidecar, knowledge.now());
-        place::Ask {
+        let told = gateway
+            .rejections
+            .borrow_mut()
+            .take_pending(sidecar, knowledge.now());
+        lease::Request {
             from: Some(knowledge.identity.address),
             prompt: demand.prompt,
             output: demand.output,
@@ -153,12 +160,12 @@
         search: &mut Search,
         key: Key,
         sidecar: SocketAddr,
-        ask: &place::Ask,
+        ask: &lease::Request,
     ) -> Offer {
         let knowledge = &self.gateway.knowledge;
         let (within, note) = ((ANSWER_TIMEOUT, RENEWED_ANSWER_TIMEOUT), Note::default());
         let answer =
-            gossip::call_within::<_, Answer>(knowledge, sidecar, place::PATH, ask, within, &note);
+            gossip::call_within::<_, Response>(knowledge, sidecar, lease::PATH, ask, within, &note);
         let answer = answer.await;
         let now = knowledge.now();
         match answer {
@@ -171,10 +178,10 @@
                     let mut pool = self.gateway.pool.borrow_mut();
                     pool.report(address, &answer.load, now);
                 }
-                self.gateway.merge_refusals(&answer.refused, now);
+                self.gateway.merge_rejections(&answer.refused, now);
                 let tried_before = answer.tried_before_ms.map(Duration::from_millis);
                 if answer.dealt_out {
-                    self.gateway.pool.borrow_mut().dealt_out(key, now);
+                    self.gateway.pool.borrow_mut().mark_cold_exhausted(key, now);
                 }
                 let choice = self
                     .expected_by_sidecar(key, &answer, now)
@@ -185,8 +192,9 @@
                         tried_before,
                     };
                 }
-                let said = choice.map_or(Said::Nothing, |choice| Said::Later(choice.expected));
-                search.heard(key, said);
+                let said =
+                    choice.map_or(Reply::Unavailable, |choice| Reply::Queued(choice.expected));
+                search.record(key, said);
                 Offer {
                     choice: None,
                     tried_before,
@@ -199,13 +207,16 @@
                 );
                 let silent = matches!(
                     error,
-                    gossip::Error::Patience(patience::Error::NoAnswer { .. })
+                    gossip::Error::Patience(timeout::Error::NoAnswer { .. })
                 );
-                self.gateway.pool.borrow_mut().unheard(key, silent, now);
+                self.gateway
+                    .pool
+                    .borrow_mut()
+                    .mark_unresponsive(key, silent, now);
                 if silent {
-                    search.silent(key);
+                    search.timed_out(key);
                 } else {
-                    search.heard(key, Said::Nothing);
+                    search.record(key, Reply::Unavailable);
                 }
                 Offer::default()
             }
@@ -214,7 +225,7 @@
 
     /// The choice of the replica `key` with the estimate from the sidecar's `answer`, which is
     /// based on the engine's actual passes, corrected by what this entry knows of the link.
-    fn expected_by_sidecar(&self, key: Key, answer: &Answer, now: Time) -> Option<Choice> {
+    fn expected_by_sidecar(&self, key: Key, answer: &Response, now: Time) -> Option<Choice> {
         let choice = self.expected_at(key, now)?;
         let told = answer.expected_ms.map(Duration::from_millis);
         let expected = told.and_then(|told| self.corrected(key, told, now));
@@ -226,11 +237,13 @@
 
     fn corrected(&self, key: Key, told: Duration, now: Time) -> Option<Duration> {
         let pool = self.gateway.pool.borrow();
-        self.with_ask(&[], |ask| pool.corrected_at(key, ask, told, now))
+        self.with_query(&[], |ask| pool.corrected_estimate(key, ask, told, now))
     }
 
     fn expected_at(&self, key: Key, now: Time) -> Option<Choice> {
-        self.with_ask(&[], |ask| self.gateway.pool.borrow().expects(key, ask, now))
+        self.with_query(&[], |ask| {
+            self.gateway.pool.borrow().estimate(key, ask, now)
+        })
     }
 
     /// The sidecar of a replica and the limits for its estimate; `None` if it grants no leases or
@@ -240,7 +253,7 @@
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
         let left = limit.saturating_sub(now.since(self.job.arrived));
-        let limits = self.with_ask(&[], |ask| pool.limits(key, ask, left, now))?;
+        let limits = self.with_query(&[], |ask| pool.limits(key, ask, left, now))?;
         Some((sidecar, limits))
     }
 }
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -132,7 +132,12 @@
                 self.take_crashed(address, false);
                 // Callers may leave often, so an abandoned attempt alone causes no connection,
                 // unless the sidecar, which would know of a crash, has not reported recently.
-                if !asked && !self.pool.borrow().heard_of(address, self.knowledge.now()) {
+                if !asked
+                    && !self
+                        .pool
+                        .borrow()
+                        .recently_reported(address, self.knowledge.now())
+                {
                     asked = true;
                     self.clone().connect(address).await;
                 }
@@ -168,7 +173,7 @@
         };
         let pool = self.pool.borrow();
         let over = |suspect: &mut Suspect| {
-            refused || pool.outlived(address, suspect.instance.born, &suspect.known, now)
+            refused || pool.superseded(address, suspect.instance.born, &suspect.known, now)
         };
         let ended: Vec<Suspect> = watch.suspects.extract_if(.., over).collect();
         let Some(first) = ended.first() else {
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -21,9 +21,9 @@
 use super::{CONNECT_TIMEOUT, Gateway, IDLE_MAX};
 use crate::clock::Time;
 use crate::exchange::{self, Client, Note, Options, Request, Response, Reuse, answer};
-use crate::patience::Progress;
 use crate::route::notice::{self, Notice};
 use crate::run::{Call, Key, TOLD, Told};
+use crate::timeout::Progress;
 
 /// Time without data after which the response is also requested over a new connection. Events come
 /// every 0.1 s, and a pause of 0.4 s makes a stream late; a new connection delivers what has
@@ -376,7 +376,7 @@
                 Ok(Some(response))
             }
             Some(told) if self.received == 0 && told.not_run(self.handle.age()) => {
-                let notice = Notice::of(response.header(notice::HEADER));
+                let notice = Notice::parse(response.header(notice::HEADER));
                 let error = if notice.is_empty() {
                     Error::NotSent
                 } else {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -7,14 +7,14 @@
 use bytes::Bytes;
 use futures_util::{Stream, stream};
 
-use super::attempt::{self, Attempt, Reply};
+use super::attempt::{self, Attempt, Incoming};
 use super::dispatch::Dispatch;
 use super::event::Splitter;
 use super::reader::Reader;
 use crate::clock::Time;
 use crate::http::Answer;
-use crate::patience;
-use crate::route::health::Sign;
+use crate::route::health::Signal;
+use crate::timeout;
 
 /// Time without data after which a stream is resumed at another replica, if that is allowed.
 const SILENCE_MAX: Duration = Duration::from_millis(1_500);
@@ -28,13 +28,13 @@
     /// The end of the stream.
     End,
     /// A failure, and what it says about the replica's health.
-    Broken(String, Sign),
+    Broken(String, Signal),
     /// The request's deadline has passed.
     Expired,
 }
 
 fn broken(detail: &str) -> Step {
-    Step::Broken(detail.to_owned(), Sign::Broken)
+    Step::Broken(detail.to_owned(), Signal::Broken)
 }
 
 /// A stream on its way to the caller. Dropping it closes the connection to the replica.
@@ -49,13 +49,13 @@
 
 impl Relay {
     /// A relay of the response that has started.
-    pub fn new(mut dispatch: Dispatch, reply: Reply) -> Self {
-        let head = reply.head();
-        let Reply {
+    pub fn new(mut dispatch: Dispatch, incoming: Incoming) -> Self {
+        let head = incoming.head();
+        let Incoming {
             attempt,
             response,
             version,
-        } = reply;
+        } = incoming;
         dispatch.pinned_version = version;
         Self {
             splitter: Splitter::after(dispatch.job.meta.last_event),
@@ -144,7 +144,7 @@
         self.dispatch.trace.first = Some(first);
         self.dispatch.gateway.instruments.record_first_event(first);
         self.attempt
-            .record_health(Sign::Whole(self.attempt.elapsed()));
+            .record_health(Signal::Success(self.attempt.elapsed()));
     }
 
     async fn step(&mut self) -> Step {
@@ -159,22 +159,22 @@
         // A stream that cannot fail over waits even on a silent connection.
         self.response.set_guarded(can_fail_over);
         let clock = self.dispatch.gateway.knowledge.clock;
-        match patience::within(|| clock.now(), patience, self.response.next()).await {
+        match timeout::within(|| clock.now(), patience, self.response.next()).await {
             Some(Some(Ok(bytes))) => match self.splitter.push(bytes) {
                 Ok(events) if events.is_empty() => Step::Part,
                 Ok(events) => Step::Events(events),
-                Err(error) => Step::Broken(error.to_string(), Sign::Broken),
+                Err(error) => Step::Broken(error.to_string(), Signal::Broken),
             },
             Some(Some(Err(error))) => Step::Broken(error.to_string(), attempt::sign(&error)),
             Some(None) if self.splitter.is_partial() => broken("the stream ended inside an event"),
             Some(None) => Step::End,
             None if patience == remaining => Step::Expired,
-            None => Step::Broken("the replica is silent".to_owned(), Sign::Silent),
+            None => Step::Broken("the replica is silent".to_owned(), Signal::TimedOut),
         }
     }
 
     /// Resumes the stream at another replica, after the last complete event.
-    async fn resume(&mut self, detail: String, sign: Sign) -> bool {
+    async fn resume(&mut self, detail: String, sign: Signal) -> bool {
         let passed = self.splitter.forwarded();
         let detail = format!("{detail} after {passed} events");
         let mut failure = self.attempt.broken(&self.dispatch.job, detail, sign);
@@ -196,11 +196,12 @@
             }
             let last = self.splitter.last();
             match self.dispatch.attempt(choice, last).await {
-                Ok(reply) => {
+                Ok(incoming) => {
                     self.splitter.discard_partial();
-                    self.attempt = reply.attempt;
-                    self.response = reply.response;
-                    self.dispatch.pinned_version = self.dispatch.pinned_version.or(reply.version);
+                    self.attempt = incoming.attempt;
+                    self.response = incoming.response;
+                    self.dispatch.pinned_version =
+                        self.dispatch.pinned_version.or(incoming.version);
                     log::info!(
                         request = self.dispatch.job.meta.id.as_str(),
                         replica = &*self.attempt.instance.id,
--- a/src/limit.rs
+++ b/src/limit.rs
@@ -1,7 +1,7 @@
 //! Limits: what a target or a customer may have in progress, judged before any queue.
 
 pub mod admission;
-pub mod returning;
+pub mod retry;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -89,12 +89,12 @@
     }
 
     /// Requests in progress on one version.
-    pub fn of(&self, version: Digest) -> usize {
+    pub fn on_version(&self, version: Digest) -> usize {
         self.by_version.get(&version).copied().unwrap_or(0)
     }
 
     /// Judges a request with `remaining` until its deadline.
-    pub fn judge(&self, priority: Priority, remaining: Duration) -> Result<(), Refusal> {
+    pub fn check(&self, priority: Priority, remaining: Duration) -> Result<(), Refusal> {
         let capacity = self.capacity();
         if self.total < capacity {
             return Ok(());
@@ -167,7 +167,7 @@
     }
 
     /// Requests in progress of one customer.
-    pub fn of(&self, customer: &str) -> u32 {
+    pub fn in_flight(&self, customer: &str) -> u32 {
         self.in_flight.get(customer).copied().unwrap_or(0)
     }
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -11,16 +11,16 @@
 use pumicelatch::config::residency::{Regions, Residency};
 use pumicelatch::config::routing::Engine;
 use pumicelatch::gateway::event::Splitter;
-use pumicelatch::limit::admission::{self, Bounds, Case, Verdict};
+use pumicelatch::limit::admission::{self, Bounds, Input, Verdict};
 use pumicelatch::member::replica::{LoadedModel, Record};
 use pumicelatch::policy::Policy;
 use pumicelatch::request::Outcome;
 use pumicelatch::request::attempt::{self, Ended, Next, Situation};
 use pumicelatch::request::budget::{Budget, Setting};
-use pumicelatch::route::estimate::{self, Demand, Work};
-use pumicelatch::route::health::{Health, Sign};
-use pumicelatch::route::pool::{Ask, Key, ModelNeed, Pool, Shortage};
-use pumicelatch::route::replica::{Due, Load};
+use pumicelatch::route::estimate::{self, Backlog, Demand};
+use pumicelatch::route::health::{Health, Signal};
+use pumicelatch::route::pool::{Key, ModelQuery, Pool, Query, Unavailable};
+use pumicelatch::route::replica::{Load, Schedule};
 use pumicelatch::sidecar::trip::Trips;
 use pumicelatch::version::rollout;
 use pumicelatch::weight::Digest;
@@ -79,7 +79,7 @@
     }
 }
 
-fn pool_of(records: Vec<Record>, due: Option<Due>) -> Pool {
+fn pool_of(records: Vec<Record>, due: Option<Schedule>) -> Pool {
     let mut pool = Pool::new("lis-a".into(), Policy::default());
     let list: BTreeMap<Arc<str>, ListedReplica> = records
         .into_iter()
@@ -89,34 +89,34 @@
     pool
 }
 
-struct Query {
+struct Request {
     engine: Engine,
     tried: Vec<Key>,
-    oldest: u64,
-    only: Option<u64>,
+    min_version: u64,
+    pinned_version: Option<u64>,
     regions: Regions,
 }
 
-impl Default for Query {
+impl Default for Request {
     fn default() -> Self {
         Self {
             engine: engine(),
             tried: Vec::new(),
-            oldest: 0,
-            only: None,
+            min_version: 0,
+            pinned_version: None,
             regions: Regions::default(),
         }
     }
 }
 
-impl Query {
-    fn ask(&self) -> Ask<'_> {
-        Ask {
+impl Request {
+    fn query(&self) -> Query<'_> {
+        Query {
             service: "tutor",
-            model: Some(ModelNeed {
+            model: Some(ModelQuery {
                 model: MODEL,
-                oldest: self.oldest,
-                only: self.only,
+                min_version: self.min_version,
+                pinned_version: self.pinned_version,
             }),
             engine: Some(&self.engine),
             demand: Demand {
@@ -132,9 +132,9 @@
         }
     }
 
-    fn choose(&self, pool: &Pool, now: Time) -> Result<String, Shortage> {
+    fn choose(&self, pool: &Pool, now: Time) -> Result<String, Unavailable> {
         let mut rng = SmallRng::seed_from_u64(7);
-        let choice = pool.choose(self.ask(), now, &mut rng)?;
+        let choice = pool.choose(self.query(), now, &mut rng)?;
         Ok(pool.get(choice.key).unwrap().record.id.to_string())
     }
 }
@@ -162,12 +162,12 @@
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     pool.report(address(1), &report(4, 3, 1), NOW);
     pool.report(address(2), &report(6, 0, 1), NOW);
-    assert_eq!(Query::default().choose(&pool, NOW).unwrap(), "i-2");
+    assert_eq!(Request::default().choose(&pool, NOW).unwrap(), "i-2");
 }
 
 /// How many of 100 entries with the same reports choose each replica.
 fn choices_of_100_entries(loads: &[(u32, u32)]) -> Vec<u32> {
-    let query = Query::default();
+    let request = Request::default();
     let mut chosen = vec![0; loads.len()];
     for entry in 0..100 {
         let hosts = 1..=loads.len() as u8;
@@ -176,7 +176,7 @@
             pool.report(address(host), &report(running, queued, 1), NOW);
         }
         let mut rng = SmallRng::seed_from_u64(entry);
-        let choice = pool.choose(query.ask(), NOW, &mut rng).unwrap();
+        let choice = pool.choose(request.query(), NOW, &mut rng).unwrap();
         let host = pool.get(choice.key).unwrap().record.address;
         let host = (1..).zip(loads).find(|(index, _)| address(*index) == host);
         chosen[usize::from(host.unwrap().0) - 1] += 1;
@@ -207,22 +207,22 @@
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     pool.report(address(1), &report(0, 0, 1), NOW);
     pool.report(address(2), &report(16, 9, 1), NOW);
-    let keys = pool.of("tutor").to_vec();
+    let keys = pool.by_service("tutor").to_vec();
     let first = |key: &&Key| pool.get(**key).unwrap().record.address == address(1);
     let first = *keys.iter().find(first).unwrap();
-    let query = Query::default();
+    let request = Request::default();
     let mut rng = SmallRng::seed_from_u64(7);
     let full = [first];
-    let ask = Ask {
+    let query = Query {
         full: &full,
-        ..query.ask()
+        ..request.query()
     };
-    assert_ne!(pool.choose(ask, NOW, &mut rng).unwrap().key, first);
-    let ask = Ask {
+    assert_ne!(pool.choose(query, NOW, &mut rng).unwrap().key, first);
+    let query = Query {
         full: &keys,
-        ..query.ask()
+        ..request.query()
     };
-    assert_eq!(pool.choose(ask, NOW, &mut rng).unwrap().key, first);
+    assert_eq!(pool.choose(query, NOW, &mut rng).unwrap().key, first);
 }
 
 #[test]
@@ -231,27 +231,27 @@
     for host in [1, 2] {
         pool.report(address(host), &report(2, 0, 1), NOW);
     }
-    let key = pool.of("tutor")[0];
+    let key = pool.by_service("tutor")[0];
     let id = pool.get(key).unwrap().record.id.clone();
-    assert!(pool.gives_places(key, NOW));
-    pool.unheard(key, true, NOW);
-    assert!(!pool.gives_places(key, NOW));
-    assert_ne!(Query::default().choose(&pool, NOW).unwrap(), *id);
+    assert!(pool.grants_leases(key, NOW));
+    pool.mark_unresponsive(key, true, NOW);
+    assert!(!pool.grants_leases(key, NOW));
+    assert_ne!(Request::default().choose(&pool, NOW).unwrap(), *id);
     let later = NOW + Duration::from_millis(1_100);
-    assert!(pool.gives_places(key, later));
+    assert!(pool.grants_leases(key, later));
 }
 
 #[test]
 fn a_replica_counts_as_queueing_only_while_a_recent_report_says_so() {
     let mut pool = pool_of(vec![record(1, 1)], None);
-    let key = pool.of("tutor")[0];
-    assert!(!pool.queues(key, NOW), "no report says so");
+    let key = pool.by_service("tutor")[0];
+    assert!(!pool.has_queue(key, NOW), "no report says so");
     pool.report(address(1), &report(15, 0, 1), NOW);
-    assert!(!pool.queues(key, NOW), "a slot is free");
+    assert!(!pool.has_queue(key, NOW), "a slot is free");
     pool.report(address(1), &report(16, 4, 1), NOW);
-    assert!(pool.queues(key, NOW));
+    assert!(pool.has_queue(key, NOW));
     assert!(
-        !pool.queues(key, NOW + Duration::from_secs(3)),
+        !pool.has_queue(key, NOW + Duration::from_secs(3)),
         "the report is stale"
     );
     let dead = Load {
@@ -259,7 +259,7 @@
         ..report(16, 4, 1)
     };
     pool.report(address(1), &dead, NOW);
-    assert!(!pool.queues(key, NOW), "the replica is dead");
+    assert!(!pool.has_queue(key, NOW), "the replica is dead");
 }
 
 #[test]
@@ -269,15 +269,15 @@
     for host in [1, 2] {
         pool.report(address(host), &report(2, 0, 1), NOW);
     }
-    assert_eq!(pool.changed("lis-a"), Some(NOW));
+    assert_eq!(pool.last_availability_change("lis-a"), Some(NOW));
     pool.report(address(1), &report(9, 3, 1), at(100));
-    assert_eq!(pool.changed("lis-a"), Some(NOW));
+    assert_eq!(pool.last_availability_change("lis-a"), Some(NOW));
     let switching = Load {
         switching: true,
         ..report(9, 3, 1)
     };
     pool.report(address(2), &switching, at(200));
-    assert_eq!(pool.changed("lis-a"), Some(at(200)));
+    assert_eq!(pool.last_availability_change("lis-a"), Some(at(200)));
     let told = pool.reports_since("lis-a", at(150), at(210));
     assert_eq!(told.len(), 1);
     assert!(told[0].address == address(2) && told[0].load.switching && told[0].age_ms == 10);
@@ -296,14 +296,17 @@
         ..report(0, 0, 1)
     };
     pool.report(address(2), &dead, NOW);
-    assert_eq!(Query::default().choose(&pool, NOW).unwrap(), "i-3");
+    assert_eq!(Request::default().choose(&pool, NOW).unwrap(), "i-3");
     let third = *pool
-        .of("tutor")
+        .by_service("tutor")
         .iter()
         .find(|key| &*pool.get(**key).unwrap().record.id == "i-3")
         .unwrap();
-    pool.deny(third);
-    assert_eq!(Query::default().choose(&pool, NOW), Err(Shortage::NoneFit));
+    pool.invalidate(third);
+    assert_eq!(
+        Request::default().choose(&pool, NOW),
+        Err(Unavailable::NoneEligible)
+    );
 }
 
 #[test]
@@ -313,54 +316,54 @@
         ..record(1, 1)
     };
     let pool = pool_of(vec![empty, record(2, 1), record(3, 2)], None);
-    let oldest = Query {
-        oldest: 2,
-        ..Query::default()
+    let oldest = Request {
+        min_version: 2,
+        ..Request::default()
     };
     assert_eq!(oldest.choose(&pool, NOW).unwrap(), "i-3");
-    let only = Query {
-        only: Some(1),
-        ..Query::default()
+    let only = Request {
+        pinned_version: Some(1),
+        ..Request::default()
     };
     assert_eq!(only.choose(&pool, NOW).unwrap(), "i-2");
 }
 
 #[test]
 fn no_request_is_sent_that_would_start_on_an_old_version_after_its_bound() {
-    let due = Due {
-        named: vec![DesiredVersion {
+    let due = Schedule {
+        versions: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
         }],
-        begins: Duration::from_millis(5_000),
-        bound: Duration::from_millis(7_400),
+        drain_after: Duration::from_millis(5_000),
+        cutoff: Duration::from_millis(7_400),
     };
     let mut pool = pool_of(vec![record(1, 1)], Some(due));
     let at = |millis| NOW + Duration::from_millis(millis);
-    assert!(Query::default().choose(&pool, at(1_000)).is_ok());
+    assert!(Request::default().choose(&pool, at(1_000)).is_ok());
     assert_eq!(
-        Query::default().choose(&pool, at(7_390)),
-        Err(Shortage::NoneFit)
+        Request::default().choose(&pool, at(7_390)),
+        Err(Unavailable::NoneEligible)
     );
     // Behind a queue, a request would wait too long even if sent slightly earlier.
     pool.report(address(1), &report(16, 8, 1), at(6_900));
     assert_eq!(
-        Query::default().choose(&pool, at(6_900)),
-        Err(Shortage::NoneFit)
+        Request::default().choose(&pool, at(6_900)),
+        Err(Unavailable::NoneEligible)
     );
 }
 
 #[test]
 fn a_request_that_outlasts_a_version_change_goes_to_a_replica_that_changes_later() {
-    let due = |begins| Due {
-        named: vec![DesiredVersion {
+    let due = |begins| Schedule {
+        versions: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
         }],
-        begins: Duration::from_millis(begins),
-        bound: Duration::from_millis(7_400),
+        drain_after: Duration::from_millis(begins),
+        cutoff: Duration::from_millis(7_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
     let list: BTreeMap<Arc<str>, ListedReplica> = [record(1, 1), record(2, 1)]
@@ -372,7 +375,7 @@
     });
     let now = NOW + Duration::from_millis(4_000);
     for _ in 0..5 {
-        assert_eq!(Query::default().choose(&pool, now).unwrap(), "i-2");
+        assert_eq!(Request::default().choose(&pool, now).unwrap(), "i-2");
     }
 }
 
@@ -380,14 +383,14 @@
 /// a rollout, most replicas miss the time planned for their change and still serve the old version.
 #[test]
 fn replicas_with_an_overdue_version_change_are_not_avoided() {
-    let named = |begins_ms| Due {
-        named: vec![DesiredVersion {
+    let named = |begins_ms| Schedule {
+        versions: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
         }],
-        begins: Duration::from_millis(begins_ms),
-        bound: Duration::from_millis(9_400),
+        drain_after: Duration::from_millis(begins_ms),
+        cutoff: Duration::from_millis(9_400),
     };
     let mut pool = Pool::new("lis-a".into(), Policy::default());
     let list: BTreeMap<Arc<str>, ListedReplica> = (1..=5)
@@ -404,14 +407,14 @@
         pool.report(address(host), &report(4, 0, 1), now);
     }
     pool.report(address(5), &report(16, 4, 1), now);
-    assert_ne!(Query::default().choose(&pool, now).unwrap(), "i-5");
+    assert_ne!(Request::default().choose(&pool, now).unwrap(), "i-5");
 }
 
 #[test]
 fn a_replica_with_overdue_first_events_is_avoided() {
     let mut pool = pool_of(vec![record(1, 1), record(2, 1)], None);
     let key = |pool: &Pool, id: &str| {
-        let keys = pool.of("tutor").to_vec();
+        let keys = pool.by_service("tutor").to_vec();
         keys.into_iter()
             .find(|key| &*pool.get(*key).unwrap().record.id == id)
             .unwrap()
@@ -420,20 +423,20 @@
     pool.begin(first, Demand::default(), Duration::from_millis(100), NOW);
     let later = NOW + Duration::from_millis(600);
     for _ in 0..5 {
-        assert_eq!(Query::default().choose(&pool, later).unwrap(), "i-2");
+        assert_eq!(Request::default().choose(&pool, later).unwrap(), "i-2");
     }
 }
 
 /// Change to version 2, announced now, with its bound after 7.4 s.
-fn due_in_7_seconds() -> Due {
-    Due {
-        named: vec![DesiredVersion {
+fn due_in_7_seconds() -> Schedule {
+    Schedule {
+        versions: vec![DesiredVersion {
             version: 2,
             revision: 1,
             since: NOW,
         }],
-        begins: Duration::from_millis(7_000),
-        bound: Duration::from_millis(7_400),
+        drain_after: Duration::from_millis(7_000),
+        cutoff: Duration::from_millis(7_400),
     }
 }
 
@@ -448,9 +451,13 @@
     for (after, fits) in [(4_000, true), (5_000, false)] {
         let now = NOW + Duration::from_millis(after);
         pool.report(address(1), &slow, now);
-        assert_eq!(Query::default().choose(&pool, now).is_ok(), fits, "{after}");
+        assert_eq!(
+            Request::default().choose(&pool, now).is_ok(),
+            fits,
+            "{after}"
+        );
         pool.report(address(1), &report(2, 0, 1), now);
-        assert!(Query::default().choose(&pool, now).is_ok());
+        assert!(Request::default().choose(&pool, now).is_ok());
     }
 }
 
@@ -460,7 +467,7 @@
     pool.report(address(1), &report(0, 0, 1), NOW);
     let later = NOW + Duration::from_millis(2_600);
     pool.report(address(2), &report(3, 0, 1), later);
-    assert_eq!(Query::default().choose(&pool, later).unwrap(), "i-2");
+    assert_eq!(Request::default().choose(&pool, later).unwrap(), "i-2");
 }
 
 #[test]
@@ -481,8 +488,8 @@
     let mut pool = pool_of(vec![record(1, 1)], None);
     pool.update(&BTreeMap::new(), |_| None);
     assert_eq!(
-        Query::default().choose(&pool, NOW),
-        Err(Shortage::NoneListed)
+        Request::default().choose(&pool, NOW),
+        Err(Unavailable::NoneListed)
     );
 }
 
@@ -493,9 +500,9 @@
         prompt: 979,
         output: 92,
     };
-    let work = |requests, unread| Work {
+    let work = |requests, unread| Backlog {
         requests,
-        unread,
+        prompt_tokens: unread,
         pace: 1.0,
     };
     let spread = Policy::default().queue_spread;
@@ -511,18 +518,18 @@
 fn a_replica_that_fails_more_often_than_others_is_paused_and_tried_again() {
     let mut health = Health::default();
     for _ in 0..6 {
-        health.note(Sign::Failed, 0.1, NOW);
+        health.record(Signal::Failed, 0.1, NOW);
     }
     assert!(health.paused(NOW));
     assert!(!health.paused(health.paused_until()));
     let mut usual = Health::default();
     for step in 0..50 {
         let sign = if step % 7 == 0 {
-            Sign::Failed
+            Signal::Failed
         } else {
-            Sign::Whole(Duration::ZERO)
+            Signal::Success(Duration::ZERO)
         };
-        usual.note(sign, 0.14, NOW);
+        usual.record(sign, 0.14, NOW);
         assert!(!usual.paused(NOW), "it fails no more often than others");
     }
 }
@@ -534,14 +541,14 @@
             return TestResult::discard();
         }
         let objective = Duration::from_millis(u64::from(objective));
-        let case = Case {
+        let case = Input {
             elapsed: Duration::from_millis(u64::from(elapsed)),
             remaining: Duration::from_secs(6),
             expected: Some(Duration::from_millis(u64::from(expected))),
         };
         let quarter = objective / 4;
         TestResult::from_bool(
-            match admission::judge(case, Bounds::new(objective, objective)) {
+            match admission::evaluate(case, Bounds::new(objective, objective)) {
                 Verdict::Send => case.elapsed + case.expected.unwrap() <= objective,
                 Verdict::Wait(pause) => case.elapsed + pause <= quarter,
                 Verdict::Refuse { retry_after } => !retry_after.is_zero(),
@@ -848,15 +855,15 @@
 #[test]
 fn a_list_with_weights_that_replicas_have_lost_is_detected() {
     let mut pool = pool_of((1..=4).map(|host| record(host, 1)).collect(), None);
-    assert!(!pool.mostly_denied("tutor"));
-    let keys = pool.of("tutor").to_vec();
-    pool.deny(keys[0]);
+    assert!(!pool.mostly_invalidated("tutor"));
+    let keys = pool.by_service("tutor").to_vec();
+    pool.invalidate(keys[0]);
     assert!(
-        !pool.mostly_denied("tutor"),
+        !pool.mostly_invalidated("tutor"),
         "a single replica may just have been replaced"
     );
-    pool.deny(keys[1]);
-    assert!(pool.mostly_denied("tutor"));
+    pool.invalidate(keys[1]);
+    assert!(pool.mostly_invalidated("tutor"));
 }
 
 #[test]
@@ -869,14 +876,18 @@
         ..report(0, 0, 1)
     };
     pool.report(address(1), &progress(0), NOW);
-    assert_eq!(pool.arrival("tutor", NOW), None, "no chunk has arrived yet");
+    assert_eq!(
+        pool.weights_eta("tutor", NOW),
+        None,
+        "no chunk has arrived yet"
+    );
     let later = NOW + Duration::from_millis(500);
     pool.report(address(1), &progress(16), later);
-    let arrival = pool.arrival("tutor", later).unwrap();
+    let arrival = pool.weights_eta("tutor", later).unwrap();
     // 48 more chunks at 32 per second, and the time to load them.
     assert!(arrival > Duration::from_millis(1_500) && arrival < Duration::from_millis(2_500));
-    let nearer = pool.arrival("tutor", later + Duration::from_millis(300));
+    let nearer = pool.weights_eta("tutor", later + Duration::from_millis(300));
     assert_eq!(nearer, Some(arrival - Duration::from_millis(300)));
     pool.report(address(1), &report(0, 0, 1), later);
-    assert_eq!(pool.arrival("tutor", later), None, "it holds them");
+    assert_eq!(pool.weights_eta("tutor", later), None, "it holds them");
 }
