--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -160,7 +160,7 @@
     bursts: Manager,
     halls: RefCell<Polls>,
     hub: RefCell<Hub>,
-    /// Recently refused requests, here or at other entries.
+    /// Recently rejected requests, here or at other entries.
     rejections: RefCell<Rejections>,
     suspects: RefCell<poison::Suspects>,
 }
@@ -474,10 +474,10 @@
             let list = catalog.replicas();
             let rollout = self.knowledge.rollout(self.setting.rollout);
             let waves = self.waves(&catalog, rollout.waves);
-            let due = |record: &Record| self.due(&catalog, rollout, &waves, record);
+            let schedule = |record: &Record| self.schedule(&catalog, rollout, &waves, record);
             let evacuated = catalog.evacuations().active().cloned().collect();
             let mut pool = self.pool.borrow_mut();
-            pool.update(list, due);
+            pool.update(list, schedule);
             pool.set_evacuated(evacuated);
             pool.refresh_cold(self.knowledge.now());
         }
@@ -508,7 +508,7 @@
     }
 
     /// The version changes ahead of a replica, timed as its sidecar will carry them out.
-    fn due(
+    fn schedule(
         &self,
         catalog: &Catalog,
         rollout: rollout::Setting,
@@ -556,18 +556,18 @@
         })
     }
 
-    /// When the caller first tried a request that was refused before.
+    /// When the caller first tried a request that was rejected before.
     fn first_try(&self, job: &Job) -> Option<Time> {
         let rejections = self.rejections.borrow();
         rejections.first_try(job.fingerprint, job.arrived)
     }
 
-    /// Merges refusals that another process reported.
+    /// Merges rejections that another process reported.
     fn merge_rejections(&self, told: &[Rejection], now: Time) {
         self.rejections.borrow_mut().merge(told, now);
     }
 
-    /// Records a refused request whose caller first tried at `first`. Only requests to engines are
+    /// Records a rejected request whose caller first tried at `first`. Only requests to engines are
     /// recorded: other services are rarely short of capacity.
     fn record_rejection(&self, job: &Job, first: Time) {
         if job.meta.inference.is_none() {
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -169,12 +169,12 @@
     }
 
     /// Records a sign of the replica's health.
-    pub fn record_health(&self, sign: Signal) {
+    pub fn record_health(&self, signal: Signal) {
         let now = self.gateway.knowledge.now();
         self.gateway
             .pool
             .borrow_mut()
-            .record_health(self.key, sign, now);
+            .record_health(self.key, signal, now);
     }
 
     /// Time since the attempt began.
@@ -188,8 +188,8 @@
         self.gateway.instruments.count_attempt("whole");
     }
 
-    fn fail(&self, job: &Job, ended: Ended, sign: Signal, detail: String) -> Failure {
-        self.record_health(sign);
+    fn fail(&self, job: &Job, ended: Ended, signal: Signal, detail: String) -> Failure {
+        self.record_health(signal);
         if ended != Ended::Broken {
             self.outcome_known.set(true);
         }
@@ -209,11 +209,11 @@
     }
 
     /// A failure after bytes were sent: the response is missing, invalid or incomplete.
-    pub fn broken(&self, job: &Job, detail: String, sign: Signal) -> Failure {
-        if sign == Signal::Broken {
+    pub fn broken(&self, job: &Job, detail: String, signal: Signal) -> Failure {
+        if signal == Signal::Broken {
             self.suspect(Observation::Broken);
         }
-        self.fail(job, Ended::Broken, sign, detail)
+        self.fail(job, Ended::Broken, signal, detail)
     }
 
     /// Has the replica checked for a crash, unless its fate is known or it is leaving: a
@@ -235,7 +235,7 @@
     }
 
     fn exchange_failed(&self, job: &Job, error: &exchange::Error) -> Failure {
-        self.broken(job, error.to_string(), sign(error))
+        self.broken(job, error.to_string(), signal(error))
     }
 
     /// Sends the request and reads the head of the response.
@@ -390,12 +390,12 @@
             Classification::NotRun => {
                 let detail = format!("the replica answered {status}, not run");
                 // A replica that asks for backoff is healthy.
-                let sign = if notice.backoff.is_some() {
+                let signal = if notice.backoff.is_some() {
                     Signal::Neutral
                 } else {
                     Signal::Refused
                 };
-                Err(self.fail(job, Ended::Refused, sign, detail))
+                Err(self.fail(job, Ended::Refused, signal, detail))
             }
             Classification::Misdirected => {
                 // The request named no version, so the address must belong to another replica.
@@ -444,7 +444,7 @@
 
 /// What a failed exchange says about the replica's health: nothing if connections to other peers
 /// went silent as well.
-pub fn sign(error: &exchange::Error) -> Signal {
+pub fn signal(error: &exchange::Error) -> Signal {
     match error {
         exchange::Error::Silent => Signal::Neutral,
         _ => Signal::Broken,
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -36,7 +36,7 @@
 const CONNECTIONS_MIN: u32 = 3;
 
 /// Sidecars that are asked for a lease each time a waiting request is judged again.
-const ASKS_PER_RECHECK: u32 = 1;
+const LEASE_REQUESTS_PER_RECHECK: u32 = 1;
 
 /// Service time that another attempt needs: none is made unless more is left before the deadline.
 const RETRY_TIME_MIN: Duration = Duration::from_millis(30);
@@ -209,12 +209,12 @@
         }
         let now = self.gateway.knowledge.now();
         let refusal = Refusal::new(Code::NoReplica, detail);
-        let rest = {
+        let backoff = {
             let pool = self.gateway.pool.borrow();
-            self.with_query(&[], |ask| pool.backoff(ask, now))
+            self.with_query(&[], |query| pool.backoff(query, now))
         };
-        if let Some(rest) = rest {
-            return refusal.retry_after(self.delay_after_rest(rest));
+        if let Some(backoff) = backoff {
+            return refusal.retry_after(self.delay_after_backoff(backoff));
         }
         let outage = self
             .gateway
@@ -231,7 +231,7 @@
     /// Finds a replica for the request, waiting for a short time if need be, or refuses the
     /// request.
     pub(super) async fn admit(&mut self) -> Result<Choice, Refusal> {
-        let mut asks = self.gateway.setting.policy.lease_requests;
+        let mut lease_requests = self.gateway.setting.policy.lease_requests;
         loop {
             let chosen_before = self.trace.sent + self.connect_failures > 0;
             let limit = if chosen_before {
@@ -240,7 +240,7 @@
             } else {
                 self.limit()
             };
-            let found = self.find_replica(asks, limit).await;
+            let found = self.find_replica(lease_requests, limit).await;
             if let Some(age) = found.tried_before {
                 self.record_earlier_try(age);
             }
@@ -251,15 +251,17 @@
             if chosen_before {
                 return choice
                     .and_then(|choice| self.check_cold(choice, found.leased))
-                    .map_err(|shortage| self.refusal_after(Ended::Refused, shortage.to_string()));
+                    .map_err(|unavailable| {
+                        self.refusal_after(Ended::Refused, unavailable.to_string())
+                    });
             }
             if found.leased {
-                return choice.map_err(|shortage| self.shortage(shortage));
+                return choice.map_err(|unavailable| self.unavailable(unavailable));
             }
-            asks = asks.min(ASKS_PER_RECHECK);
+            lease_requests = lease_requests.min(LEASE_REQUESTS_PER_RECHECK);
             let now = self.gateway.knowledge.now();
             let remaining = self.job.remaining(now);
-            let case = Input {
+            let input = Input {
                 elapsed: now.since(self.job.arrived),
                 remaining,
                 expected: choice.as_ref().ok().map(|choice| choice.expected),
@@ -267,12 +269,12 @@
             let verdict = if idle {
                 Verdict::Send
             } else {
-                admission::evaluate(case, Bounds::new(self.job.objective(), limit))
+                admission::evaluate(input, Bounds::new(self.job.objective(), limit))
             };
             match (verdict, choice) {
                 (Verdict::Send, Ok(choice)) => {
                     let choice = self.check_cold(choice, found.leased);
-                    return choice.map_err(|shortage| self.shortage(shortage));
+                    return choice.map_err(|unavailable| self.unavailable(unavailable));
                 }
                 (Verdict::Wait(pause), _) => sleep(pause).await,
                 (Verdict::Refuse { retry_after }, Ok(choice)) => {
@@ -284,30 +286,30 @@
                     let refusal = Refusal::new(Code::Overload, detail);
                     return Err(refusal.retry_after(retry_after));
                 }
-                (_, Err(shortage)) => return Err(self.shortage(shortage)),
+                (_, Err(unavailable)) => return Err(self.unavailable(unavailable)),
             }
         }
     }
 
-    fn shortage(&self, shortage: Unavailable) -> Refusal {
+    fn unavailable(&self, unavailable: Unavailable) -> Refusal {
         let remaining = self.job.remaining(self.gateway.knowledge.now());
-        let refusal = Refusal::new(Code::NoReplica, shortage.to_string());
-        refusal.retry_after(match shortage {
-            Unavailable::BackingOff { remaining: rest } => self.delay_after_rest(rest),
+        let refusal = Refusal::new(Code::NoReplica, unavailable.to_string());
+        refusal.retry_after(match unavailable {
+            Unavailable::BackingOff { remaining: backoff } => self.delay_after_backoff(backoff),
             _ => self.weights_retry_delay(remaining),
         })
     }
 
     /// Delay that the caller is asked for if all replicas asked for backoff and the shortest lasts
-    /// for `rest`: not less, and with jitter so that callers do not all return at once.
-    fn delay_after_rest(&self, rest: Duration) -> Duration {
+    /// for `backoff`: not less, and with jitter so that callers do not all return at once.
+    fn delay_after_backoff(&self, backoff: Duration) -> Duration {
         let apart = self
             .gateway
             .knowledge
             .rng
             .borrow_mut()
             .random_range(0.0..1.0);
-        rest + RETRY_JITTER.mul_f64(apart)
+        backoff + RETRY_JITTER.mul_f64(apart)
     }
 
     /// The limit on the time from arrival to first event.
@@ -353,11 +355,11 @@
         let gateway = &self.gateway;
         gateway.refresh_pool();
         let now = gateway.knowledge.now();
-        self.with_query(full, |ask| {
+        self.with_query(full, |query| {
             let pool = gateway.pool.borrow();
             let mut rng = gateway.knowledge.rng.borrow_mut();
-            let choice = pool.choose(ask, now, &mut *rng);
-            let (taken, places) = pool.occupancy(ask, now);
+            let choice = pool.choose(query, now, &mut *rng);
+            let (taken, places) = pool.occupancy(query, now);
             (choice, taken * 2 < places)
         })
     }
@@ -410,13 +412,13 @@
     }
 
     /// The ration of the replica `key`, if it is cold and its rate is limited.
-    pub(super) fn ration(&self, key: Key) -> Option<Throttle> {
+    pub(super) fn throttle(&self, key: Key) -> Option<Throttle> {
         let per_s = self.cold_per_s();
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
-        let rest = pool.get(key)?.cold_remaining(now);
-        (per_s > 0.0 && !rest.is_zero()).then_some(Throttle {
-            rest_ms: rest.as_millis() as u64,
+        let remaining = pool.get(key)?.cold_remaining(now);
+        (per_s > 0.0 && !remaining.is_zero()).then_some(Throttle {
+            rest_ms: remaining.as_millis() as u64,
             per_s,
         })
     }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -46,10 +46,10 @@
 }
 
 impl Dispatch {
-    /// Asks up to `asks` sidecars for a lease with which the first event is expected within
-    /// `limit`.
-    pub(super) async fn find_replica(&self, asks: u32, limit: Duration) -> Found {
-        let mut search = Search::new(asks, limit);
+    /// Asks up to `lease_requests` sidecars for a lease with which the first event is expected
+    /// within `limit`.
+    pub(super) async fn find_replica(&self, lease_requests: u32, limit: Duration) -> Found {
+        let mut search = Search::new(lease_requests, limit);
         let mut tried_before = None;
         loop {
             let (key, known) = match search.step() {
@@ -80,8 +80,10 @@
             } else {
                 limits.immediate
             };
-            let ask = self.build_lease_request(key, sidecar, at, limits.queued);
-            let answer = self.request_lease(&mut search, key, sidecar, &ask).await;
+            let request = self.build_lease_request(key, sidecar, at, limits.queued);
+            let answer = self
+                .request_lease(&mut search, key, sidecar, &request)
+                .await;
             tried_before = tried_before.max(answer.tried_before);
             if let Some(choice) = answer.choice {
                 return Found {
@@ -106,14 +108,14 @@
     ) -> Found {
         let (known, idle) = known;
         let now = self.gateway.knowledge.now();
-        let least = search.best().filter(|_| !idle);
+        let best = search.best().filter(|_| !idle);
         // The sidecar's estimate is better than this entry's: it knows the replica's actual load.
-        let least = least.and_then(|(expected, key)| {
+        let best = best.and_then(|(expected, key)| {
             let choice = self.expected_at(key, now)?;
             Some(Choice { expected, ..choice })
         });
         Found {
-            choice: least.map_or(known, Ok),
+            choice: best.map_or(known, Ok),
             leased: false,
             idle,
             asked: search.probed().len() as u32,
@@ -135,7 +137,7 @@
         let demand = self.job.demand();
         let known = self.first_try.is_some();
         let (_, late) = self.limits();
-        let told = gateway
+        let pending = gateway
             .rejections
             .borrow_mut()
             .take_pending(sidecar, knowledge.now());
@@ -149,8 +151,8 @@
             request: (!known).then_some(self.job.fingerprint),
             whole_ms: whole.as_millis() as u64,
             late_ms: late.as_millis() as u64,
-            refused: told,
-            cold: self.ration(key),
+            refused: pending,
+            cold: self.throttle(key),
         }
     }
 
@@ -160,12 +162,18 @@
         search: &mut Search,
         key: Key,
         sidecar: SocketAddr,
-        ask: &lease::Request,
+        request: &lease::Request,
     ) -> Offer {
         let knowledge = &self.gateway.knowledge;
         let (within, note) = ((ANSWER_TIMEOUT, RENEWED_ANSWER_TIMEOUT), Note::default());
-        let answer =
-            gossip::call_within::<_, Response>(knowledge, sidecar, lease::PATH, ask, within, &note);
+        let answer = gossip::call_within::<_, Response>(
+            knowledge,
+            sidecar,
+            lease::PATH,
+            request,
+            within,
+            &note,
+        );
         let answer = answer.await;
         let now = knowledge.now();
         match answer {
@@ -192,9 +200,9 @@
                         tried_before,
                     };
                 }
-                let said =
+                let reply =
                     choice.map_or(Reply::Unavailable, |choice| Reply::Queued(choice.expected));
-                search.record(key, said);
+                search.record(key, reply);
                 Offer {
                     choice: None,
                     tried_before,
@@ -205,15 +213,15 @@
                     request = self.job.meta.id.as_str(), process:% = sidecar, connection:% = note;
                     "lease request failed: {error}"
                 );
-                let silent = matches!(
+                let timed_out = matches!(
                     error,
                     gossip::Error::Patience(timeout::Error::NoAnswer { .. })
                 );
                 self.gateway
                     .pool
                     .borrow_mut()
-                    .mark_unresponsive(key, silent, now);
-                if silent {
+                    .mark_unresponsive(key, timed_out, now);
+                if timed_out {
                     search.timed_out(key);
                 } else {
                     search.record(key, Reply::Unavailable);
@@ -227,22 +235,24 @@
     /// based on the engine's actual passes, corrected by what this entry knows of the link.
     fn expected_by_sidecar(&self, key: Key, answer: &Response, now: Time) -> Option<Choice> {
         let choice = self.expected_at(key, now)?;
-        let told = answer.expected_ms.map(Duration::from_millis);
-        let expected = told.and_then(|told| self.corrected(key, told, now));
+        let reported = answer.expected_ms.map(Duration::from_millis);
+        let expected = reported.and_then(|reported| self.corrected(key, reported, now));
         Some(Choice {
             expected: expected.unwrap_or(choice.expected),
             ..choice
         })
     }
 
-    fn corrected(&self, key: Key, told: Duration, now: Time) -> Option<Duration> {
+    fn corrected(&self, key: Key, reported: Duration, now: Time) -> Option<Duration> {
         let pool = self.gateway.pool.borrow();
-        self.with_query(&[], |ask| pool.corrected_estimate(key, ask, told, now))
+        self.with_query(&[], |query| {
+            pool.corrected_estimate(key, query, reported, now)
+        })
     }
 
     fn expected_at(&self, key: Key, now: Time) -> Option<Choice> {
-        self.with_query(&[], |ask| {
-            self.gateway.pool.borrow().estimate(key, ask, now)
+        self.with_query(&[], |query| {
+            self.gateway.pool.borrow().estimate(key, query, now)
         })
     }
 
@@ -253,7 +263,7 @@
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
         let left = limit.saturating_sub(now.since(self.job.arrived));
-        let limits = self.with_query(&[], |ask| pool.limits(key, ask, left, now))?;
+        let limits = self.with_query(&[], |query| pool.limits(key, query, left, now))?;
         Some((sidecar, limits))
     }
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -116,8 +116,8 @@
                     self.dispatch.trace.reason = detail;
                     return Some(Err(io::ErrorKind::TimedOut.into()));
                 }
-                Step::Broken(detail, sign) => {
-                    if !self.resume(detail, sign).await {
+                Step::Broken(detail, signal) => {
+                    if !self.resume(detail, signal).await {
                         self.dispatch.trace.set_outcome("broken_midway");
                         return Some(Err(io::ErrorKind::ConnectionAborted.into()));
                     }
@@ -165,7 +165,7 @@
                 Ok(events) => Step::Events(events),
                 Err(error) => Step::Broken(error.to_string(), Signal::Broken),
             },
-            Some(Some(Err(error))) => Step::Broken(error.to_string(), attempt::sign(&error)),
+            Some(Some(Err(error))) => Step::Broken(error.to_string(), attempt::signal(&error)),
             Some(None) if self.splitter.is_partial() => broken("the stream ended inside an event"),
             Some(None) => Step::End,
             None if patience == remaining => Step::Expired,
@@ -174,19 +174,19 @@
     }
 
     /// Resumes the stream at another replica, after the last complete event.
-    async fn resume(&mut self, detail: String, sign: Signal) -> bool {
+    async fn resume(&mut self, detail: String, signal: Signal) -> bool {
         let passed = self.splitter.forwarded();
         let detail = format!("{detail} after {passed} events");
-        let mut failure = self.attempt.broken(&self.dispatch.job, detail, sign);
+        let mut failure = self.attempt.broken(&self.dispatch.job, detail, signal);
         loop {
             if !self.dispatch.may_resume(failure) {
                 return false;
             }
             let choice = match self.dispatch.choose(&[]).0 {
                 Ok(choice) => choice,
-                Err(shortage) => {
+                Err(unavailable) => {
                     self.dispatch.trace.reason =
-                        format!("{}; not resumed: {shortage}", self.dispatch.trace.reason);
+                        format!("{}; not resumed: {unavailable}", self.dispatch.trace.reason);
                     return false;
                 }
             };
