--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -260,7 +260,7 @@
             None => Err(self.timeout_failure(job)),
             // The sidecar may mean another instance, so the notice is not applied to this one;
             // reports carry what this one announces.
-            Some(Err(error @ reader::Error::TurnedAway { .. })) => {
+            Some(Err(error @ reader::Error::Rejected { .. })) => {
                 let detail = format!("not sent: {error}");
                 Err(self.fail(job, Ended::NotSent, Signal::Neutral, detail))
             }
@@ -286,7 +286,7 @@
             let (body, note) = (job.body.clone(), self.connection.clone());
             match Reader::begin(handle, head.clone(), body, note).await {
                 Ok(reader) => return Ok(reader),
-                Err(error @ (reader::Error::OutOfReach { .. } | reader::Error::NotSent)) => {
+                Err(error @ (reader::Error::Unreachable { .. } | reader::Error::NotSent)) => {
                     self.bypass_sidecar(job, &error);
                 }
                 Err(error) => return Err(error),
@@ -303,7 +303,7 @@
     /// directly.
     fn bypass_sidecar(&self, job: &Job, error: &reader::Error) {
         log::info!(request = job.meta.id.as_str(), replica = &*self.instance.id; "bypassing the sidecar: {error}");
-        if matches!(error, reader::Error::OutOfReach { .. }) {
+        if matches!(error, reader::Error::Unreachable { .. }) {
             let now = self.now();
             self.gateway
                 .pool
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -50,13 +50,13 @@
 pub enum Error {
     /// The sidecar is unreachable, so nothing was sent.
     #[error("sidecar unreachable: {reason}")]
-    OutOfReach {
+    Unreachable {
         /// What happened.
         reason: String,
     },
     /// The sidecar did not forward the request, because its replica takes none at present.
     #[error("the replica wants nothing now ({notice})")]
-    TurnedAway {
+    Rejected {
         /// The replica's notice.
         notice: Notice,
     },
@@ -365,7 +365,7 @@
         let response = match fetch.response {
             Ok(response) => response,
             Err(exchange::Error::NotSent { reason }) if fetch.is_initial => {
-                return Err(self.finish_with(Error::OutOfReach { reason }));
+                return Err(self.finish_with(Error::Unreachable { reason }));
             }
             Err(error) => return self.fetch_failed(error).map(|()| None),
         };
@@ -380,7 +380,7 @@
                 let error = if notice.is_empty() {
                     Error::NotSent
                 } else {
-                    Error::TurnedAway { notice }
+                    Error::Rejected { notice }
                 };
                 Err(self.finish_with(error))
             }
