--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
 use crate::config::routing::Kind;
 use crate::exchange::{self, Note, Options, Reuse, Unframed};
 use crate::http::Answer;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 use crate::request::attempt::Ended;
 use crate::request::poison::RequestHash;
 use crate::route::estimate::Demand;
@@ -94,7 +94,7 @@
     gateway: Rc<Gateway>,
     key: Key,
     /// The instance of its replica.
-    pub instance: Incarnation,
+    pub instance: Instance,
     /// The hash of the request, under which crashes of replicas are counted.
     request: RequestHash,
     choice: Choice,
@@ -132,7 +132,7 @@
         let replica = pool
             .get(choice.key)
             .filter(|replica| !replica.suspension().rejects(now))?;
-        let (instance, address) = (replica.record.incarnation(), replica.record.address);
+        let (instance, address) = (replica.record.instance(), replica.record.address);
         let demand = job.demand();
         let model = job.meta.inference.as_ref().map(|work| &*work.model);
         let start_deadline = model.and_then(|model| pool.start_deadline(choice.key, model, now));
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -14,7 +14,7 @@
 use super::{CONNECT_TIMEOUT, Gateway};
 use crate::clock::Time;
 use crate::knowledge::poison;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 use crate::request::poison::{CaseReport, MAX_CRASHES, RequestHash, Verdict};
 
 /// Delays between checks whether the list or the sidecar reports the crash of a replica or a
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct Suspect {
     request: RequestHash,
-    instance: Incarnation,
+    instance: Instance,
     observation: Observation,
     at: Time,
     /// The ids of the replicas that were known at the address when the attempt ended.
@@ -91,7 +91,7 @@
     pub(super) fn suspect(
         self: &Rc<Self>,
         request: RequestHash,
-        instance: Incarnation,
+        instance: Instance,
         address: SocketAddr,
         observation: Observation,
     ) {
@@ -231,7 +231,7 @@
 fn describe(case: &CaseReport) -> String {
     let ends = case.crashes.iter();
     let ends: Vec<String> = ends
-        .map(|end| format!("{} {} ms ago", end.incarnation.id, end.age_ms))
+        .map(|end| format!("{} {} ms ago", end.instance.id, end.age_ms))
         .collect();
     format!("replicas ended under it: {}", ends.join(", "))
 }
@@ -263,7 +263,7 @@
         match self.verdict() {
             Verdict::Allowed => Ok(()),
             Verdict::TrialDue
-                if poison::take_try(&self.gateway.knowledge, self.job.request_hash).await =>
+                if poison::claim_trial(&self.gateway.knowledge, self.job.request_hash).await =>
             {
                 Ok(())
             }
--- a/src/route/notice.rs
+++ b/src/route/notice.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::member::replica::Incarnation;
+use crate::member::replica::Instance;
 
 /// Longest rest that a replica is believed to mean.
 const REST_MAX: Duration = Duration::from_secs(600);
@@ -106,17 +106,20 @@
 
 /// What lives of replicas want, listed or not.
 #[derive(Debug, Default)]
-pub struct Suspensions(BTreeMap<Incarnation, (Suspension, Time)>);
+pub struct Suspensions(BTreeMap<Instance, (Suspension, Time)>);
 
 impl Suspensions {
     /// The life `life` wants so now.
-    pub fn remember(&mut self, life: Incarnation, wish: Suspension, now: Time) {
+    pub fn remember(&mut self, instance: Instance, wish: Suspension, now: Time) {
         self.0.retain(|_, (_, at)| now.since(*at) < REMEMBERED);
-        self.0.insert(life, (wish, now));
+        self.0.insert(instance, (wish, now));
     }
 
     /// What the life `life` wants, as far as is remembered.
-    pub fn of(&self, life: &Incarnation) -> Suspension {
-        self.0.get(life).map(|(wish, _)| *wish).unwrap_or_default()
+    pub fn of(&self, instance: &Instance) -> Suspension {
+        self.0
+            .get(instance)
+            .map(|(wish, _)| *wish)
+            .unwrap_or_default()
     }
 }
