--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Parameters of an attempt beside the request itself.
+/// Parameters of an attempt besides the request itself.
 #[derive(Debug, Clone, Copy)]
 pub struct Params {
     /// The id of the last event that the caller has received.
@@ -160,11 +160,11 @@
         self.record_start(true);
     }
 
-    fn record_start(&self, came: bool) {
+    fn record_start(&self, received: bool) {
         if !self.start_recorded.replace(true) {
             let now = self.gateway.knowledge.now();
             let mut pool = self.gateway.pool.borrow_mut();
-            pool.record_first_event(self.key, self.number, self.demand, came, now);
+            pool.record_first_event(self.key, self.number, self.demand, received, now);
         }
     }
 
--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -97,9 +97,9 @@
             Err(answer) => answer,
         },
         poison::TRIAL_PATH => match decode::<poison::Claim>(&mut request).await {
-            Ok(ask) => http::pack(
+            Ok(claim) => http::pack(
                 StatusCode::OK,
-                &poison::answer_trial(&gateway.knowledge, &ask),
+                &poison::answer_trial(&gateway.knowledge, &claim),
             ),
             Err(answer) => answer,
         },
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -664,10 +664,10 @@
     let setting = rollout::Setting::default();
     let version = Digest::of(b"v2");
     let names: Vec<String> = (0..7).map(|index| format!("10.0.0.{index}")).collect();
-    let fellows: Vec<&str> = names.iter().map(String::as_str).collect();
+    let hosts: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut sizes = BTreeMap::new();
-    for name in &fellows {
-        let wave = rollout::wave(version, name, &fellows, setting.waves);
+    for name in &hosts {
+        let wave = rollout::wave(version, name, &hosts, setting.waves);
         assert!(rollout::wave_start(setting, wave) < setting.bound);
         *sizes.entry(wave).or_insert(0) += 1;
     }
@@ -700,10 +700,10 @@
 fn the_waves_of_all_hosts_are_the_waves_of_each_host() {
     let version = Digest::of(b"v2");
     let names: Vec<String> = (0..41).map(|index| format!("10.0.0.{index}")).collect();
-    let fellows: Vec<&str> = names.iter().map(String::as_str).collect();
-    let all = rollout::assign_waves(version, fellows.iter().copied(), 5);
-    for name in &fellows {
-        assert_eq!(all[*name], rollout::wave(version, name, &fellows, 5));
+    let hosts: Vec<&str> = names.iter().map(String::as_str).collect();
+    let all = rollout::assign_waves(version, hosts.iter().copied(), 5);
+    for name in &hosts {
+        assert_eq!(all[*name], rollout::wave(version, name, &hosts, 5));
     }
 }
 
