--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -22,7 +22,7 @@
 use crate::clock::Time;
 use crate::exchange::{self, Client, Note, Options, Request, Response, Reuse, answer};
 use crate::route::notice::{self, Notice};
-use crate::run::{Call, Key, TOLD, Told};
+use crate::run::{Call, DISPOSITION_HEADER, Disposition, Key};
 use crate::timeout::Progress;
 
 /// Time without data after which the response is also requested over a new connection. Events come
@@ -111,7 +111,7 @@
         let mut response = buffered.head().await?;
         let mut headers = std::mem::take(&mut response.headers);
         // The header is meant for this process only.
-        headers.remove(TOLD);
+        headers.remove(DISPOSITION_HEADER);
         let status = response.status;
         buffered.current = Some(response);
         Ok(Self {
@@ -369,8 +369,8 @@
             }
             Err(error) => return self.fetch_failed(error).map(|()| None),
         };
-        match Told::of(response.header(TOLD)) {
-            Some(Told::Replica) => {
+        match Disposition::parse(response.header(DISPOSITION_HEADER)) {
+            Some(Disposition::Replica) => {
                 self.duplicate_bytes = self.received - fetch.from;
                 self.failures = 0;
                 Ok(Some(response))
--- a/src/run.rs
+++ b/src/run.rs
@@ -5,8 +5,8 @@
 //! writes it to its end for nobody, in a place that others wait for, while another replica reads the
 //! same prompt again. With all connections of 12 full replicas silent at once, that took the work of
 //! 1.3 s. So an entry sends a stream to the process on the replica's machine, which sends it on once,
-//! keeps what comes, and hands it over from wherever the entry says. [`Tape`] is what came of one run;
-//! [`Shelf`] has those of a process. Time is passed in.
+//! keeps what comes, and hands it over from wherever the entry says. [`Buffer`] is what came of one run;
+//! [`Registry`] has those of a process. Time is passed in.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 
 /// How long a run goes on without anybody who reads it: an entry whose connection broke asks again at once, and half a
 /// second is what a replica may work on for a caller who has left.
-pub const UNREAD: Duration = Duration::from_millis(250);
+pub const UNREAD_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long a run is kept once it is over, for an entry whose connection took its end with it: what an entry waits
 /// before it asks again, a few times.
@@ -39,8 +39,8 @@
 /// Runs that are kept or remembered at most, more than a replica finishes in [`REMEMBERED`].
 const RUNS_MAX: usize = 4_096;
 
-/// The header by which the process beside a replica tells whose an answer is, as [`Told`].
-pub const TOLD: &str = "pumicelatch-run";
+/// The header by which the process beside a replica tells whose an answer is, as [`Disposition`].
+pub const DISPOSITION_HEADER: &str = "pumicelatch-run";
 
 const START: &str = "/v1/run/";
 const READ: &str = "/v1/run-from/";
@@ -82,7 +82,7 @@
 
 impl Call {
     /// The call of a path with its query, if it is one.
-    pub fn of(path: &str) -> Option<Self> {
+    pub fn parse(path: &str) -> Option<Self> {
         let key = |hex: &str| u64::from_str_radix(hex, 16).ok().map(Key);
         if let Some(rest) = path.strip_prefix(START) {
             let (hex, target) = rest.split_at_checked(rest.find('/')?)?;
@@ -116,7 +116,7 @@
 
 /// Whose the answer to a [`Call`] is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum Disposition {
     /// The replica's.
     Replica,
     /// No byte of the request left for the replica.
@@ -130,9 +130,9 @@
     },
 }
 
-impl Told {
-    /// The value of [`TOLD`], read.
-    pub fn of(value: &str) -> Option<Self> {
+impl Disposition {
+    /// The value of [`DISPOSITION_HEADER`], read.
+    pub fn parse(value: &str) -> Option<Self> {
         match value {
             "replica" => Some(Self::Replica),
             "not-sent" => Some(Self::NotSent),
@@ -146,7 +146,7 @@
     }
 }
 
-impl Told {
+impl Disposition {
     /// Whether a request that was sent `age` ago has not run, and will not: a process that was there all that time, and
     /// would remember it, does not know it.
     pub fn not_run(self, age: Duration) -> bool {
@@ -158,7 +158,7 @@
     }
 }
 
-impl fmt::Display for Told {
+impl fmt::Display for Disposition {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Replica => formatter.write_str("replica"),
@@ -173,7 +173,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
     /// It is whole.
-    Whole,
+    Complete,
     /// It broke.
     Broken,
 }
@@ -184,7 +184,7 @@
     /// Bytes.
     Bytes(Bytes),
     /// None yet.
-    Wait,
+    Pending,
     /// There are no more.
     End(Ended),
     /// Another reads the run now, or the bytes are not kept any more.
@@ -193,7 +193,7 @@
 
 /// The body of one run, as far as it came and is kept.
 #[derive(Debug, Default)]
-pub struct Tape {
+pub struct Buffer {
     /// Bytes that came before those that are kept.
     dropped: u64,
     kept: BytesMut,
@@ -205,7 +205,7 @@
     unread: Option<Time>,
 }
 
-impl Tape {
+impl Buffer {
     /// Bytes came.
     pub fn push(&mut self, bytes: &[u8]) {
         self.kept.extend_from_slice(bytes);
@@ -217,7 +217,7 @@
     }
 
     /// Whether more may be taken from the replica before it is read.
-    pub fn takes(&self) -> bool {
+    pub fn has_room(&self) -> bool {
         self.came() - self.read < AHEAD as u64
     }
 
@@ -257,7 +257,8 @@
             self.drop_behind();
             return Part::Bytes(bytes);
         }
-        self.ended.map_or(Part::Wait, |(ended, _)| Part::End(ended))
+        self.ended
+            .map_or(Part::Pending, |(ended, _)| Part::End(ended))
     }
 
     fn drop_behind(&mut self) {
@@ -271,7 +272,9 @@
 
     /// Whether it goes on at its replica for nobody.
     fn abandoned(&self, now: Time) -> bool {
-        let unread = self.unread.is_some_and(|since| now.since(since) >= UNREAD);
+        let unread = self
+            .unread
+            .is_some_and(|since| now.since(since) >= UNREAD_TIMEOUT);
         unread && self.ended.is_none()
     }
 
@@ -283,7 +286,7 @@
 
 /// What becomes of a request to start a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Acceptance {
     /// It is to be run.
     Run,
     /// It does not run: its name was barred before it came, or there is no room.
@@ -295,7 +298,7 @@
 /// A run that is kept, and what carries it out.
 #[derive(Debug)]
 struct Kept<T> {
-    tape: Rc<RefCell<Tape>>,
+    tape: Rc<RefCell<Buffer>>,
     carrier: T,
 }
 
@@ -310,7 +313,7 @@
 
 /// What is known of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found<T> {
+pub enum Lookup<T> {
     /// It is kept.
     Kept(T),
     /// It was, and may have run.
@@ -321,11 +324,11 @@
 
 /// The runs of one process, each with what carries it out. A run's name is good for one run only.
 #[derive(Debug)]
-pub struct Shelf<T> {
+pub struct Registry<T> {
     places: BTreeMap<Key, Place<T>>,
 }
 
-impl<T> Default for Shelf<T> {
+impl<T> Default for Registry<T> {
     fn default() -> Self {
         Self {
             places: BTreeMap::new(),
@@ -333,26 +336,26 @@
     }
 }
 
-impl<T: Clone> Shelf<T> {
+impl<T: Clone> Registry<T> {
     /// A request to start the run `key` came.
-    pub fn start(&mut self, key: Key, tape: Rc<RefCell<Tape>>, carrier: T) -> Verdict {
+    pub fn start(&mut self, key: Key, tape: Rc<RefCell<Buffer>>, carrier: T) -> Acceptance {
         match self.places.get(&key) {
-            Some(Place::Kept(_) | Place::Over(_)) => return Verdict::Known,
-            Some(Place::Barred(_)) => return Verdict::NotRun,
-            None if self.places.len() >= RUNS_MAX => return Verdict::NotRun,
+            Some(Place::Kept(_) | Place::Over(_)) => return Acceptance::Known,
+            Some(Place::Barred(_)) => return Acceptance::NotRun,
+            None if self.places.len() >= RUNS_MAX => return Acceptance::NotRun,
             None => {}
         }
         let kept = Kept { tape, carrier };
         self.places.insert(key, Place::Kept(kept));
-        Verdict::Run
+        Acceptance::Run
     }
 
     /// What is known of the run `key`. One that is not may not begin any more.
-    pub fn get(&mut self, key: Key, now: Time) -> Found<T> {
+    pub fn get(&mut self, key: Key, now: Time) -> Lookup<T> {
         match self.places.entry(key).or_insert(Place::Barred(now)) {
-            Place::Kept(kept) => Found::Kept(kept.carrier.clone()),
-            Place::Over(_) => Found::Over,
-            Place::Barred(_) => Found::Unknown,
+            Place::Kept(kept) => Lookup::Kept(kept.carrier.clone()),
+            Place::Over(_) => Lookup::Over,
+            Place::Barred(_) => Lookup::Unknown,
         }
     }
 
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -34,7 +34,7 @@
 use crate::metric::{self, Metrics};
 use crate::policy::Policy;
 use crate::route::notice::Suspension;
-use crate::run::{Call, Shelf};
+use crate::run::{Call, Registry};
 use crate::source::Source;
 use crate::spread;
 use crate::stop::{self, Tracker};
@@ -117,7 +117,7 @@
     told: Cell<u64>,
     turned: Cell<u64>,
     /// What callers' requests bring.
-    runs: RefCell<Shelf<Rc<carry::Run>>>,
+    runs: RefCell<Registry<Rc<carry::Run>>>,
     /// Exchanges with the replica for callers.
     client: exchange::Client,
     began: Time,
@@ -343,7 +343,7 @@
     if let Some(call) = request
         .uri()
         .path_and_query()
-        .and_then(|path| Call::of(path.as_str()))
+        .and_then(|path| Call::parse(path.as_str()))
     {
         return sidecar.answer_run(call, request).await;
     }
--- a/src/sidecar/carry.rs
+++ b/src/sidecar/carry.rs
@@ -22,7 +22,9 @@
 use crate::gateway;
 use crate::http::{self, Answer};
 use crate::route::notice::{self, Notice};
-use crate::run::{Call, Ended, Found, Key, Part, TOLD, Tape, Told, Verdict};
+use crate::run::{
+    Acceptance, Buffer, Call, DISPOSITION_HEADER, Disposition, Ended, Key, Lookup, Part,
+};
 use crate::stop;
 
 /// Longest body of a request: far more than the longest prompt.
@@ -37,13 +39,13 @@
     /// The replica's answer began.
     Answer(StatusCode, HeaderMap),
     /// There is none.
-    None(Told),
+    None(Disposition),
 }
 
 /// A run at the replica.
 #[derive(Debug, Default)]
 pub(super) struct Run {
-    tape: Rc<RefCell<Tape>>,
+    buffer: Rc<RefCell<Buffer>>,
     head: RefCell<Option<Head>>,
     /// Counts what changes.
     changed: watch::Sender<u64>,
@@ -65,10 +67,10 @@
         if let Some(task) = self.task.take() {
             task.abort();
         }
-        self.tape.borrow_mut().end(Ended::Broken, now);
+        self.buffer.borrow_mut().end(Ended::Broken, now);
         self.head
             .borrow_mut()
-            .get_or_insert(Head::None(Told::Broken));
+            .get_or_insert(Head::None(Disposition::Broken));
         self.change();
     }
 }
@@ -84,14 +86,14 @@
 impl Drop for Reader {
     fn drop(&mut self) {
         let now = self.sidecar.knowledge.now();
-        self.run.tape.borrow_mut().close(self.number, now);
+        self.run.buffer.borrow_mut().close(self.number, now);
     }
 }
 
 impl Reader {
     /// Begins to read from the byte `from`, unless that cannot be had.
     fn open(sidecar: &Rc<Sidecar>, run: Rc<Run>, from: u64) -> Option<Self> {
-        let number = run.tape.borrow_mut().open(from)?;
+        let number = run.buffer.borrow_mut().open(from)?;
         // Whoever read it before is done.
         run.change();
         Some(Self {
@@ -122,7 +124,7 @@
                 let body = BodyStream::new(Box::pin(self.into_stream()));
                 let mut answer = Answer::with_body(status, body.boxed());
                 pass(&headers, answer.headers_mut());
-                tell(&mut answer, TOLD, Told::Replica);
+                tell(&mut answer, DISPOSITION_HEADER, Disposition::Replica);
                 answer
             }
         }
@@ -133,9 +135,9 @@
             let mut reader = reader?;
             loop {
                 let (part, was_full) = {
-                    let mut tape = reader.run.tape.borrow_mut();
-                    let was_full = !tape.takes();
-                    (tape.next(reader.number), was_full)
+                    let mut buffer = reader.run.buffer.borrow_mut();
+                    let was_full = !buffer.has_room();
+                    (buffer.next(reader.number), was_full)
                 };
                 match part {
                     Part::Bytes(bytes) => {
@@ -144,8 +146,8 @@
                         }
                         return Some((Ok(bytes), Some(reader)));
                     }
-                    Part::Wait => reader.change().await,
-                    Part::End(Ended::Whole) => return None,
+                    Part::Pending => reader.change().await,
+                    Part::End(Ended::Complete) => return None,
                     // The connection breaks, so that the reader sees that this is not the whole.
                     Part::End(Ended::Broken) | Part::Gone => {
                         return Some((Err(io::ErrorKind::ConnectionAborted.into()), None));
@@ -174,15 +176,15 @@
 }
 
 /// An answer of the process's own.
-fn own(told: Told) -> Answer {
+fn own(told: Disposition) -> Answer {
     let mut answer = http::status(StatusCode::BAD_GATEWAY);
-    tell(&mut answer, TOLD, told);
+    tell(&mut answer, DISPOSITION_HEADER, told);
     answer
 }
 
 /// The answer to a call for a run that is not sent on, because the replica wants nothing now.
 fn turned_away(notice: Notice) -> Answer {
-    let mut answer = own(Told::NotSent);
+    let mut answer = own(Disposition::NotSent);
     tell(&mut answer, notice::HEADER, notice);
     answer
 }
@@ -207,11 +209,11 @@
     async fn start_run(self: Rc<Self>, key: Key, target: &str, mut request: Request) -> Answer {
         let permit = self.tracker.admit(stop::Kind::New);
         if permit.is_refused() {
-            return permit.attach(own(Told::NotSent));
+            return permit.attach(own(Disposition::NotSent));
         }
         let body = http::read_request(&mut request, BODY_MAX).await;
         let Ok((head, body)) = body.and_then(|body| Ok((head(&request, target)?, body))) else {
-            return permit.attach(own(Told::NotSent));
+            return permit.attach(own(Disposition::NotSent));
         };
         let now = self.knowledge.now();
         let wish = self.wish.get();
@@ -219,19 +221,19 @@
             return permit.attach(turned_away(wish.notice(now)));
         }
         let run = Rc::new(Run::default());
-        let tape = run.tape.clone();
-        let verdict = self.runs.borrow_mut().start(key, tape, run.clone());
+        let buffer = run.buffer.clone();
+        let verdict = self.runs.borrow_mut().start(key, buffer, run.clone());
         match verdict {
-            Verdict::Run => {}
-            Verdict::NotRun => return permit.attach(own(Told::NotSent)),
-            Verdict::Known => return permit.attach(own(Told::Broken)),
+            Acceptance::Run => {}
+            Acceptance::NotRun => return permit.attach(own(Disposition::NotSent)),
+            Acceptance::Known => return permit.attach(own(Disposition::Broken)),
         }
         let body = (!body.is_empty()).then_some(body);
         let carried = actix_rt::spawn(carry(self.clone(), run.clone(), key, head, body));
         run.task.replace(Some(carried));
         match Reader::open(&self, run, 0) {
             Some(reader) => permit.attach(reader.answer().await),
-            None => permit.attach(own(Told::Broken)),
+            None => permit.attach(own(Disposition::Broken)),
         }
     }
 
@@ -240,16 +242,16 @@
         let now = self.knowledge.now();
         let found = self.runs.borrow_mut().get(key, now);
         let run = match found {
-            Found::Kept(run) => run,
-            Found::Over => return permit.attach(own(Told::Broken)),
-            Found::Unknown => {
+            Lookup::Kept(run) => run,
+            Lookup::Over => return permit.attach(own(Disposition::Broken)),
+            Lookup::Unknown => {
                 let up = now.since(self.began);
-                return permit.attach(own(Told::Unknown { up }));
+                return permit.attach(own(Disposition::Unknown { up }));
             }
         };
         match Reader::open(&self, run, from) {
             Some(reader) if !permit.is_refused() => permit.attach(reader.answer().await),
-            _ => permit.attach(own(Told::Broken)),
+            _ => permit.attach(own(Disposition::Broken)),
         }
     }
 
@@ -300,8 +302,8 @@
         }
         Err(error) => {
             let told = match error {
-                exchange::Error::NotSent { .. } => Told::NotSent,
-                _ => Told::Broken,
+                exchange::Error::NotSent { .. } => Disposition::NotSent,
+                _ => Disposition::Broken,
             };
             run.begin(Head::None(told));
             Err(error)
@@ -311,8 +313,8 @@
         log::warn!(run:% = key, replica:% = replica; "a run broke: {error}");
     }
     let now = sidecar.knowledge.now();
-    let ended = ended.map_or(Ended::Broken, |()| Ended::Whole);
-    run.tape.borrow_mut().end(ended, now);
+    let ended = ended.map_or(Ended::Broken, |()| Ended::Complete);
+    run.buffer.borrow_mut().end(ended, now);
     run.change();
 }
 
@@ -320,9 +322,9 @@
 async fn keep(run: &Run, response: &mut exchange::Response) -> Result<(), exchange::Error> {
     let mut changed = run.changed.subscribe();
     while let Some(part) = response.next().await {
-        run.tape.borrow_mut().push(&part?);
+        run.buffer.borrow_mut().push(&part?);
         run.change();
-        while !run.tape.borrow().takes() {
+        while !run.buffer.borrow().has_room() {
             // The run, which is borrowed here, has the sender.
             let _ = changed.changed().await;
         }
--- a/tests/run.rs
+++ b/tests/run.rs
@@ -6,14 +6,16 @@
 use std::time::Duration;
 
 use pumicelatch::clock::Time;
-use pumicelatch::run::{Call, Ended, Found, Key, Part, Shelf, Tape, Told, UNREAD, Verdict};
+use pumicelatch::run::{
+    Acceptance, Buffer, Call, Disposition, Ended, Key, Lookup, Part, Registry, UNREAD_TIMEOUT,
+};
 use quickcheck::quickcheck;
 
 fn at(millis: u64) -> Time {
     Time::from_millis(50_000 + millis)
 }
 
-fn tape() -> Rc<RefCell<Tape>> {
+fn tape() -> Rc<RefCell<Buffer>> {
     Rc::default()
 }
 
@@ -21,12 +23,12 @@
 #[test]
 fn a_body_comes_whole_over_any_number_of_connections() {
     fn property(steps: Vec<(u16, u8, bool)>) -> bool {
-        let mut tape = Tape::default();
+        let mut tape = Buffer::default();
         let (mut sent, mut came) = (Vec::new(), Vec::new());
         let mut reader = tape.open(0);
         for (length, lost, breaks) in steps {
             let part: Vec<u8> = (0..length).map(|byte| byte as u8).collect();
-            if tape.takes() {
+            if tape.has_room() {
                 tape.push(&part);
                 sent.extend_from_slice(&part);
             }
@@ -43,22 +45,22 @@
                 reader = tape.open(came.len() as u64);
             }
         }
-        tape.end(Ended::Whole, at(0));
+        tape.end(Ended::Complete, at(0));
         while let Part::Bytes(bytes) = tape.next(reader.unwrap()) {
             came.extend_from_slice(&bytes);
         }
-        tape.next(reader.unwrap()) == Part::End(Ended::Whole) && came == sent
+        tape.next(reader.unwrap()) == Part::End(Ended::Complete) && came == sent
     }
     quickcheck(property as fn(Vec<(u16, u8, bool)>) -> bool);
 }
 
 #[test]
 fn what_is_read_is_not_kept_for_ever_and_what_is_not_read_is_not_taken() {
-    let mut tape = Tape::default();
+    let mut tape = Buffer::default();
     let reader = tape.open(0).unwrap();
     let mut came = 0;
     while came < 4 << 20 {
-        assert!(tape.takes());
+        assert!(tape.has_room());
         tape.push(&[7; 8_192]);
         let Part::Bytes(bytes) = tape.next(reader) else {
             panic!("bytes are there");
@@ -70,14 +72,14 @@
         tape.open(came - 65_536).is_some(),
         "it keeps what may be lost"
     );
-    while tape.takes() {
+    while tape.has_room() {
         tape.push(&[7; 8_192]);
     }
 }
 
 #[test]
 fn only_the_last_reader_reads_and_a_break_is_told_once_all_is_read() {
-    let mut tape = Tape::default();
+    let mut tape = Buffer::default();
     let first = tape.open(0).unwrap();
     tape.push(b"one");
     let second = tape.open(0).unwrap();
@@ -97,41 +99,41 @@
 
 #[test]
 fn a_run_ends_when_nobody_reads_it_and_not_before() {
-    let mut shelf = Shelf::default();
+    let mut shelf = Registry::default();
     let kept = tape();
-    assert_eq!(shelf.start(Key(1), kept.clone(), "run"), Verdict::Run);
+    assert_eq!(shelf.start(Key(1), kept.clone(), "run"), Acceptance::Run);
     let first = kept.borrow_mut().open(0).unwrap();
     let second = kept.borrow_mut().open(0).unwrap();
     // The connection of the first one breaks when the second reads already.
     kept.borrow_mut().close(first, at(0));
     assert_eq!(shelf.sweep(at(10_000)), []);
     kept.borrow_mut().close(second, at(10_000));
-    let soon = at(10_000) + UNREAD;
+    let soon = at(10_000) + UNREAD_TIMEOUT;
     assert_eq!(shelf.sweep(soon - Duration::from_millis(1)), []);
     assert_eq!(shelf.sweep(soon), [(Key(1), "run")]);
-    assert_eq!(shelf.get(Key(1), soon), Found::Over);
+    assert_eq!(shelf.get(Key(1), soon), Lookup::Over);
 }
 
 /// An entry that is told that a run is not known tries elsewhere: what it had sent may come later.
 #[test]
 fn a_run_that_was_said_not_to_be_known_never_begins() {
-    let mut shelf: Shelf<&str> = Shelf::default();
-    assert_eq!(shelf.get(Key(1), at(0)), Found::Unknown);
-    assert_eq!(shelf.start(Key(1), tape(), "late"), Verdict::NotRun);
+    let mut shelf: Registry<&str> = Registry::default();
+    assert_eq!(shelf.get(Key(1), at(0)), Lookup::Unknown);
+    assert_eq!(shelf.start(Key(1), tape(), "late"), Acceptance::NotRun);
     assert_eq!(shelf.end(Key(2), at(0)), None);
-    assert_eq!(shelf.start(Key(2), tape(), "late"), Verdict::NotRun);
-    assert_eq!(shelf.start(Key(3), tape(), "new"), Verdict::Run);
-    assert_eq!(shelf.start(Key(3), tape(), "again"), Verdict::Known);
+    assert_eq!(shelf.start(Key(2), tape(), "late"), Acceptance::NotRun);
+    assert_eq!(shelf.start(Key(3), tape(), "new"), Acceptance::Run);
+    assert_eq!(shelf.start(Key(3), tape(), "again"), Acceptance::Known);
 }
 
 /// An entry that stood still asks for its run when that was ended, or is long over and not kept any more.
 #[test]
 fn a_run_that_was_here_is_never_said_not_to_have_run() {
-    let mut shelf = Shelf::default();
+    let mut shelf = Registry::default();
     let (ended, over) = (tape(), tape());
     shelf.start(Key(1), ended, "ended");
     shelf.start(Key(2), over.clone(), "over");
-    over.borrow_mut().end(Ended::Whole, at(0));
+    over.borrow_mut().end(Ended::Complete, at(0));
     assert_eq!(shelf.end(Key(1), at(0)), Some("ended"));
     for second in 0..13 {
         let now = at(second * 1_000);
@@ -139,15 +141,15 @@
         for key in [Key(1), Key(2)] {
             let age = now.since(at(0));
             let told = match shelf.get(key, now) {
-                Found::Kept(_) | Found::Over => Told::Broken,
-                Found::Unknown => Told::Unknown { up: age * 2 },
+                Lookup::Kept(_) | Lookup::Over => Disposition::Broken,
+                Lookup::Unknown => Disposition::Unknown { up: age * 2 },
             };
             assert!(!told.not_run(age), "{key} after {second} s");
         }
     }
     let up = Duration::from_secs(2);
-    assert!(Told::Unknown { up }.not_run(Duration::from_secs(1)));
-    assert!(!Told::Unknown { up }.not_run(Duration::from_secs(3)));
+    assert!(Disposition::Unknown { up }.not_run(Duration::from_secs(1)));
+    assert!(!Disposition::Unknown { up }.not_run(Duration::from_secs(3)));
 }
 
 #[test]
@@ -166,7 +168,7 @@
         ];
         calls
             .into_iter()
-            .all(|call| Call::of(&call.to_string()) == Some(call))
+            .all(|call| Call::parse(&call.to_string()) == Some(call))
     }
     quickcheck(property as fn(u64, u64) -> bool);
     for other in [
@@ -176,16 +178,16 @@
         "/v1/run-from/1",
         "/",
     ] {
-        assert_eq!(Call::of(other), None, "{other}");
+        assert_eq!(Call::parse(other), None, "{other}");
     }
     let up = Duration::from_millis(12);
     for told in [
-        Told::Replica,
-        Told::NotSent,
-        Told::Broken,
-        Told::Unknown { up },
+        Disposition::Replica,
+        Disposition::NotSent,
+        Disposition::Broken,
+        Disposition::Unknown { up },
     ] {
-        assert_eq!(Told::of(&told.to_string()), Some(told));
+        assert_eq!(Disposition::parse(&told.to_string()), Some(told));
     }
-    assert_eq!(Told::of(""), None);
+    assert_eq!(Disposition::parse(""), None);
 }
