--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -31,14 +31,14 @@
     }
 
     /// A try failed. Returns the pause before the next.
-    pub fn failed(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let pause = self.first * 2u32.pow(self.failures.min(DOUBLINGS_MAX));
         self.failures = self.failures.saturating_add(1);
         pause.min(self.longest)
     }
 
     /// A try succeeded: the next failure is the first again.
-    pub fn succeeded(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 }
--- a/src/burst/fetch.rs
+++ b/src/burst/fetch.rs
@@ -62,7 +62,7 @@
             }
             if source.is_origin() {
                 let jitter = rand::rng().random_range(0.7..1.3);
-                origin_retry_at = now + backoff.failed().mul_f64(jitter);
+                origin_retry_at = now + backoff.next_delay().mul_f64(jitter);
             }
             match source.get(host, &*origin).await {
                 Ok(manifest) => match origin.check(version, &manifest) {
--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -48,7 +48,7 @@
 
 /// Longest silence of a peer's machine, with bytes or probes unanswered, before its connection
 /// counts as lost.
-pub const LOST: Duration = Duration::from_millis(1_500);
+pub const LOSS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How an exchange failed.
 #[derive(Debug, thiserror::Error)]
@@ -108,7 +108,7 @@
 
 /// The connection that an exchange took.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum Acquisition {
     /// One that was opened for it.
     New,
     /// One that was used before.
@@ -120,7 +120,7 @@
     Renewed,
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Acquisition {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::New => formatter.write_str("new"),
@@ -133,20 +133,20 @@
 /// Keeps which connection an exchange took, for whoever has to explain how it ended. Clones tell of
 /// the same exchange.
 #[derive(Debug, Clone, Default)]
-pub struct Note(Rc<Cell<Option<Way>>>);
+pub struct Recorder(Rc<Cell<Option<Acquisition>>>);
 
-impl Note {
+impl Recorder {
     /// The connection that was taken last, if any was.
-    pub fn way(&self) -> Option<Way> {
+    pub fn acquisition(&self) -> Option<Acquisition> {
         self.0.get()
     }
 
-    fn set(&self, way: Way) {
+    fn set(&self, way: Acquisition) {
         self.0.set(Some(way));
     }
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for Recorder {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0.get() {
             Some(way) => way.fmt(formatter),
@@ -171,7 +171,7 @@
     pub guarded: bool,
     /// For what may be sent twice: how long a used connection may leave it unanswered before it is
     /// sent again on a new one.
-    pub renews_after: Option<Duration>,
+    pub hedge_after: Option<Duration>,
 }
 
 impl Default for Options {
@@ -182,7 +182,7 @@
             connect_timeout: CONNECT_TIMEOUT,
             unframed: Unframed::Broken,
             guarded: true,
-            renews_after: None,
+            hedge_after: None,
         }
     }
 }
@@ -342,18 +342,19 @@
         body: Option<Bytes>,
         options: Options,
     ) -> Result<Response, Error> {
-        let note = Note::default();
-        self.exchange_noting(peer, head, body, options, &note).await
+        let note = Recorder::default();
+        self.exchange_recorded(peer, head, body, options, &note)
+            .await
     }
 
     /// Does the same, and notes in `note` which connection it takes.
-    pub async fn exchange_noting(
+    pub async fn exchange_recorded(
         &self,
         peer: SocketAddr,
         head: RequestHead,
         body: Option<Bytes>,
         options: Options,
-        note: &Note,
+        note: &Recorder,
     ) -> Result<Response, Error> {
         let sending = Rc::new(Sending {
             peer,
@@ -369,7 +370,7 @@
             let taken = self.open(&sending, note).await?;
             return self.converse(&sending, taken).await;
         };
-        match options.renews_after {
+        match options.hedge_after {
             None => self.converse(&sending, used).await,
             Some(after) => self.converse_or_renew(sending, used, after, note).await,
         }
@@ -382,7 +383,7 @@
         sending: Rc<Sending>,
         used: Taken,
         after: Duration,
-        note: &Note,
+        note: &Recorder,
     ) -> Result<Response, Error> {
         let since = self.paths.now();
         let (client, request) = (self.clone(), sending.clone());
@@ -394,7 +395,7 @@
         };
         let new = pin!(async {
             let taken = self.open(&sending, note).await?;
-            note.set(Way::Renewed);
+            note.set(Acquisition::Renewed);
             self.converse(&sending, taken).await
         });
         let Some(old) = old else {
@@ -410,7 +411,7 @@
                 actix_rt::spawn(async move {
                     // What holds a link up holds both up: the old one answers about then as well.
                     if timeout(CONFIRMED_AFTER, old).await.is_err() {
-                        paths.found_silent(peer, since);
+                        paths.report_silent(peer, since);
                     }
                 });
                 Ok(answer)
@@ -454,7 +455,7 @@
     }
 
     /// A connection to `peer` that was used before, and is good as far as is known.
-    fn used(&self, peer: SocketAddr, options: Options, note: &Note) -> Option<Taken> {
+    fn used(&self, peer: SocketAddr, options: Options, note: &Recorder) -> Option<Taken> {
         let now = self.paths.now();
         while let Some(kept) = self.kept(peer) {
             let connection = silence::Connection {
@@ -465,7 +466,7 @@
             };
             if kept.usable(options.idle_max, now) && !self.paths.doubts(connection) {
                 let rested = now.since(kept.heard);
-                note.set(Way::Used { rested });
+                note.set(Acquisition::Used { rested });
                 return Some(Taken {
                     connection: kept.connection,
                     opened: kept.opened,
@@ -477,8 +478,8 @@
     }
 
     /// Opens a connection.
-    async fn open(&self, sending: &Sending, note: &Note) -> Result<Taken, Error> {
-        note.set(Way::New);
+    async fn open(&self, sending: &Sending, note: &Recorder) -> Result<Taken, Error> {
+        note.set(Acquisition::New);
         let open = self.connect(sending.peer);
         let open = timeout(sending.options.connect_timeout, open);
         let stream = open
@@ -497,7 +498,7 @@
 
     /// Opens a connection to `peer` and closes it. Returns whether its machine answers `within` so long that nobody
     /// listens there.
-    pub async fn refuses(&self, peer: SocketAddr, within: Duration) -> bool {
+    pub async fn probe_refused(&self, peer: SocketAddr, within: Duration) -> bool {
         let opened = timeout(within, self.connect(peer)).await;
         matches!(opened, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
@@ -517,7 +518,7 @@
     }
 
     /// Closes connections to `peer` that rest: another process listens there now.
-    pub fn forget(&self, peer: SocketAddr) {
+    pub fn close_idle(&self, peer: SocketAddr) {
         self.idle.borrow_mut().remove(&peer);
     }
 
@@ -565,11 +566,11 @@
 fn watch_for_loss(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let probes = socket2::TcpKeepalive::new()
-        .with_time(LOST)
+        .with_time(LOSS_TIMEOUT)
         .with_interval(Duration::from_secs(1))
         .with_retries(1);
     let _ = socket.set_tcp_keepalive(&probes);
-    let _ = socket.set_tcp_user_timeout(Some(LOST));
+    let _ = socket.set_tcp_user_timeout(Some(LOSS_TIMEOUT));
 }
 
 /// Whether an idle connection has neither been closed nor got bytes that nobody asked for.
--- a/src/exchange/answer.rs
+++ b/src/exchange/answer.rs
@@ -115,12 +115,16 @@
 
     /// Reads the whole body of at most `limit` bytes.
     pub async fn read(&mut self, limit: usize) -> Result<Bytes, Error> {
-        self.read_noting(limit, &Progress::default()).await
+        self.read_tracked(limit, &Progress::default()).await
     }
 
     /// Reads the whole body of at most `limit` bytes, and notes when bytes come.
-    pub async fn read_noting(&mut self, limit: usize, progress: &Progress) -> Result<Bytes, Error> {
-        gather(self, limit, progress).await
+    pub async fn read_tracked(
+        &mut self,
+        limit: usize,
+        progress: &Progress,
+    ) -> Result<Bytes, Error> {
+        collect(self, limit, progress).await
     }
 
     fn keep(&self, connection: Connection) {
@@ -177,7 +181,7 @@
 }
 
 /// Reads all of `parts`, of at most `limit` bytes, and notes when bytes come.
-pub async fn gather(
+pub async fn collect(
     parts: &mut (impl Stream<Item = Result<Bytes, Error>> + Unpin),
     limit: usize,
     progress: &Progress,
--- a/src/exchange/path.rs
+++ b/src/exchange/path.rs
@@ -82,7 +82,7 @@
     }
 
     /// `peer` answered on a new connection, and not yet on a used one, what was sent there at `since`.
-    pub(super) fn found_silent(&self, peer: SocketAddr, since: Time) {
+    pub(super) fn report_silent(&self, peer: SocketAddr, since: Time) {
         let now = self.now();
         let others = self.others(since);
         let mut findings = self.findings.borrow_mut();
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -484,7 +484,7 @@
         let restarted = self.pool.borrow_mut().take_restarted();
         for address in restarted {
             log::info!(replica:% = address; "replica restarted; closing idle connections to its address");
-            self.client.forget(address);
+            self.client.close_idle(address);
         }
     }
 
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -18,7 +18,7 @@
 use super::{CONNECT_TIMEOUT, Gateway, IDLE_MAX};
 use crate::clock::Time;
 use crate::config::routing::Kind;
-use crate::exchange::{self, Note, Options, Reuse, Unframed};
+use crate::exchange::{self, Options, Recorder, Reuse, Unframed};
 use crate::http::Answer;
 use crate::member::replica::Instance;
 use crate::request::attempt::Ended;
@@ -109,7 +109,7 @@
     start_recorded: Cell<bool>,
     /// Whether the replica is known to have survived the request, or is already being checked.
     outcome_known: Cell<bool>,
-    connection: Note,
+    connection: Recorder,
 }
 
 impl Drop for Attempt {
@@ -151,7 +151,7 @@
             start_deadline,
             start_recorded: Cell::new(false),
             outcome_known: Cell::new(false),
-            connection: Note::default(),
+            connection: Recorder::default(),
         })
     }
 
@@ -295,7 +295,8 @@
         let client = &self.gateway.client;
         let body = job.body.clone();
         let options = options(job, can_fail_over);
-        let exchange = client.exchange_noting(self.address, head, body, options, &self.connection);
+        let exchange =
+            client.exchange_recorded(self.address, head, body, options, &self.connection);
         Ok(Reader::of_replica(exchange.await?))
     }
 
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -6,7 +6,7 @@
 
 use super::dispatch::Dispatch;
 use crate::clock::Time;
-use crate::exchange::Note;
+use crate::exchange::Recorder;
 use crate::knowledge::gossip;
 use crate::lease::{self, Response};
 use crate::route::pool::{Choice, Key, Limits, Unavailable};
@@ -165,7 +165,10 @@
         request: &lease::Request,
     ) -> Offer {
         let knowledge = &self.gateway.knowledge;
-        let (within, note) = ((ANSWER_TIMEOUT, RENEWED_ANSWER_TIMEOUT), Note::default());
+        let (within, note) = (
+            (ANSWER_TIMEOUT, RENEWED_ANSWER_TIMEOUT),
+            Recorder::default(),
+        );
         let answer = gossip::call_within::<_, Response>(
             knowledge,
             sidecar,
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -158,7 +158,7 @@
 
     /// Tries to connect to `address`; if the connection is refused, all suspects there count.
     async fn connect(self: Rc<Self>, address: SocketAddr) {
-        let refused = self.client.refuses(address, CONNECT_TIMEOUT).await;
+        let refused = self.client.probe_refused(address, CONNECT_TIMEOUT).await;
         self.take_crashed(address, refused);
     }
 
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -20,7 +20,7 @@
 
 use super::{CONNECT_TIMEOUT, Gateway, IDLE_MAX};
 use crate::clock::Time;
-use crate::exchange::{self, Client, Note, Options, Request, Response, Reuse, answer};
+use crate::exchange::{self, Client, Options, Recorder, Request, Response, Reuse, answer};
 use crate::route::notice::{self, Notice};
 use crate::run::{Call, DISPOSITION_HEADER, Disposition, Key};
 use crate::timeout::Progress;
@@ -105,7 +105,7 @@
         handle: Handle,
         head: RequestHead,
         body: Option<Bytes>,
-        note: Note,
+        note: Recorder,
     ) -> Result<Self, Error> {
         let mut buffered = Buffered::begin(handle, head, body, note)?;
         let mut response = buffered.head().await?;
@@ -143,7 +143,7 @@
             let part = reader.next().await?;
             Some((part, reader))
         });
-        answer::gather(&mut pin!(parts), limit, &Progress::default()).await
+        answer::collect(&mut pin!(parts), limit, &Progress::default()).await
     }
 }
 
@@ -209,7 +209,7 @@
         let options = Options {
             idle_max: IDLE_MAX,
             connect_timeout: CONNECT_TIMEOUT,
-            renews_after: Some(END_RENEW_AFTER),
+            hedge_after: Some(END_RENEW_AFTER),
             ..Options::default()
         };
         let client = self.client();
@@ -273,7 +273,7 @@
         handle: Handle,
         mut head: RequestHead,
         body: Option<Bytes>,
-        note: Note,
+        note: Recorder,
     ) -> Result<Self, Error> {
         let target = head.uri.path_and_query().map(ToString::to_string);
         let call = Call::Start {
@@ -288,7 +288,7 @@
         };
         let (client, sidecar) = (handle.client(), handle.sidecar);
         let initial = async move {
-            let exchange = client.exchange_noting(sidecar, head, body, options, &note);
+            let exchange = client.exchange_recorded(sidecar, head, body, options, &note);
             Fetch {
                 from: 0,
                 is_initial: true,
--- a/src/gateway/retry.rs
+++ b/src/gateway/retry.rs
@@ -56,7 +56,7 @@
         if self.sent {
             // Bytes that were sent just before the connection was closed arrive within this time,
             // or not at all.
-            let latest = self.gateway.knowledge.now() + exchange::LOST;
+            let latest = self.gateway.knowledge.now() + exchange::LOSS_TIMEOUT;
             budget.arrived(self.key, latest);
         } else {
             budget.release(self.key);
--- a/src/http.rs
+++ b/src/http.rs
@@ -19,7 +19,7 @@
 
 use crate::timeout::{self, Progress};
 
-pub mod held;
+pub mod observed;
 pub mod server;
 
 pub use server::{Io, Server, Timing, Wrap, plain};
@@ -202,7 +202,7 @@
 }
 
 /// Headers that the connection's own header names as its own.
-pub fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
+pub fn connection_options(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(CONNECTION)
         .filter_map(|value| value.to_str().ok())
--- a/src/http/held.rs
+++ b/src/http/observed.rs
@@ -7,29 +7,29 @@
 use bytes::Bytes;
 
 /// What a body keeps. It is dropped with the body.
-pub trait Keeper: Unpin {
+pub trait Observer: Unpin {
     /// The body was handed over whole.
-    fn whole(&mut self) {}
+    fn completed(&mut self) {}
 }
 
 /// A body and what it keeps.
-pub struct Held<K> {
+pub struct Observed<K> {
     body: BoxBody,
     keeper: K,
 }
 
-impl<K: Keeper> Held<K> {
+impl<K: Observer> Observed<K> {
     /// `body`, which keeps `keeper`.
     pub fn new(body: BoxBody, mut keeper: K) -> Self {
         // A body without bytes is not asked for any.
         if matches!(body.size(), BodySize::None | BodySize::Sized(0)) {
-            keeper.whole();
+            keeper.completed();
         }
         Self { body, keeper }
     }
 }
 
-impl<K: Keeper> MessageBody for Held<K> {
+impl<K: Observer> MessageBody for Observed<K> {
     type Error = Box<dyn std::error::Error>;
 
     fn size(&self) -> BodySize {
@@ -42,7 +42,7 @@
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
         let polled = Pin::new(&mut self.body).poll_next(cx);
         if matches!(polled, Poll::Ready(None)) {
-            self.keeper.whole();
+            self.keeper.completed();
         }
         polled
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 
 use super::Answer;
-use super::held::{Held, Keeper};
+use super::observed::{Observed, Observer};
 
 /// How long a caller may take to send a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
@@ -175,7 +175,7 @@
     }
 }
 
-impl Keeper for Busy {}
+impl Observer for Busy {}
 
 impl Drop for Busy {
     fn drop(&mut self) {
@@ -274,7 +274,7 @@
                 async move {
                     let answer = answer
                         .await
-                        .map_body(|_, body| Held::new(body, busy).boxed());
+                        .map_body(|_, body| Observed::new(body, busy).boxed());
                     Ok::<_, actix_http::Error>(answer)
                 }
             });
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -19,7 +19,7 @@
 use super::rounds::{Round, RoundInput, RoundPlanner};
 use super::traffic::Purpose;
 use crate::config::catalog::Revisions;
-use crate::exchange::{Note, Options, Request};
+use crate::exchange::{Options, Recorder, Request};
 use crate::lease;
 use crate::source::Topic;
 use crate::timeout::{self, Progress};
@@ -72,7 +72,7 @@
     path: &str,
     message: &T,
 ) -> Result<(), Error> {
-    post_noting(knowledge, peer, path, message, &Note::default()).await
+    post_noting(knowledge, peer, path, message, &Recorder::default()).await
 }
 
 /// Like [`post`], and records in `note` which connection it uses.
@@ -81,7 +81,7 @@
     peer: SocketAddr,
     path: &str,
     message: &T,
-    note: &Note,
+    note: &Recorder,
 ) -> Result<(), Error> {
     let call = Call::new(peer, path, encode(message)?);
     let update = call.exchange(knowledge, note, || true).await?;
@@ -111,7 +111,8 @@
     message: &T,
 ) -> Result<A, Error> {
     let call = Call::new(peer, path, encode(message)?);
-    call.exchange(knowledge, &Note::default(), || true).await
+    call.exchange(knowledge, &Recorder::default(), || true)
+        .await
 }
 
 /// Sends `message` to another process of the system and reads its answer. If a used connection brings
@@ -123,7 +124,7 @@
     path: &str,
     message: &T,
     (timeout, retry_timeout): (Duration, Duration),
-    note: &Note,
+    note: &Recorder,
 ) -> Result<A, Error> {
     let call = Call {
         renews_after: Some(timeout),
@@ -142,7 +143,8 @@
     encoded: Bytes,
 ) -> Result<Update, Error> {
     let call = Call::new(peer, path, encoded);
-    call.exchange(knowledge, &Note::default(), || true).await
+    call.exchange(knowledge, &Recorder::default(), || true)
+        .await
 }
 
 fn encode<T: Serialize>(message: &T) -> Result<Bytes, Error> {
@@ -175,7 +177,7 @@
     async fn exchange<A: DeserializeOwned>(
         &self,
         knowledge: &Knowledge,
-        note: &Note,
+        note: &Recorder,
         needed: impl Fn() -> bool,
     ) -> Result<A, Error> {
         let progress = Progress::default();
@@ -184,13 +186,13 @@
             let options = Options {
                 connect_timeout: CONNECT_TIMEOUT,
                 idle_max: IDLE_MAX,
-                renews_after: self.renews_after,
+                hedge_after: self.renews_after,
                 ..Options::default()
             };
             let (client, body) = (&knowledge.client, Some(self.body.clone()));
-            let answer = client.exchange_noting(self.peer, head, body, options, note);
+            let answer = client.exchange_recorded(self.peer, head, body, options, note);
             let mut answer = answer.await?;
-            let body = answer.read_noting(ANSWER_BYTES_MAX, &progress).await?;
+            let body = answer.read_tracked(ANSWER_BYTES_MAX, &progress).await?;
             let bytes = self.body.len() + body.len();
             knowledge.traffic.count(purpose(self.path), bytes);
             if !answer.status.is_success() {
@@ -278,7 +280,7 @@
         renews_after: None,
         ..Call::new(peer, SYNC_PATH, encode(heartbeat)?)
     };
-    call.exchange(knowledge, &Note::default(), needed).await
+    call.exchange(knowledge, &Recorder::default(), needed).await
 }
 
 /// Exchanges heartbeats with other entries until dropped. `sidecars` returns the addresses of sidecars,
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -15,7 +15,7 @@
 use super::Knowledge;
 use super::gossip;
 use super::readers::Readers;
-use crate::exchange::Note;
+use crate::exchange::Recorder;
 use crate::member::rank::{rank, weight};
 use crate::request::poison::{CaseReport, RequestHash};
 
@@ -159,7 +159,7 @@
     let (Some(first), Some(case)) = (first, case) else {
         return false;
     };
-    let (claim, note) = (Claim { case }, Note::default());
+    let (claim, note) = (Claim { case }, Recorder::default());
     let answer = gossip::call_within::<_, Answer>(
         knowledge,
         first,
--- a/src/knowledge/schedule.rs
+++ b/src/knowledge/schedule.rs
@@ -85,7 +85,7 @@
 
     /// Records that a call was answered. Returns the pause before the next one.
     pub fn succeeded(&mut self) -> Duration {
-        self.backoff.succeeded();
+        self.backoff.reset();
         match self.topic {
             Topic::Operator => OPERATOR_INTERVAL,
             Topic::Replicas => REPLICAS_INTERVAL,
@@ -94,6 +94,6 @@
 
     /// Records that a call failed. Returns the pause before the next one, multiplied by `jitter`.
     pub fn failed(&mut self, jitter: f64) -> Duration {
-        self.backoff.failed().mul_f64(jitter)
+        self.backoff.next_delay().mul_f64(jitter)
     }
 }
--- a/src/member/rank.rs
+++ b/src/member/rank.rs
@@ -19,5 +19,5 @@
     let mut hasher = blake3::Hasher::new();
     hasher.update(address.to_string().as_bytes());
     hasher.update(subject.as_bytes());
-    (hash::word(&hasher.finalize()), address)
+    (hash::truncate(&hasher.finalize()), address)
 }
--- a/src/request/budget.rs
+++ b/src/request/budget.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use crate::clock::Time;
-use crate::exchange::LOST;
+use crate::exchange::LOSS_TIMEOUT;
 
 /// Fraction of the ratio that is spent, because the windows in which the limit is checked start at
 /// other times than the ones counted here. A restarted entry spends only the remaining fraction
@@ -77,7 +77,7 @@
         let previous_run_counts = if setting.full_at_start {
             Duration::ZERO
         } else {
-            setting.window + LOST
+            setting.window + LOSS_TIMEOUT
         };
         Self {
             buckets: VecDeque::new(),
--- a/src/route.rs
+++ b/src/route.rs
@@ -521,5 +521,5 @@
 
 /// 64-bit hash of `bytes`, the same on every machine.
 pub fn hash_of(bytes: &[u8]) -> u64 {
-    hash::word(&blake3::hash(bytes))
+    hash::truncate(&blake3::hash(bytes))
 }
--- a/src/sidecar/carry.rs
+++ b/src/sidecar/carry.rs
@@ -159,7 +159,7 @@
 }
 
 fn pass(from: &HeaderMap, into: &mut HeaderMap) {
-    let named = http::named_by_connection(from);
+    let named = http::connection_options(from);
     for (name, value) in from.iter() {
         if !HOP.contains(name) && !named.iter().any(|known| known == name.as_str()) {
             into.append(name.clone(), value.clone());
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -14,7 +14,7 @@
 use super::reconcile::Staged;
 use crate::backoff::Backoff;
 use crate::clock::Time;
-use crate::exchange::{Note, Way};
+use crate::exchange::{Acquisition, Recorder};
 use crate::knowledge::gossip::post_noting;
 use crate::knowledge::hub;
 use crate::knowledge::readers::Readers;
@@ -164,7 +164,7 @@
         self.wish.set(Suspension::default());
         self.state.replace(None);
         self.ledger.borrow_mut().reset();
-        self.client.forget(self.engine.address());
+        self.client.close_idle(self.engine.address());
         self.staged.replace(Staged::default());
         self.set_noticed(None);
     }
@@ -361,10 +361,10 @@
             ..sidecar.knowledge.heartbeat(asks)
         },
     };
-    let (began, note) = (sidecar.knowledge.now(), Note::default());
+    let (began, note) = (sidecar.knowledge.now(), Recorder::default());
     match post_noting(&sidecar.knowledge, entry, REPORT_PATH, &report, &note).await {
         // The time of one that was sent twice says nothing of the link.
-        Ok(()) if note.way() == Some(Way::Renewed) => {}
+        Ok(()) if note.acquisition() == Some(Acquisition::Renewed) => {}
         Ok(()) => {
             let now = sidecar.knowledge.now();
             sidecar.trips.borrow_mut().finish(now.since(began), now);
@@ -380,13 +380,13 @@
 /// Reads the store while no entry answers.
 pub async fn read_store_when_alone(sidecar: Rc<Sidecar>) {
     let mut backoff = Backoff::new(ALONE, ALONE_MAX);
-    let mut pause = backoff.failed();
+    let mut pause = backoff.next_delay();
     loop {
         sleep(pause).await;
         let now = sidecar.knowledge.now();
         if sidecar.knowledge.peers.borrow().alive(now).next().is_some() {
-            backoff.succeeded();
-            pause = backoff.failed();
+            backoff.reset();
+            pause = backoff.next_delay();
             continue;
         }
         log::info!("no entry answers; reading the store");
@@ -394,7 +394,7 @@
             read_store(&sidecar, topic).await;
         }
         let jitter = sidecar.knowledge.rng.borrow_mut().random_range(0.7..1.3);
-        pause = backoff.failed().mul_f64(jitter);
+        pause = backoff.next_delay().mul_f64(jitter);
     }
 }
 
--- a/src/spread/ring.rs
+++ b/src/spread/ring.rs
@@ -22,7 +22,7 @@
 
 /// Returns a 64-bit hash of `version` and `parts`, which is the same on every box.
 pub fn score(version: Digest, parts: &[&[u8]]) -> u64 {
-    hash::under(version.as_bytes(), parts.iter().copied())
+    hash::with_prefix(version.as_bytes(), parts.iter().copied())
 }
 
 /// Returns the boxes at `count` offsets from `own` on the ring of `members`, or all others if
--- a/src/spread/swarm.rs
+++ b/src/spread/swarm.rs
@@ -434,7 +434,7 @@
             }
         }
         if fetch.source == Source::Origin && outcome == Outcome::Stored {
-            self.origin_backoff.succeeded();
+            self.origin_backoff.reset();
             self.last_origin_chunk = Some(now);
         }
     }
@@ -629,7 +629,7 @@
     }
 
     fn back_off_origin(&mut self, now: Time) {
-        let pause = self.origin_backoff.failed();
+        let pause = self.origin_backoff.next_delay();
         let jitter = self.rng.random_range(0.5..1.0);
         self.origin_retry_at = now + pause.mul_f64(jitter);
     }
--- a/src/stop/tracker.rs
+++ b/src/stop/tracker.rs
@@ -17,7 +17,7 @@
 
 use super::{Decision, Kind, Phase, Setting, Stop};
 use crate::clock::Clock;
-use crate::http::held::{Held, Keeper};
+use crate::http::observed::{Observed, Observer};
 use crate::http::{Answer, Server};
 use crate::request::Outcome;
 
@@ -225,7 +225,7 @@
             if_whole: self.completion(&answer),
             permit: self,
         };
-        answer.map_body(|_, body| Held::new(body, guard).boxed())
+        answer.map_body(|_, body| Observed::new(body, guard).boxed())
     }
 }
 
@@ -249,8 +249,8 @@
     if_whole: Completion,
 }
 
-impl Keeper for BodyGuard {
-    fn whole(&mut self) {
+impl Observer for BodyGuard {
+    fn completed(&mut self) {
         self.permit.completion = self.if_whole;
     }
 }
--- a/src/timeout.rs
+++ b/src/timeout.rs
@@ -65,7 +65,7 @@
     fn default() -> Self {
         Self {
             first_byte: Duration::from_millis(1_000),
-            idle: exchange::LOST,
+            idle: exchange::LOSS_TIMEOUT,
             total: Duration::from_secs(20),
         }
     }
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -164,17 +164,17 @@
         let first = Duration::from_millis(u64::from(first));
         let longest = first + Duration::from_millis(u64::from(longest));
         let mut backoff = Backoff::new(first, longest);
-        let mut before = backoff.failed();
+        let mut before = backoff.next_delay();
         let starts = before == first;
         let doubles = (0..failures).all(|_| {
-            let pause = backoff.failed();
+            let pause = backoff.next_delay();
             let correct = pause == (before * 2).min(longest);
             before = pause;
             correct
         });
         let counts = backoff.failures() == u32::from(failures) + 1;
-        backoff.succeeded();
-        starts && doubles && counts && backoff.failures() == 0 && backoff.failed() == first
+        backoff.reset();
+        starts && doubles && counts && backoff.failures() == 0 && backoff.next_delay() == first
     }
     quickcheck(property as fn(u8, u16, u8) -> bool);
 }
