--- a/src/exchange.rs
+++ b/src/exchange.rs
@@ -1,10 +1,11 @@
-//! One HTTP/1.1 exchange whose end is known exactly, for the hops that a request travels.
+//! HTTP/1.1 client for the hops of a request, which reports exactly how an exchange ended.
 //!
-//! Two questions decide what a caller may be told, and a general client answers neither: did any
-//! byte of the request leave, and did the answer end or was it cut off? `awc` ends a body without
-//! an error when the peer's connection closes in the middle of it. So these hops use the codec of
-//! `actix-http` directly: an error before the first byte is [`Error::NotSent`], everything after
-//! it is [`Error::Broken`], and a body ends only where its length or its last chunk says so.
+//! What a caller may be told depends on two facts that a general client does not report: whether
+//! any byte of the request was sent, and whether the response was complete or truncated. `awc` ends
+//! a body without an error when the peer closes the connection in the middle of it. So this client
+//! uses the codec of `actix-http` directly: an error before the first byte is [`Error::NotSent`],
+//! any later one is [`Error::Broken`], and a body ends only at its declared length or its last
+//! chunk.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -39,39 +40,39 @@
 use answer::Hop;
 use path::Paths;
 
-/// How long a connection may take to open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How much later than a new connection the used one may answer the same without counting as silent: a
-/// few times the longest way between two halls and back.
-const CONFIRMED_AFTER: Duration = Duration::from_millis(40);
+/// How much later than the new connection a reused one may answer the same request without counting
+/// as silent: a few times the longest round trip between two halls.
+const SILENCE_GRACE: Duration = Duration::from_millis(40);
 
-/// Longest silence of a peer's machine, with bytes or probes unanswered, before its connection
-/// counts as lost.
+/// How long bytes or keep-alive probes may stay unacknowledged by a peer's machine before its
+/// connection counts as lost.
 pub const LOSS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How an exchange failed.
+/// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     #[error("not sent: {reason}")]
     NotSent {
         /// What happened.
         reason: String,
     },
-    /// Bytes left, and the answer did not come whole.
+    /// Bytes were sent, and no complete response was received.
     #[error("broken: {reason}")]
     Broken {
         /// What happened.
         reason: String,
     },
-    /// The connection went silent, as exchanges with others show. Bytes left.
+    /// The connection went silent, as shown by exchanges on other connections. Bytes were sent.
     #[error("the connection went silent with others")]
     Silent,
-    /// The answer is longer than its reader allows.
+    /// The response body exceeds its reader's limit.
     #[error("answer is longer than {limit} bytes")]
     TooLong {
-        /// The bound, in bytes.
+        /// The limit, in bytes.
         limit: usize,
     },
 }
@@ -88,35 +89,37 @@
     }
 }
 
-/// Whether a connection that was used before will do.
+/// Whether an exchange may use an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// It will: if the peer closes it meanwhile, the request may be sent again.
+    /// It may: the request can be repeated if the peer closes the connection meanwhile.
     Allowed,
-    /// It will not: the peer may be closing it, and then nobody knows whether the request ran.
+    /// It may not: the peer may be closing the connection, and then it is unknown whether the
+    /// request ran.
     Never,
 }
 
-/// What ends an answer that tells no length.
+/// What ends a response body that has neither a length nor chunked encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unframed {
-    /// Nothing: its connection's end cannot be told from a break, so it never counts as whole.
+    /// Nothing: the end of the connection cannot be told from a failure, so the body never counts
+    /// as complete.
     Broken,
-    /// The orderly end of its connection; a reset is a break.
+    /// The orderly close of the connection (FIN). A reset is a failure.
     EndsWithConnection,
 }
 
-/// The connection that an exchange took.
+/// How the connection of an exchange was obtained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acquisition {
-    /// One that was opened for it.
+    /// Opened for the exchange.
     New,
-    /// One that was used before.
+    /// Reused.
     Used {
-        /// How long it had rested.
-        rested: Duration,
+        /// How long it had been idle.
+        idle: Duration,
     },
-    /// One that was opened when a used one had brought nothing for a while.
+    /// Opened when a reused one had received nothing for a while.
     Renewed,
 }
 
@@ -125,52 +128,52 @@
         match self {
             Self::New => formatter.write_str("new"),
             Self::Renewed => formatter.write_str("renewed"),
-            Self::Used { rested } => write!(formatter, "used, rested {} ms", rested.as_millis()),
+            Self::Used { idle } => write!(formatter, "used, rested {} ms", idle.as_millis()),
         }
     }
 }
 
-/// Keeps which connection an exchange took, for whoever has to explain how it ended. Clones tell of
-/// the same exchange.
+/// Records how the connection of an exchange was obtained, to explain how the exchange ended.
+/// Clones share the record.
 #[derive(Debug, Clone, Default)]
 pub struct Recorder(Rc<Cell<Option<Acquisition>>>);
 
 impl Recorder {
-    /// The connection that was taken last, if any was.
+    /// How the last connection was obtained, if there was one.
     pub fn acquisition(&self) -> Option<Acquisition> {
         self.0.get()
     }
 
-    fn set(&self, way: Acquisition) {
-        self.0.set(Some(way));
+    fn set(&self, acquisition: Acquisition) {
+        self.0.set(Some(acquisition));
     }
 }
 
 impl fmt::Display for Recorder {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0.get() {
-            Some(way) => way.fmt(formatter),
+            Some(acquisition) => acquisition.fmt(formatter),
             None => formatter.write_str("none"),
         }
     }
 }
 
-/// How an exchange is to be made.
+/// Options of an exchange.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Whether a used connection will do.
+    /// Whether an idle connection may be used.
     pub reuse: Reuse,
-    /// Longest rest of a connection that is used again, unless its peer says less.
+    /// Maximum idle time of a connection that is reused, unless its peer announced a shorter one.
     pub idle_max: Duration,
-    /// How long a connection may take to open.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// What ends an answer without a length.
+    /// What ends a response body without a length.
     pub unframed: Unframed,
-    /// Whether the exchange ends with [`Error::Silent`] when its connection turns out to be silent.
-    /// What may not run twice is waited for all the same.
+    /// Whether the exchange fails with [`Error::Silent`] when its connection is found silent.
+    /// Cleared for a request that may not run twice: its response is awaited nevertheless.
     pub guarded: bool,
-    /// For what may be sent twice: how long a used connection may leave it unanswered before it is
-    /// sent again on a new one.
+    /// For a request that may be sent twice: how long a reused connection may leave it unanswered
+    /// before it is repeated on a new one.
     pub hedge_after: Option<Duration>,
 }
 
@@ -187,23 +190,23 @@
     }
 }
 
-/// A request.
+/// An HTTP request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub path: String,
-    /// Its headers.
+    /// The headers.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Whether a used connection will do.
+    /// Whether an idle connection may be used.
     pub reuse: Reuse,
 }
 
 impl Request {
-    /// A request without headers and body that may use any connection.
+    /// Creates a request without headers and body that may use any connection.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -214,13 +217,13 @@
         }
     }
 
-    /// The value of one of its headers, empty if it has none.
+    /// The value of a header, empty if there is none.
     pub fn header(&self, name: &str) -> &str {
         let found = self.headers.iter().find(|(known, _)| *known == name);
         found.map_or("", |(_, value)| value)
     }
 
-    /// Its head, for `peer`.
+    /// The head of the request to `peer`.
     pub fn head(&self, peer: SocketAddr) -> Result<RequestHead, Error> {
         let mut head = RequestHead::default();
         head.method = self.method.clone();
@@ -240,33 +243,36 @@
 
 type Connection = Framed<TcpStream, ClientCodec>;
 
-/// A connection that an exchange takes.
-struct Taken {
+/// A connection taken for an exchange.
+struct Checkout {
     connection: Connection,
     opened: Time,
-    /// When it brought something last, or was opened.
-    heard: Time,
+    /// When it last received bytes, or was opened.
+    last_received: Time,
 }
 
-/// A connection at rest.
-struct Kept {
+/// A connection in the idle pool.
+struct IdleConnection {
     connection: Connection,
     opened: Time,
-    /// When it brought something last. It rests since then.
-    heard: Time,
-    good_for: Option<Duration>,
+    /// When it last received bytes. It has been idle since then.
+    last_received: Time,
+    /// How long the peer keeps the idle connection, if it announced that.
+    keep_alive_limit: Option<Duration>,
 }
 
-impl Kept {
+impl IdleConnection {
     fn usable(&self, idle_max: Duration, now: Time) -> bool {
-        let longest = self.good_for.map_or(idle_max, |good| good.min(idle_max));
-        now.since(self.heard) < longest && still_open(&self.connection)
+        let limit = self
+            .keep_alive_limit
+            .map_or(idle_max, |limit| limit.min(idle_max));
+        now.since(self.last_received) < limit && still_open(&self.connection)
     }
 }
 
-type Idle = Rc<RefCell<BTreeMap<SocketAddr, Vec<Kept>>>>;
+type Pool = Rc<RefCell<BTreeMap<SocketAddr, Vec<IdleConnection>>>>;
 
-/// A request on its way.
+/// A request to send.
 struct Sending {
     peer: SocketAddr,
     head: Rc<RequestHead>,
@@ -292,11 +298,11 @@
     }
 }
 
-/// Makes exchanges, and keeps idle connections.
+/// Makes exchanges and pools idle connections.
 #[derive(Clone, Default)]
 pub struct Client {
     local: Option<IpAddr>,
-    idle: Idle,
+    idle: Pool,
     paths: Rc<Paths>,
 }
 
@@ -307,7 +313,7 @@
 }
 
 impl Client {
-    /// A client whose connections leave from `local`.
+    /// Creates a client whose connections are bound to the local address `local`.
     pub fn new(local: Option<IpAddr>) -> Self {
         Self {
             local,
@@ -315,7 +321,7 @@
         }
     }
 
-    /// A client that shares what is known of the process's connections.
+    /// Creates a client that shares `paths`, the state of the process's connections.
     pub fn sharing(paths: Rc<Paths>) -> Self {
         Self {
             paths,
@@ -323,7 +329,7 @@
         }
     }
 
-    /// Sends `request` to `peer` and returns the head of its answer.
+    /// Sends `request` to `peer` and returns once the head of the response is read.
     pub async fn send(&self, peer: SocketAddr, request: &Request) -> Result<Response, Error> {
         let options = Options {
             reuse: request.reuse,
@@ -334,7 +340,8 @@
         self.exchange(peer, head, body, options).await
     }
 
-    /// Sends a request of `head` and `body` to `peer` and returns the head of its answer.
+    /// Sends a request of `head` and `body` to `peer` and returns once the head of the response is
+    /// read.
     pub async fn exchange(
         &self,
         peer: SocketAddr,
@@ -342,19 +349,20 @@
         body: Option<Bytes>,
         options: Options,
     ) -> Result<Response, Error> {
-        let note = Recorder::default();
-        self.exchange_recorded(peer, head, body, options, &note)
+        let recorder = Recorder::default();
+        self.exchange_recorded(peer, head, body, options, &recorder)
             .await
     }
 
-    /// Does the same, and notes in `note` which connection it takes.
+    /// Like [`exchange`](Self::exchange), and records in `recorder` how the connection was
+    /// obtained.
     pub async fn exchange_recorded(
         &self,
         peer: SocketAddr,
         head: RequestHead,
         body: Option<Bytes>,
         options: Options,
-        note: &Recorder,
+        recorder: &Recorder,
     ) -> Result<Response, Error> {
         let sending = Rc::new(Sending {
             peer,
@@ -363,40 +371,40 @@
             options,
         });
         let used = match options.reuse {
-            Reuse::Allowed => self.used(peer, options, note),
+            Reuse::Allowed => self.take_idle(peer, options, recorder),
             Reuse::Never => None,
         };
         let Some(used) = used else {
-            let taken = self.open(&sending, note).await?;
-            return self.converse(&sending, taken).await;
+            let checkout = self.open(&sending, recorder).await?;
+            return self.run(&sending, checkout).await;
         };
         match options.hedge_after {
-            None => self.converse(&sending, used).await,
-            Some(after) => self.converse_or_renew(sending, used, after, note).await,
+            None => self.run(&sending, used).await,
+            Some(after) => self.run_hedged(sending, used, after, recorder).await,
         }
     }
 
-    /// Sends a request over a used connection, and again over a new one if that brings nothing `after`
-    /// so long. Whichever answers first counts.
-    async fn converse_or_renew(
+    /// Sends a request over the reused connection `used`, and repeats it over a new one if nothing
+    /// is received within `after`. The first response counts.
+    async fn run_hedged(
         &self,
         sending: Rc<Sending>,
-        used: Taken,
+        used: Checkout,
         after: Duration,
-        note: &Recorder,
+        recorder: &Recorder,
     ) -> Result<Response, Error> {
         let since = self.paths.now();
         let (client, request) = (self.clone(), sending.clone());
-        let old = Box::pin(async move { client.converse(&request, used).await });
+        let old = Box::pin(async move { client.run(&request, used).await });
         let old = match select(old, pin!(sleep(after))).await {
             Either::Left((Err(Error::Silent), _)) => None,
             Either::Left((answer, _)) => return answer,
             Either::Right((_, old)) => Some(old),
         };
         let new = pin!(async {
-            let taken = self.open(&sending, note).await?;
-            note.set(Acquisition::Renewed);
-            self.converse(&sending, taken).await
+            let checkout = self.open(&sending, recorder).await?;
+            recorder.set(Acquisition::Renewed);
+            self.run(&sending, checkout).await
         });
         let Some(old) = old else {
             return new.await;
@@ -406,11 +414,12 @@
             Either::Left((Err(_), new)) => new.await,
             Either::Right((answer, old)) => {
                 let answer = answer?;
-                self.paths.suspect(sending.peer);
+                self.paths.report_suspicion(sending.peer);
                 let (paths, peer) = (self.paths.clone(), sending.peer);
                 actix_rt::spawn(async move {
-                    // What holds a link up holds both up: the old one answers about then as well.
-                    if timeout(CONFIRMED_AFTER, old).await.is_err() {
+                    // A delay of the link affects both connections, so the old one would answer at
+                    // about the same time.
+                    if timeout(SILENCE_GRACE, old).await.is_err() {
                         paths.report_silent(peer, since);
                     }
                 });
@@ -419,33 +428,34 @@
         }
     }
 
-    /// Sends a request over a connection and reads the head of its answer.
-    async fn converse(&self, sending: &Sending, taken: Taken) -> Result<Response, Error> {
-        let Taken {
+    /// Sends a request over a connection and reads the head of the response.
+    async fn run(&self, sending: &Sending, checkout: Checkout) -> Result<Response, Error> {
+        let Checkout {
             mut connection,
             opened,
-            heard,
-        } = taken;
+            last_received,
+        } = checkout;
         sending.write(&mut connection)?;
-        let mut guard = self.paths.guard(sending.peer, opened, heard);
+        let mut guard = self.paths.guard(sending.peer, opened, last_received);
         let ended = {
-            let converse = pin!(converse(&mut connection));
+            let transfer = pin!(transfer(&mut connection));
             if sending.options.guarded {
-                match select(converse, &mut guard).await {
+                match select(transfer, &mut guard).await {
                     Either::Left((ended, _)) => ended,
                     Either::Right(_) => Err(Error::Silent),
                 }
             } else {
-                converse.await
+                transfer.await
             }
         };
         let (head, sent) = ended?;
-        guard.heard();
+        guard.touch();
         let hop = Hop {
             idle: self.idle.clone(),
             peer: sending.peer,
             opened,
-            // A peer that answered before it read the request may read the rest as another one.
+            // A peer that responds before it has read the request may take the rest for another
+            // one.
             reusable: sent,
             unframed: sending.options.unframed,
             guard,
@@ -454,32 +464,37 @@
         Ok(Response::new(hop, head, connection))
     }
 
-    /// A connection to `peer` that was used before, and is good as far as is known.
-    fn used(&self, peer: SocketAddr, options: Options, note: &Recorder) -> Option<Taken> {
+    /// Takes an idle connection to `peer` that is still usable as far as is known.
+    fn take_idle(
+        &self,
+        peer: SocketAddr,
+        options: Options,
+        recorder: &Recorder,
+    ) -> Option<Checkout> {
         let now = self.paths.now();
-        while let Some(kept) = self.kept(peer) {
+        while let Some(kept) = self.pop_idle(peer) {
             let connection = silence::Connection {
                 peer,
                 opened: kept.opened,
-                last_received: kept.heard,
+                last_received: kept.last_received,
                 status: Status::Idle,
             };
-            if kept.usable(options.idle_max, now) && !self.paths.doubts(connection) {
-                let rested = now.since(kept.heard);
-                note.set(Acquisition::Used { rested });
-                return Some(Taken {
+            if kept.usable(options.idle_max, now) && !self.paths.is_suspect(connection) {
+                let idle = now.since(kept.last_received);
+                recorder.set(Acquisition::Used { idle });
+                return Some(Checkout {
                     connection: kept.connection,
                     opened: kept.opened,
-                    heard: kept.heard,
+                    last_received: kept.last_received,
                 });
             }
         }
         None
     }
 
-    /// Opens a connection.
-    async fn open(&self, sending: &Sending, note: &Recorder) -> Result<Taken, Error> {
-        note.set(Acquisition::New);
+    /// Opens a new connection.
+    async fn open(&self, sending: &Sending, recorder: &Recorder) -> Result<Checkout, Error> {
+        recorder.set(Acquisition::New);
         let open = self.connect(sending.peer);
         let open = timeout(sending.options.connect_timeout, open);
         let stream = open
@@ -487,28 +502,30 @@
             .map_err(|_| not_sent("no connection in time"))?
             .map_err(not_sent)?;
         let _ = stream.set_nodelay(true);
-        watch_for_loss(&stream);
+        enable_loss_detection(&stream);
         let opened = self.paths.now();
-        Ok(Taken {
+        Ok(Checkout {
             connection: Framed::new(stream, ClientCodec::default()),
             opened,
-            heard: opened,
+            last_received: opened,
         })
     }
 
-    /// Opens a connection to `peer` and closes it. Returns whether its machine answers `within` so long that nobody
-    /// listens there.
+    /// Opens a connection to `peer` and closes it. Returns whether its machine refuses it (nothing
+    /// listens there) within the timeout `within`.
     pub async fn probe_refused(&self, peer: SocketAddr, within: Duration) -> bool {
         let opened = timeout(within, self.connect(peer)).await;
         matches!(opened, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Counts how often used connections brought nothing where new ones did, so that all may be silent.
+    /// Counts how often reused connections received nothing while new ones did, so that all of them
+    /// may be silent.
     pub fn suspicions(&self) -> watch::Receiver<u64> {
         self.paths.suspicions()
     }
 
-    /// Closes connections that rested for longer than `idle_max`, or than their peers said.
+    /// Closes connections that have been idle for longer than `idle_max` or than their peers
+    /// announced, and those that are no longer open.
     pub fn reap(&self, idle_max: Duration) {
         let now = self.paths.now();
         self.idle.borrow_mut().retain(|_, kept| {
@@ -517,12 +534,12 @@
         });
     }
 
-    /// Closes connections to `peer` that rest: another process listens there now.
+    /// Closes the idle connections to `peer`. Used when another process listens there now.
     pub fn close_idle(&self, peer: SocketAddr) {
         self.idle.borrow_mut().remove(&peer);
     }
 
-    fn kept(&self, peer: SocketAddr) -> Option<Kept> {
+    fn pop_idle(&self, peer: SocketAddr) -> Option<IdleConnection> {
         self.idle.borrow_mut().get_mut(&peer)?.pop()
     }
 
@@ -539,9 +556,9 @@
     }
 }
 
-/// Writes what is due and reads the head of the answer, whichever comes first. Returns whether the
-/// request left whole.
-async fn converse(connection: &mut Connection) -> Result<(ResponseHead, bool), Error> {
+/// Flushes the request and reads the head of the response, concurrently. Also returns whether the
+/// request was completely sent by then.
+async fn transfer(connection: &mut Connection) -> Result<(ResponseHead, bool), Error> {
     let mut sent = false;
     let mut failed = false;
     let head = poll_fn(|cx| {
@@ -562,8 +579,8 @@
     }
 }
 
-/// Has the kernel notice a peer whose machine went silent: it neither closes nor resets.
-fn watch_for_loss(stream: &TcpStream) {
+/// Has the kernel detect a peer whose machine went silent, which sends neither FIN nor RST.
+fn enable_loss_detection(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     let probes = socket2::TcpKeepalive::new()
         .with_time(LOSS_TIMEOUT)
@@ -573,7 +590,7 @@
     let _ = socket.set_tcp_user_timeout(Some(LOSS_TIMEOUT));
 }
 
-/// Whether an idle connection has neither been closed nor got bytes that nobody asked for.
+/// Whether an idle connection has neither been closed nor received unsolicited bytes.
 fn still_open(connection: &Connection) -> bool {
     let mut byte = [0];
     match connection.io_ref().try_read(&mut byte) {
--- a/src/exchange/answer.rs
+++ b/src/exchange/answer.rs
@@ -1,5 +1,6 @@
-//! The answer of an exchange: its body ends only where its length or its last chunk says so, and its
-//! connection is kept for others if it is good for that.
+//! The response of an exchange. Its body ends only at its declared length or its last chunk, or at
+//! the close of its connection where that is allowed; a reusable connection then returns to the
+//! pool.
 
 use std::fmt;
 use std::future::Future;
@@ -19,45 +20,45 @@
 use tokio::net::TcpStream;
 
 use super::path::Guard;
-use super::{Connection, Error, Idle, Kept, Unframed, broken};
+use super::{Connection, Error, IdleConnection, Pool, Unframed, broken};
 use crate::clock::Time;
 use crate::timeout::Progress;
 
-/// Idle connections kept for each peer.
-const IDLE_MAX: usize = 64;
+/// Maximum number of idle connections to one peer.
+const IDLE_PER_PEER_MAX: usize = 64;
 
-/// Bytes that are read at once of an answer without a length.
-const RAW_PART: usize = 8 * 1024;
+/// Size of one read of a body without a length.
+const RAW_READ_BYTES: usize = 8 * 1024;
 
-/// How long before a peer closes an idle connection, by its own word, it is not used any more.
+/// How long before the announced close by the peer an idle connection is no longer used.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
 
-/// What is left to read of an answer.
-enum Rest {
-    /// Bytes are to come on this connection.
-    Open(Framed<TcpStream, ClientPayloadCodec>),
-    /// Bytes are to come until the connection ends; the codec leaves those to its caller.
+/// The state of a response body.
+enum BodyState {
+    /// The codec reads the rest from this connection.
+    Codec(Framed<TcpStream, ClientPayloadCodec>),
+    /// Bytes follow until the connection closes; the codec leaves reading those to its caller.
     UntilClose(TcpStream, BytesMut),
-    /// The answer is whole.
-    Whole,
-    /// It was cut off.
-    Cut,
+    /// The whole body was read.
+    Complete,
+    /// The body was truncated.
+    Broken,
 }
 
-/// An answer. Its body is a stream that ends only if the answer is whole.
+/// A response. Its body is a stream that ends without an error only if the body is complete.
 pub struct Response {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
     hop: Hop,
-    rest: Rest,
+    body: BodyState,
     until_close: bool,
 }
 
-/// Where an answer came from, and what becomes of its connection.
+/// The connection of a response, and whether it can be reused.
 pub(super) struct Hop {
-    pub idle: Idle,
+    pub idle: Pool,
     pub peer: SocketAddr,
     pub opened: Time,
     pub reusable: bool,
@@ -75,32 +76,32 @@
 impl Response {
     pub(super) fn new(hop: Hop, head: ResponseHead, connection: Connection) -> Self {
         let kind = connection.codec_ref().message_type();
-        let unframed = matches!(kind, MessageType::None) && without_length(&head);
+        let unframed = matches!(kind, MessageType::None) && is_unframed(&head);
         let mut response = Self {
             status: head.status,
             headers: head.headers,
             hop,
-            rest: Rest::Whole,
+            body: BodyState::Complete,
             until_close: unframed || matches!(kind, MessageType::Stream),
         };
         match kind {
             MessageType::None if unframed => {
                 let parts = connection.into_parts();
-                response.rest = match response.hop.unframed {
-                    Unframed::Broken => Rest::Cut,
-                    Unframed::EndsWithConnection => Rest::UntilClose(parts.io, parts.read_buf),
+                response.body = match response.hop.unframed {
+                    Unframed::Broken => BodyState::Broken,
+                    Unframed::EndsWithConnection => BodyState::UntilClose(parts.io, parts.read_buf),
                 };
             }
-            MessageType::None => response.keep(connection),
+            MessageType::None => response.release(connection),
             MessageType::Payload | MessageType::Stream => {
                 let payload = connection.into_map_codec(ClientCodec::into_payload_codec);
-                response.rest = Rest::Open(payload);
+                response.body = BodyState::Codec(payload);
             }
         }
         response
     }
 
-    /// Sets whether it ends with [`Error::Silent`] when its connection turns out to be silent.
+    /// Sets whether the body fails with [`Error::Silent`] when its connection is found silent.
     pub fn set_guarded(&mut self, guarded: bool) {
         self.hop.guarded = guarded;
     }
@@ -118,7 +119,7 @@
         self.read_tracked(limit, &Progress::default()).await
     }
 
-    /// Reads the whole body of at most `limit` bytes, and notes when bytes come.
+    /// Reads the whole body of at most `limit` bytes, and reports to `progress` when bytes arrive.
     pub async fn read_tracked(
         &mut self,
         limit: usize,
@@ -127,26 +128,27 @@
         collect(self, limit, progress).await
     }
 
-    fn keep(&self, connection: Connection) {
-        // Bytes after the whole answer belong to no request; nothing may follow them.
+    fn release(&self, connection: Connection) {
+        // Bytes after the complete response belong to no request, so the connection cannot be
+        // reused.
         let clean = connection.is_read_buf_empty();
         if !self.hop.reusable || !clean || !connection.codec_ref().keep_alive() {
             return;
         }
         let mut idle = self.hop.idle.borrow_mut();
         let kept = idle.entry(self.hop.peer).or_default();
-        if kept.len() < IDLE_MAX {
-            kept.push(Kept {
+        if kept.len() < IDLE_PER_PEER_MAX {
+            kept.push(IdleConnection {
                 connection,
                 opened: self.hop.opened,
-                heard: self.hop.guard.now(),
-                good_for: self.good_for(),
+                last_received: self.hop.guard.now(),
+                keep_alive_limit: self.keep_alive_limit(),
             });
         }
     }
 
-    /// How long the peer will keep the connection, by its own word.
-    fn good_for(&self) -> Option<Duration> {
+    /// How long the connection may be idle according to the peer's `keep-alive` header.
+    fn keep_alive_limit(&self) -> Option<Duration> {
         let words = self.header("keep-alive").split(',');
         let seconds = words
             .filter_map(|word| word.trim().strip_prefix("timeout="))
@@ -154,15 +156,15 @@
         Some(Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN))
     }
 
-    fn take_raw(&mut self, part: io::Result<Bytes>) -> Option<Result<Bytes, Error>> {
+    fn end_raw_read(&mut self, part: io::Result<Bytes>) -> Option<Result<Bytes, Error>> {
         match part {
             Ok(part) if part.is_empty() => {
-                self.rest = Rest::Whole;
+                self.body = BodyState::Complete;
                 None
             }
             Ok(part) => Some(Ok(part)),
             Err(error) => {
-                self.rest = Rest::Cut;
+                self.body = BodyState::Broken;
                 Some(Err(broken(error)))
             }
         }
@@ -172,15 +174,15 @@
         self.until_close && self.hop.unframed == Unframed::EndsWithConnection
     }
 
-    fn ended(&mut self) {
-        let rest = std::mem::replace(&mut self.rest, Rest::Whole);
-        if let Rest::Open(payload) = rest {
-            self.keep(payload.into_map_codec(ClientPayloadCodec::into_message_codec));
+    fn complete(&mut self) {
+        let body = std::mem::replace(&mut self.body, BodyState::Complete);
+        if let BodyState::Codec(payload) = body {
+            self.release(payload.into_map_codec(ClientPayloadCodec::into_message_codec));
         }
     }
 }
 
-/// Reads all of `parts`, of at most `limit` bytes, and notes when bytes come.
+/// Reads all of `parts`, of at most `limit` bytes, and reports to `progress` when bytes arrive.
 pub async fn collect(
     parts: &mut (impl Stream<Item = Result<Bytes, Error>> + Unpin),
     limit: usize,
@@ -199,17 +201,17 @@
     Ok(all.freeze())
 }
 
-/// Whether an answer has a body whose length it does not tell.
-fn without_length(head: &ResponseHead) -> bool {
+/// Whether a response has a body with neither a length nor a transfer encoding.
+fn is_unframed(head: &ResponseHead) -> bool {
     let bodiless = head.status.is_informational()
         || head.status == StatusCode::NO_CONTENT
         || head.status == StatusCode::NOT_MODIFIED;
-    let told =
+    let framed =
         head.headers.contains_key(CONTENT_LENGTH) || head.headers.contains_key(TRANSFER_ENCODING);
-    !bodiless && !told
+    !bodiless && !framed
 }
 
-/// The next bytes of a connection, empty at its orderly end.
+/// The next bytes of a connection, empty at its orderly close.
 fn read_raw(
     stream: &mut TcpStream,
     buffer: &mut BytesMut,
@@ -218,7 +220,7 @@
     if !buffer.is_empty() {
         return Poll::Ready(Ok(buffer.split().freeze()));
     }
-    let mut space = [0; RAW_PART];
+    let mut space = [0; RAW_READ_BYTES];
     let mut part = ReadBuf::new(&mut space);
     std::task::ready!(Pin::new(stream).poll_read(cx, &mut part))?;
     Poll::Ready(Ok(Bytes::copy_from_slice(part.filled())))
@@ -226,32 +228,32 @@
 
 impl Response {
     fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Error>>> {
-        let payload = match &mut self.rest {
-            Rest::Whole => return Poll::Ready(None),
-            Rest::Cut => return Poll::Ready(Some(Err(broken("the answer was cut off")))),
-            Rest::UntilClose(stream, buffer) => {
+        let payload = match &mut self.body {
+            BodyState::Complete => return Poll::Ready(None),
+            BodyState::Broken => return Poll::Ready(Some(Err(broken("the answer was cut off")))),
+            BodyState::UntilClose(stream, buffer) => {
                 let part = std::task::ready!(read_raw(stream, buffer, cx));
-                return Poll::Ready(self.take_raw(part));
+                return Poll::Ready(self.end_raw_read(part));
             }
-            Rest::Open(payload) => payload,
+            BodyState::Codec(payload) => payload,
         };
         let item = std::task::ready!(Pin::new(payload).next_item(cx));
         match item {
             Some(Ok(Some(part))) => Poll::Ready(Some(Ok(part))),
             Some(Ok(None)) if !self.until_close => {
-                self.ended();
+                self.complete();
                 Poll::Ready(None)
             }
             Some(Ok(None)) | None if self.ends_with_connection() => {
-                self.rest = Rest::Whole;
+                self.body = BodyState::Complete;
                 Poll::Ready(None)
             }
             Some(Err(error)) => {
-                self.rest = Rest::Cut;
+                self.body = BodyState::Broken;
                 Poll::Ready(Some(Err(broken(error))))
             }
             Some(Ok(None)) | None => {
-                self.rest = Rest::Cut;
+                self.body = BodyState::Broken;
                 Poll::Ready(Some(Err(broken("the answer was cut off"))))
             }
         }
@@ -265,12 +267,12 @@
         let part = self.poll_part(cx);
         if part.is_ready() {
             if matches!(part, Poll::Ready(Some(Ok(_)))) {
-                self.hop.guard.heard();
+                self.hop.guard.touch();
             }
             return part;
         }
         if self.hop.guarded && Pin::new(&mut self.hop.guard).poll(cx).is_ready() {
-            self.rest = Rest::Cut;
+            self.body = BodyState::Broken;
             return Poll::Ready(Some(Err(Error::Silent)));
         }
         Poll::Pending
--- a/src/exchange/path.rs
+++ b/src/exchange/path.rs
@@ -1,4 +1,4 @@
-//! What a process's clients know together of their open connections.
+//! State of a process's open connections, shared by its clients.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,126 +16,129 @@
 use crate::clock::{Clock, Time};
 use crate::silence::{Connection, Detector, Others, Scope, Status, Suspicion};
 
-/// How much later than a silence began bytes may come that were on their way: a few milliseconds
-/// between halls.
-const ON_THE_WAY: Duration = Duration::from_millis(10);
+/// How long after a silence began bytes may still arrive that were already in transit: a few
+/// milliseconds between halls.
+const IN_TRANSIT: Duration = Duration::from_millis(10);
 
-/// Length above which the list of exchanges under way is cleared of those that ended before it grows.
-const UNDER_WAY: usize = 64;
+/// Length from which ended exchanges are removed from the list of those in flight before it grows.
+const IN_FLIGHT_PRUNE: usize = 64;
 
-/// Exchanges that ended and are remembered for what their connections brought.
-const ENDED: usize = 64;
+/// Maximum number of ended exchanges whose connections are remembered, since what these received is
+/// evidence too.
+const ENDED_MAX: usize = 64;
 
-/// The connection of an exchange under way.
+/// An exchange in flight, with the state of its connection.
 #[derive(Debug)]
-struct Carrier {
+struct Exchange {
     peer: SocketAddr,
     opened: Time,
-    heard: Cell<Time>,
-    is: Cell<Status>,
+    last_received: Cell<Time>,
+    status: Cell<Status>,
 }
 
-impl Carrier {
+impl Exchange {
     fn connection(&self) -> Connection {
         Connection {
             peer: self.peer,
             opened: self.opened,
-            last_received: self.heard.get(),
-            status: self.is.get(),
+            last_received: self.last_received.get(),
+            status: self.status.get(),
         }
     }
 }
 
-/// The paths of a process's connections: what one client finds of them, the others know. It lives on
-/// one thread.
+/// The state of the network paths of a process's connections. What one client detects, the others
+/// know. It is not shared between threads.
 #[derive(Debug)]
 pub struct Paths {
     clock: Clock,
-    findings: RefCell<Detector>,
-    under_way: RefCell<Vec<Weak<Carrier>>>,
+    detector: RefCell<Detector>,
+    in_flight: RefCell<Vec<Weak<Exchange>>>,
     ended: RefCell<VecDeque<Connection>>,
     suspicion: RefCell<Suspicion>,
     suspected: watch::Sender<u64>,
     found: watch::Sender<u64>,
-    found_all: watch::Sender<u64>,
+    all_found: watch::Sender<u64>,
 }
 
 impl Default for Paths {
     fn default() -> Self {
         Self {
             clock: Clock::default(),
-            findings: RefCell::default(),
-            under_way: RefCell::default(),
+            detector: RefCell::default(),
+            in_flight: RefCell::default(),
             ended: RefCell::default(),
             suspicion: RefCell::default(),
             suspected: watch::Sender::new(0),
             found: watch::Sender::new(0),
-            found_all: watch::Sender::new(0),
+            all_found: watch::Sender::new(0),
         }
     }
 }
 
 impl Paths {
-    /// The present instant.
+    /// The current time.
     pub(super) fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// `peer` answered on a new connection, and not yet on a used one, what was sent there at `since`.
+    /// Reports that `peer` answered a request on a new connection, and not yet on a reused one,
+    /// over which it was sent at `since`.
     pub(super) fn report_silent(&self, peer: SocketAddr, since: Time) {
         let now = self.now();
         let others = self.others(since);
-        let mut findings = self.findings.borrow_mut();
-        let extent = findings.report_silent(peer, since, others, now);
-        drop(findings);
+        let mut detector = self.detector.borrow_mut();
+        let scope = detector.report_silent(peer, since, others, now);
+        drop(detector);
         log::warn!(
-            peer:% = peer, extent:? = extent, others:? = others,
+            peer:% = peer, extent:? = scope, others:? = others,
             silent_ms = now.since(since).as_millis() as u64;
-            "a used connection is silent, a new one to the same peer works"
+            "a reused connection is silent while a new one to the same peer works"
         );
         self.found.send_modify(|count| *count += 1);
-        if extent == Scope::All && others == Others::Silent {
-            self.found_all.send_modify(|count| *count += 1);
+        if scope == Scope::All && others == Others::Silent {
+            self.all_found.send_modify(|count| *count += 1);
         }
     }
 
-    /// Whether a connection that rests is doubted.
-    pub(super) fn doubts(&self, connection: Connection) -> bool {
-        self.findings.borrow().close_deadline(connection).is_some()
+    /// Whether an idle connection may have gone silent.
+    pub(super) fn is_suspect(&self, connection: Connection) -> bool {
+        self.detector.borrow().close_deadline(connection).is_some()
     }
 
-    /// A new connection to `peer` brought what a used one may yet bring.
-    pub(super) fn suspect(&self, peer: SocketAddr) {
-        let under_way = self.under_way.borrow();
-        let under_way = under_way
+    /// Reports that a new connection to `peer` answered before a reused one, which may still
+    /// answer.
+    pub(super) fn report_suspicion(&self, peer: SocketAddr) {
+        let in_flight = self.in_flight.borrow();
+        let in_flight = in_flight
             .iter()
-            .filter(|carrier| carrier.strong_count() > 0);
-        let (under_way, now) = (under_way.count(), self.now());
-        if self.suspicion.borrow_mut().raise(peer, under_way, now) {
+            .filter(|exchange| exchange.strong_count() > 0);
+        let (in_flight, now) = (in_flight.count(), self.now());
+        if self.suspicion.borrow_mut().raise(peer, in_flight, now) {
             self.suspected.send_modify(|count| *count += 1);
         }
     }
 
-    /// Counts how often all connections were suspected by that.
+    /// Counts how often such reports made all connections suspect.
     pub(super) fn suspicions(&self) -> watch::Receiver<u64> {
         self.suspected.subscribe()
     }
 
     /// Counts how often all open connections were found silent.
     pub fn all_silent(&self) -> watch::Receiver<u64> {
-        self.found_all.subscribe()
+        self.all_found.subscribe()
     }
 
-    /// Whether connections that were opened before `since` have brought anything from then on.
+    /// Whether connections that were opened before `since` have received anything since then.
     fn others(&self, since: Time) -> Others {
-        let heard = |connection: Connection| {
-            connection.opened < since && connection.last_received > since + ON_THE_WAY
+        let received = |connection: Connection| {
+            connection.opened < since && connection.last_received > since + IN_TRANSIT
         };
-        let under_way = self.under_way.borrow();
-        let mut under_way = under_way.iter().filter_map(Weak::upgrade);
+        let in_flight = self.in_flight.borrow();
+        let mut in_flight = in_flight.iter().filter_map(Weak::upgrade);
         let ended = self.ended.borrow();
-        if under_way.any(|carrier| heard(carrier.connection()))
-            || ended.iter().any(|connection| heard(*connection))
+        if in_flight.any(|exchange| received(exchange.connection()))
+            || ended.iter().any(|connection| received(*connection))
         {
             Others::Heard
         } else {
@@ -143,35 +146,43 @@
         }
     }
 
-    /// Guards an exchange on a connection to `peer` that was opened at `opened` and brought something
-    /// at `heard` last.
-    pub(super) fn guard(self: &Rc<Self>, peer: SocketAddr, opened: Time, heard: Time) -> Guard {
-        let carrier = Rc::new(Carrier {
+    /// Creates the guard of an exchange on a connection to `peer` that was opened at `opened` and
+    /// last received bytes at `last_received`.
+    pub(super) fn guard(
+        self: &Rc<Self>,
+        peer: SocketAddr,
+        opened: Time,
+        last_received: Time,
+    ) -> Guard {
+        let exchange = Rc::new(Exchange {
             peer,
             opened,
-            heard: Cell::new(heard),
-            is: Cell::new(Status::Waiting),
+            last_received: Cell::new(last_received),
+            status: Cell::new(Status::Waiting),
         });
-        let mut under_way = self.under_way.borrow_mut();
-        if under_way.len() >= UNDER_WAY && under_way.len() == under_way.capacity() {
-            under_way.retain(|carrier| carrier.strong_count() > 0);
+        let mut in_flight = self.in_flight.borrow_mut();
+        if in_flight.len() >= IN_FLIGHT_PRUNE && in_flight.len() == in_flight.capacity() {
+            in_flight.retain(|exchange| exchange.strong_count() > 0);
         }
-        under_way.push(Rc::downgrade(&carrier));
+        in_flight.push(Rc::downgrade(&exchange));
         Guard {
             paths: self.clone(),
-            carrier: carrier.clone(),
-            given_up: Box::pin(given_up(self.clone(), carrier)),
+            exchange: exchange.clone(),
+            dead: Box::pin(dead(self.clone(), exchange)),
         }
     }
 }
 
-/// Ends when nothing is to be expected any more of a connection.
-async fn given_up(paths: Rc<Paths>, carrier: Rc<Carrier>) {
+/// Completes when the connection of `exchange` counts as dead.
+async fn dead(paths: Rc<Paths>, exchange: Rc<Exchange>) {
     let mut found = paths.found.subscribe();
     loop {
         found.borrow_and_update();
-        let due = paths.findings.borrow().close_deadline(carrier.connection());
-        match due.map(|due| due.since(paths.now())) {
+        let deadline = paths
+            .detector
+            .borrow()
+            .close_deadline(exchange.connection());
+        match deadline.map(|deadline| deadline.since(paths.now())) {
             Some(left) if left.is_zero() => return,
             Some(left) => sleep(left).await,
             // The sender lives as long as `paths` does.
@@ -180,37 +191,38 @@
     }
 }
 
-/// A future that ends when its exchange's connection has gone silent, by what other exchanges found.
+/// A future that completes when the connection of its exchange has gone silent, as found by other
+/// exchanges.
 pub(super) struct Guard {
     paths: Rc<Paths>,
-    carrier: Rc<Carrier>,
-    given_up: Pin<Box<dyn Future<Output = ()>>>,
+    exchange: Rc<Exchange>,
+    dead: Pin<Box<dyn Future<Output = ()>>>,
 }
 
 impl fmt::Debug for Guard {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "Guard({:?})", self.carrier)
+        write!(formatter, "Guard({:?})", self.exchange)
     }
 }
 
 impl Drop for Guard {
     fn drop(&mut self) {
         let mut ended = self.paths.ended.borrow_mut();
-        if ended.len() == ENDED {
+        if ended.len() == ENDED_MAX {
             ended.pop_front();
         }
-        ended.push_back(self.carrier.connection());
+        ended.push_back(self.exchange.connection());
     }
 }
 
 impl Guard {
-    /// Bytes came.
-    pub fn heard(&self) {
-        self.carrier.heard.set(self.now());
-        self.carrier.is.set(Status::Receiving);
+    /// Records that bytes were received.
+    pub fn touch(&self) {
+        self.exchange.last_received.set(self.now());
+        self.exchange.status.set(Status::Receiving);
     }
 
-    /// The present instant.
+    /// The current time.
     pub fn now(&self) -> Time {
         self.paths.now()
     }
@@ -220,6 +232,6 @@
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        self.given_up.as_mut().poll(cx)
+        self.dead.as_mut().poll(cx)
     }
 }
