--- a/src/run.rs
+++ b/src/run.rs
@@ -1,12 +1,13 @@
-//! A run of a request at a replica, kept by the process beside it, so that whoever reads it may change
-//! the connection.
+//! A replica's run of a request, buffered by the process beside the replica, so that its reader can
+//! change the connection.
 //!
-//! A connection that is lost or goes silent midway would otherwise take its run with it: the replica
-//! writes it to its end for nobody, in a place that others wait for, while another replica reads the
-//! same prompt again. With all connections of 12 full replicas silent at once, that took the work of
-//! 1.3 s. So an entry sends a stream to the process on the replica's machine, which sends it on once,
-//! keeps what comes, and hands it over from wherever the entry says. [`Buffer`] is what came of one run;
-//! [`Registry`] has those of a process. Time is passed in.
+//! Without this, a connection that is lost or goes silent in the middle would take its run with it:
+//! the replica generates the rest for nobody, in a slot that others wait for, while another replica
+//! reads the same prompt again. When all connections of 12 fully loaded replicas went silent at
+//! once, the work of 1.3 s was lost that way. So an entry sends a stream's request to the process
+//! on the replica's machine, which forwards it once, buffers the response, and hands it over from
+//! the offset that the entry names. [`Buffer`] holds the body of one run, [`Registry`] the runs of
+//! a process. Time is passed in.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,35 +19,37 @@
 
 use crate::clock::Time;
 
-/// How long a run goes on without anybody who reads it: an entry whose connection broke asks again at once, and half a
-/// second is what a replica may work on for a caller who has left.
+/// How long a run continues without a reader. An entry whose connection failed asks again at once,
+/// and a replica may work for half a second at most for a caller that has left.
 pub const UNREAD_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long a run is kept once it is over, for an entry whose connection took its end with it: what an entry waits
-/// before it asks again, a few times.
-const KEPT: Duration = Duration::from_secs(3);
+/// How long an ended run is kept, for an entry whose connection failed before the end arrived: a
+/// few times what an entry waits before it asks again.
+const RETENTION: Duration = Duration::from_secs(3);
 
-/// How long it is remembered of a run that it was here, or was asked for in vain and may not begin any more: longer
-/// than a link holds bytes up, and than callers wait.
-const REMEMBERED: Duration = Duration::from_secs(10);
+/// How long it is remembered that a run was here, or that an unknown one was asked for and may not
+/// start any more: longer than a link delays bytes and than callers wait.
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(10);
 
-/// Bytes kept behind what was handed over: as many may lie in the buffers of a connection that is lost.
-const BEHIND: usize = 256 << 10;
+/// Bytes kept after they were handed over: as many may be in the buffers of a connection that is
+/// lost.
+const READ_BUFFER_BYTES: usize = 256 << 10;
 
-/// Bytes that are taken from a replica before they are read.
-const AHEAD: usize = 256 << 10;
+/// Maximum number of unread bytes before reading from the replica pauses.
+const UNREAD_BYTES_MAX: usize = 256 << 10;
 
-/// Runs that are kept or remembered at most, more than a replica finishes in [`REMEMBERED`].
+/// Maximum number of runs kept or remembered: more than a replica finishes in
+/// [`TOMBSTONE_RETENTION`].
 const RUNS_MAX: usize = 4_096;
 
-/// The header by which the process beside a replica tells whose an answer is, as [`Disposition`].
+/// The header in which the process beside a replica states the [`Disposition`] of a response.
 pub const DISPOSITION_HEADER: &str = "pumicelatch-run";
 
 const START: &str = "/v1/run/";
 const READ: &str = "/v1/run-from/";
 const END: &str = "/v1/run-end/";
 
-/// Names one run. It is drawn at random by who asks for it.
+/// Identifies one run. It is drawn at random by the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
@@ -56,24 +59,24 @@
     }
 }
 
-/// What is asked of the process beside a replica, as its request's path says.
+/// A call to the process beside a replica, encoded in the path of the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Run this request once.
+    /// Runs this request once.
     Start {
         /// The run.
         key: Key,
-        /// Its path and query at the replica.
+        /// The path and query at the replica.
         target: String,
     },
-    /// Hand the run's answer over.
+    /// Hands over the run's response.
     Read {
         /// The run.
         key: Key,
-        /// Bytes of its body that the reader has.
+        /// Bytes of the body that the reader already has.
         from: u64,
     },
-    /// Nobody reads the run any more.
+    /// Ends the run, which has no reader any more.
     End {
         /// The run.
         key: Key,
@@ -81,7 +84,7 @@
 }
 
 impl Call {
-    /// The call of a path with its query, if it is one.
+    /// Parses a path with its query; `None` if it is not a call.
     pub fn parse(path: &str) -> Option<Self> {
         let key = |hex: &str| u64::from_str_radix(hex, 16).ok().map(Key);
         if let Some(rest) = path.strip_prefix(START) {
@@ -114,24 +117,24 @@
     }
 }
 
-/// Whose the answer to a [`Call`] is.
+/// What the response to a [`Call`] tells about the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Disposition {
-    /// The replica's.
+    /// The response is the replica's.
     Replica,
-    /// No byte of the request left for the replica.
+    /// No byte of the request was sent to the replica.
     NotSent,
-    /// The replica's answer broke, or is not kept as far back.
+    /// The replica's response broke off, or the requested part is not kept any more.
     Broken,
-    /// The run is not known to a process that began at least so long ago, and will not begin there any more.
+    /// The run is unknown to a process that started `up` ago, and will not start there any more.
     Unknown {
-        /// How long ago that was.
+        /// How long the process has been running.
         up: Duration,
     },
 }
 
 impl Disposition {
-    /// The value of [`DISPOSITION_HEADER`], read.
+    /// Parses the value of [`DISPOSITION_HEADER`].
     pub fn parse(value: &str) -> Option<Self> {
         match value {
             "replica" => Some(Self::Replica),
@@ -147,12 +150,12 @@
 }
 
 impl Disposition {
-    /// Whether a request that was sent `age` ago has not run, and will not: a process that was there all that time, and
-    /// would remember it, does not know it.
+    /// Whether a request that was sent `age` ago has not run and will not run. An unknown run
+    /// proves that if the process has been running all that time and would still remember the run.
     pub fn not_run(self, age: Duration) -> bool {
         match self {
             Self::NotSent => true,
-            Self::Unknown { up } => age < up && age < REMEMBERED,
+            Self::Unknown { up } => age < up && age < TOMBSTONE_RETENTION,
             Self::Replica | Self::Broken => false,
         }
     }
@@ -172,219 +175,223 @@
 /// How a run's body ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
-    /// It is whole.
+    /// The body is complete.
     Complete,
-    /// It broke.
+    /// The body broke off.
     Broken,
 }
 
-/// What a reader gets of a run's body.
+/// What a reader gets next of a run's body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Part {
     /// Bytes.
     Bytes(Bytes),
-    /// None yet.
+    /// No bytes yet.
     Pending,
-    /// There are no more.
+    /// The end of the body.
     End(Ended),
-    /// Another reads the run now, or the bytes are not kept any more.
+    /// Another reader has taken over the run, or the bytes are not kept any more.
     Gone,
 }
 
-/// The body of one run, as far as it came and is kept.
+/// The received part of one run's body, as far as it is kept.
 #[derive(Debug, Default)]
 pub struct Buffer {
-    /// Bytes that came before those that are kept.
+    /// Number of bytes dropped before those that are kept.
     dropped: u64,
-    kept: BytesMut,
+    data: BytesMut,
     read: u64,
     ended: Option<(Ended, Time)>,
-    /// Counts those who have read the run; the last of them does.
+    /// Number of readers so far. The last one is the current reader.
     readers: u64,
-    /// Since when nobody does.
-    unread: Option<Time>,
+    /// Since when there is no reader.
+    unread_since: Option<Time>,
 }
 
 impl Buffer {
-    /// Bytes came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.kept.extend_from_slice(bytes);
+        self.data.extend_from_slice(bytes);
     }
 
-    /// The body ended.
+    /// Records how the body ended. Only the first call counts.
     pub fn end(&mut self, ended: Ended, now: Time) {
         self.ended.get_or_insert((ended, now));
     }
 
-    /// Whether more may be taken from the replica before it is read.
+    /// Whether more bytes may be read from the replica before the reader catches up.
     pub fn has_room(&self) -> bool {
-        self.came() - self.read < AHEAD as u64
+        self.received() - self.read < UNREAD_BYTES_MAX as u64
     }
 
-    fn came(&self) -> u64 {
-        self.dropped + self.kept.len() as u64
+    fn received(&self) -> u64 {
+        self.dropped + self.data.len() as u64
     }
 
-    /// Somebody reads the run from now on, and nobody else. Returns the reader's number; `None` if there is nothing
-    /// for it: the body broke where it would go on, or is not kept as far back.
+    /// Opens a reader at the offset `from`, which replaces the current one, and returns its number.
+    /// Returns `None` if there is nothing to read: the body broke off at that offset, has not
+    /// reached it, or is not kept as far back.
     pub fn open(&mut self, from: u64) -> Option<u64> {
-        let over = matches!(self.ended, Some((Ended::Broken, _))) && from == self.came();
-        if from < self.dropped || from > self.came() || over {
+        let over = matches!(self.ended, Some((Ended::Broken, _))) && from == self.received();
+        if from < self.dropped || from > self.received() || over {
             return None;
         }
         self.read = from;
         self.readers += 1;
-        self.unread = None;
+        self.unread_since = None;
         Some(self.readers)
     }
 
-    /// The reader of this number is gone.
+    /// Closes the reader with this number.
     pub fn close(&mut self, reader: u64, now: Time) {
         if reader == self.readers {
-            self.unread.get_or_insert(now);
+            self.unread_since.get_or_insert(now);
         }
     }
 
-    /// What comes next for the reader of this number.
+    /// The next part for the reader with this number.
     pub fn next(&mut self, reader: u64) -> Part {
         if reader != self.readers {
             return Part::Gone;
         }
         let at = (self.read - self.dropped) as usize;
-        if at < self.kept.len() {
-            let bytes = Bytes::copy_from_slice(&self.kept[at..]);
-            self.read = self.came();
-            self.drop_behind();
+        if at < self.data.len() {
+            let bytes = Bytes::copy_from_slice(&self.data[at..]);
+            self.read = self.received();
+            self.drop_read();
             return Part::Bytes(bytes);
         }
         self.ended
             .map_or(Part::Pending, |(ended, _)| Part::End(ended))
     }
 
-    fn drop_behind(&mut self) {
-        let behind = (self.read - self.dropped) as usize;
-        // Half of it at a time, so that not each part moves the rest.
-        if behind > 2 * BEHIND {
-            let _ = self.kept.split_to(behind - BEHIND);
-            self.dropped += (behind - BEHIND) as u64;
+    fn drop_read(&mut self) {
+        let read_bytes = (self.read - self.dropped) as usize;
+        // Drops half of it at a time, so that not every part moves the remaining bytes.
+        if read_bytes > 2 * READ_BUFFER_BYTES {
+            let _ = self.data.split_to(read_bytes - READ_BUFFER_BYTES);
+            self.dropped += (read_bytes - READ_BUFFER_BYTES) as u64;
         }
     }
 
-    /// Whether it goes on at its replica for nobody.
+    /// Whether the run continues at its replica without a reader.
     fn abandoned(&self, now: Time) -> bool {
         let unread = self
-            .unread
+            .unread_since
             .is_some_and(|since| now.since(since) >= UNREAD_TIMEOUT);
         unread && self.ended.is_none()
     }
 
-    /// Whether nobody will ask for it any more.
-    fn forgotten(&self, now: Time) -> bool {
-        self.ended.is_some_and(|(_, at)| now.since(at) >= KEPT)
+    /// Whether the run ended so long ago that nobody will ask for it any more.
+    fn expired(&self, now: Time) -> bool {
+        self.ended.is_some_and(|(_, at)| now.since(at) >= RETENTION)
     }
 }
 
-/// What becomes of a request to start a run.
+/// The result of a request to start a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acceptance {
-    /// It is to be run.
+    /// The request is to be run.
     Run,
-    /// It does not run: its name was barred before it came, or there is no room.
+    /// It is not run: its key was blocked before it arrived, or there is no room.
     NotRun,
-    /// It runs already, or has.
+    /// It is running already, or has run.
     Known,
 }
 
-/// A run that is kept, and what carries it out.
+/// A run that is kept, with the handle of what executes it.
 #[derive(Debug)]
-struct Kept<T> {
-    tape: Rc<RefCell<Buffer>>,
-    carrier: T,
+struct Run<T> {
+    buffer: Rc<RefCell<Buffer>>,
+    handle: T,
 }
 
 #[derive(Debug)]
-enum Place<T> {
-    Kept(Kept<T>),
-    /// It was here until then, and may have run.
+enum State<T> {
+    Kept(Run<T>),
+    /// The run was removed at this time, and may have run.
     Over(Time),
-    /// It may not begin any more: somebody was told then that it is not known here.
-    Barred(Time),
+    /// The run may not start any more: at this time, a caller was told that it is unknown here, or
+    /// asked to end it.
+    Blocked(Time),
 }
 
-/// What is known of a run.
+/// The result of looking up a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lookup<T> {
-    /// It is kept.
+    /// The run is kept.
     Kept(T),
-    /// It was, and may have run.
+    /// It was removed, and may have run.
     Over,
-    /// It never was.
+    /// It never started.
     Unknown,
 }
 
-/// The runs of one process, each with what carries it out. A run's name is good for one run only.
+/// The runs of one process, each with the handle of what executes it. A key is valid for one run
+/// only.
 #[derive(Debug)]
 pub struct Registry<T> {
-    places: BTreeMap<Key, Place<T>>,
+    runs: BTreeMap<Key, State<T>>,
 }
 
 impl<T> Default for Registry<T> {
     fn default() -> Self {
         Self {
-            places: BTreeMap::new(),
+            runs: BTreeMap::new(),
         }
     }
 }
 
 impl<T: Clone> Registry<T> {
-    /// A request to start the run `key` came.
-    pub fn start(&mut self, key: Key, tape: Rc<RefCell<Buffer>>, carrier: T) -> Acceptance {
-        match self.places.get(&key) {
-            Some(Place::Kept(_) | Place::Over(_)) => return Acceptance::Known,
-            Some(Place::Barred(_)) => return Acceptance::NotRun,
-            None if self.places.len() >= RUNS_MAX => return Acceptance::NotRun,
+    /// Registers the run `key`, unless it is known, blocked or there is no room.
+    pub fn start(&mut self, key: Key, buffer: Rc<RefCell<Buffer>>, handle: T) -> Acceptance {
+        match self.runs.get(&key) {
+            Some(State::Kept(_) | State::Over(_)) => return Acceptance::Known,
+            Some(State::Blocked(_)) => return Acceptance::NotRun,
+            None if self.runs.len() >= RUNS_MAX => return Acceptance::NotRun,
             None => {}
         }
-        let kept = Kept { tape, carrier };
-        self.places.insert(key, Place::Kept(kept));
+        let run = Run { buffer, handle };
+        self.runs.insert(key, State::Kept(run));
         Acceptance::Run
     }
 
-    /// What is known of the run `key`. One that is not may not begin any more.
+    /// Looks up the run `key`. If it is unknown, it is blocked from starting later.
     pub fn get(&mut self, key: Key, now: Time) -> Lookup<T> {
-        match self.places.entry(key).or_insert(Place::Barred(now)) {
-            Place::Kept(kept) => Lookup::Kept(kept.carrier.clone()),
-            Place::Over(_) => Lookup::Over,
-            Place::Barred(_) => Lookup::Unknown,
+        match self.runs.entry(key).or_insert(State::Blocked(now)) {
+            State::Kept(run) => Lookup::Kept(run.handle.clone()),
+            State::Over(_) => Lookup::Over,
+            State::Blocked(_) => Lookup::Unknown,
         }
     }
 
-    /// Takes the run `key` away, which nobody reads any more. It may not begin again.
+    /// Removes the run `key` and returns its handle. The key may not start a run any more.
     pub fn end(&mut self, key: Key, now: Time) -> Option<T> {
-        let place = self.places.entry(key).or_insert(Place::Barred(now));
-        let Place::Kept(kept) = place else {
+        let state = self.runs.entry(key).or_insert(State::Blocked(now));
+        let State::Kept(run) = state else {
             return None;
         };
-        let carrier = kept.carrier.clone();
-        *place = Place::Over(now);
-        Some(carrier)
+        let handle = run.handle.clone();
+        *state = State::Over(now);
+        Some(handle)
     }
 
-    /// Forgets what nobody will ask for any more, and takes away what goes on for nobody.
+    /// Removes ended runs and records of earlier ones that nobody will ask for any more, and runs
+    /// without a reader. Returns the latter, which are still to be stopped.
     pub fn sweep(&mut self, now: Time) -> Vec<(Key, T)> {
-        self.places.retain(|_, place| match place {
-            Place::Over(since) | Place::Barred(since) => now.since(*since) < REMEMBERED,
-            Place::Kept(_) => true,
+        self.runs.retain(|_, state| match state {
+            State::Over(since) | State::Blocked(since) => now.since(*since) < TOMBSTONE_RETENTION,
+            State::Kept(_) => true,
         });
         let mut abandoned = Vec::new();
-        for (key, place) in &mut self.places {
-            let Place::Kept(kept) = place else { continue };
-            if kept.tape.borrow().abandoned(now) {
-                abandoned.push((*key, kept.carrier.clone()));
-            } else if !kept.tape.borrow().forgotten(now) {
+        for (key, state) in &mut self.runs {
+            let State::Kept(run) = state else { continue };
+            if run.buffer.borrow().abandoned(now) {
+                abandoned.push((*key, run.handle.clone()));
+            } else if !run.buffer.borrow().expired(now) {
                 continue;
             }
-            *place = Place::Over(now);
+            *state = State::Over(now);
         }
         abandoned
     }
