--- a/src/http.rs
+++ b/src/http.rs
@@ -1,6 +1,7 @@
-//! HTTP at a process's edge: small helpers around `actix-http` and `awc`.
+//! HTTP helpers around `actix-http` and `awc`.
 //!
-//! * [`server`] is the accept loop and what becomes of connections.
+//! * [`server`] accepts connections and serves them.
+//! * [`observed`] wraps a response body to observe its completion.
 
 use std::future::Future;
 use std::io;
@@ -24,51 +25,51 @@
 
 pub use server::{Io, Server, Timing, Wrap, plain};
 
-/// How long a client waits for a connection.
+/// Timeout of a client for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Connections that wait to be accepted.
+/// Length of the listen queue.
 const BACKLOG: i32 = 1024;
 
-/// What goes wrong while a message is sent or read.
+/// Why sending or reading a message failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A listening socket could not be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address that was asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// Why the system refused.
+        /// The system's error.
         source: io::Error,
     },
     /// The connection failed before a request was written to it.
     #[error("cannot connect: {reason}")]
     Connect {
-        /// What the client library reported.
+        /// The client library's error.
         reason: String,
     },
-    /// The exchange broke after bytes may have left.
+    /// The exchange broke off after bytes may have been sent.
     #[error("exchange broke: {reason}")]
     Exchange {
-        /// What the client library reported.
+        /// The client library's error.
         reason: String,
     },
-    /// The peer answered with a status that is not a success.
+    /// The peer answered with a status other than success.
     #[error("peer answered {status}")]
     Status {
         /// The status code.
         status: u16,
     },
-    /// A body is longer than its reader allows.
+    /// A body exceeds its reader's limit.
     #[error("body is longer than {limit} bytes")]
     TooLong {
-        /// The bound, in bytes.
+        /// The limit, in bytes.
         limit: usize,
     },
     /// A body could not be decoded.
     #[error("cannot decode body: {reason}")]
     Decode {
-        /// What the codec reported.
+        /// The codec's error.
         reason: String,
     },
 }
@@ -77,8 +78,9 @@
     fn from(error: awc::error::SendRequestError) -> Self {
         use awc::error::{ConnectError, SendRequestError as Send};
         match error {
-            // awc calls it a connect error, too, when the peer closes the connection after the
-            // request was written and before an answer came. Nobody knows then whether it ran.
+            // awc also reports a connect error when the peer closes the connection after the
+            // request was written and before a response arrived. It is then unknown whether the
+            // request ran.
             Send::Connect(ConnectError::Disconnected) => Self::Exchange {
                 reason: "the peer closed the connection".to_owned(),
             },
@@ -95,10 +97,11 @@
     }
 }
 
-/// The answer type of all handlers.
+/// The response type of all handlers.
 pub type Answer = Response<BoxBody>;
 
-/// Opens a listening socket, which any runtime may then [`adopt`]. Port 0 lets the kernel choose.
+/// Opens a listening socket, which any runtime may then [`adopt`]. With port 0, the kernel chooses
+/// one.
 pub fn bind(address: SocketAddr) -> Result<std::net::TcpListener, Error> {
     let open = || -> io::Result<std::net::TcpListener> {
         let socket = socket2::Socket::new(
@@ -115,7 +118,7 @@
     open().map_err(|source| Error::Listen { address, source })
 }
 
-/// Hands a listening socket to the present thread's runtime.
+/// Registers a listening socket with the current thread's runtime.
 pub fn adopt(listener: std::net::TcpListener) -> Result<TcpListener, Error> {
     let address = listener
         .local_addr()
@@ -126,9 +129,9 @@
 /// Settings of an HTTP client.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientSetting {
-    /// The address that connections leave from, so that a box is known by it.
+    /// The local address of connections, by which peers recognise a box.
     pub local_address: Option<IpAddr>,
-    /// Connections kept for one peer and in all.
+    /// Maximum number of connections kept, for one peer and in total.
     pub connections: usize,
 }
 
@@ -141,7 +144,7 @@
     }
 }
 
-/// A client without a timeout of its own: callers bound each exchange.
+/// Creates a client without a response timeout: callers limit the time of each exchange.
 pub fn client(setting: ClientSetting) -> awc::Client {
     let mut connector = awc::Connector::new()
         .timeout(CONNECT_TIMEOUT)
@@ -158,12 +161,12 @@
         .finish()
 }
 
-/// An empty answer.
+/// Creates an empty response.
 pub fn status(code: StatusCode) -> Answer {
     Response::with_body(code, BoxBody::new(()))
 }
 
-/// An answer of `body` under a content type.
+/// Creates a response with `body` of the given content type.
 pub fn body(code: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Answer {
     let mut answer = Response::with_body(code, BoxBody::new(body.into()));
     answer
@@ -172,7 +175,7 @@
     answer
 }
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn json<T: Serialize>(code: StatusCode, value: &T) -> Answer {
     match serde_json::to_vec(value) {
         Ok(bytes) => body(code, "application/json", bytes),
@@ -180,7 +183,7 @@
     }
 }
 
-/// A MessagePack answer, the codec between the system's own processes.
+/// Creates a MessagePack response. This codec is used between the system's own processes.
 pub fn pack<T: Serialize>(code: StatusCode, value: &T) -> Answer {
     match rmp_serde::to_vec_named(value) {
         Ok(bytes) => body(code, "application/msgpack", bytes),
@@ -188,7 +191,8 @@
     }
 }
 
-/// A streamed answer; an error item breaks the connection, so that the reader sees the break.
+/// Creates a streamed response. An error item closes the connection, so that the reader sees the
+/// body as truncated.
 pub fn stream<S>(code: StatusCode, content_type: &'static str, items: S) -> Answer
 where
     S: Stream<Item = Result<Bytes, io::Error>> + 'static,
@@ -201,7 +205,7 @@
     answer
 }
 
-/// Headers that the connection's own header names as its own.
+/// The header names listed in the `connection` header, in lower case.
 pub fn connection_options(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(CONNECTION)
@@ -232,11 +236,11 @@
 where
     S: Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin,
 {
-    read_noting(payload, limit, &Progress::default()).await
+    read_tracked(payload, limit, &Progress::default()).await
 }
 
-/// Reads a response's body of at most `limit` bytes, and notes when bytes come.
-async fn read_noting<S>(payload: &mut S, limit: usize, progress: &Progress) -> Result<Bytes, Error>
+/// Reads a response's body of at most `limit` bytes, and reports to `progress` when bytes arrive.
+async fn read_tracked<S>(payload: &mut S, limit: usize, progress: &Progress) -> Result<Bytes, Error>
 where
     S: Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin,
 {
@@ -255,47 +259,48 @@
     Ok(all.freeze())
 }
 
-/// Gets `url`, whose answer begins within `first`, and decodes its JSON.
+/// Gets `url`, whose response must begin within `first_byte`, and decodes its JSON.
 pub async fn get_json<T: DeserializeOwned>(
     client: &awc::Client,
     url: &str,
     limit: usize,
-    first: Duration,
+    first_byte: Duration,
 ) -> Result<T, Error> {
-    let bytes = get(client, url, limit, first).await?;
+    let bytes = get(client, url, limit, first_byte).await?;
     serde_json::from_slice(&bytes).map_err(|error| Error::Decode {
         reason: error.to_string(),
     })
 }
 
-/// Gets `url`, whose answer begins within `first`, and decodes its MessagePack.
+/// Gets `url`, whose response must begin within `first_byte`, and decodes its MessagePack.
 pub async fn get_pack<T: DeserializeOwned>(
     client: &awc::Client,
     url: &str,
     limit: usize,
-    first: Duration,
+    first_byte: Duration,
 ) -> Result<T, Error> {
-    let bytes = get(client, url, limit, first).await?;
+    let bytes = get(client, url, limit, first_byte).await?;
     rmp_serde::from_slice(&bytes).map_err(|error| Error::Decode {
         reason: error.to_string(),
     })
 }
 
-/// Gets `url`, whose answer begins within `first`.
+/// Gets `url`, whose response must begin within `first_byte`.
 pub async fn get(
     client: &awc::Client,
     url: &str,
     limit: usize,
-    first: Duration,
+    first_byte: Duration,
 ) -> Result<Bytes, Error> {
-    receive(client.get(url), limit, first).await
+    receive(client.get(url), limit, first_byte).await
 }
 
-/// Sends `request` and reads its answer, which begins within `first`. A long one may take its time.
+/// Sends `request` and reads its response, which must begin within `first_byte`. A long response
+/// may take longer while bytes arrive.
 pub async fn receive(
     request: awc::ClientRequest,
     limit: usize,
-    first: Duration,
+    first_byte: Duration,
 ) -> Result<Bytes, Error> {
     let progress = Progress::default();
     let exchange = async {
@@ -306,26 +311,26 @@
                 status: status.as_u16(),
             });
         }
-        read_noting(&mut response, limit, &progress).await
+        read_tracked(&mut response, limit, &progress).await
     };
-    while_moving(first, &progress, exchange).await
+    with_timeout(first_byte, &progress, exchange).await
 }
 
-/// Posts JSON and decodes a JSON answer, which begins within `first`. Statuses other than success
-/// are errors.
+/// Posts JSON and decodes a JSON response, which must begin within `first_byte`. A status other
+/// than success is an error.
 pub async fn post_json<B: Serialize, T: DeserializeOwned>(
     client: &awc::Client,
     url: &str,
     value: &B,
-    first: Duration,
+    first_byte: Duration,
 ) -> Result<T, Error> {
-    /// Longest answer to a post.
+    /// Maximum length of the response, in bytes.
     const LIMIT: usize = 1 << 20;
     let progress = Progress::default();
     let exchange = async {
         let mut response = client.post(url).send_json(value).await?;
         let status = response.status();
-        let bytes = read_noting(&mut response, LIMIT, &progress).await?;
+        let bytes = read_tracked(&mut response, LIMIT, &progress).await?;
         if !status.is_success() {
             return Err(Error::Status {
                 status: status.as_u16(),
@@ -335,16 +340,16 @@
             reason: error.to_string(),
         })
     };
-    while_moving(first, &progress, exchange).await
+    with_timeout(first_byte, &progress, exchange).await
 }
 
-async fn while_moving<T>(
-    first: Duration,
+async fn with_timeout<T>(
+    first_byte: Duration,
     progress: &Progress,
     exchange: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
-    let waits = timeout::Config::with_first_byte(first);
-    let ended = timeout::wait(exchange, progress, waits).await;
+    let config = timeout::Config::with_first_byte(first_byte);
+    let ended = timeout::wait(exchange, progress, config).await;
     ended.unwrap_or_else(|error| {
         Err(Error::Exchange {
             reason: error.to_string(),
--- a/src/http/observed.rs
+++ b/src/http/observed.rs
@@ -1,4 +1,4 @@
-//! An answer's body that keeps something until it is handed over or given up.
+//! A response body that notifies an observer when it was handed over, and drops it with the body.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -6,30 +6,30 @@
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use bytes::Bytes;
 
-/// What a body keeps. It is dropped with the body.
+/// Observes a body. It is dropped with the body.
 pub trait Observer: Unpin {
-    /// The body was handed over whole.
+    /// Called when the body was handed over completely.
     fn completed(&mut self) {}
 }
 
-/// A body and what it keeps.
-pub struct Observed<K> {
+/// A body with its observer.
+pub struct Observed<O> {
     body: BoxBody,
-    keeper: K,
+    observer: O,
 }
 
-impl<K: Observer> Observed<K> {
-    /// `body`, which keeps `keeper`.
-    pub fn new(body: BoxBody, mut keeper: K) -> Self {
-        // A body without bytes is not asked for any.
+impl<O: Observer> Observed<O> {
+    /// Wraps `body` so that `observer` is notified of its completion.
+    pub fn new(body: BoxBody, mut observer: O) -> Self {
+        // A body without bytes is never polled.
         if matches!(body.size(), BodySize::None | BodySize::Sized(0)) {
-            keeper.completed();
+            observer.completed();
         }
-        Self { body, keeper }
+        Self { body, observer }
     }
 }
 
-impl<K: Observer> MessageBody for Observed<K> {
+impl<O: Observer> MessageBody for Observed<O> {
     type Error = Box<dyn std::error::Error>;
 
     fn size(&self) -> BodySize {
@@ -42,7 +42,7 @@
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
         let polled = Pin::new(&mut self.body).poll_next(cx);
         if matches!(polled, Poll::Ready(None)) {
-            self.keeper.completed();
+            self.observer.completed();
         }
         polled
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,7 +1,7 @@
-//! One accept loop and its connections.
+//! HTTP server: an accept loop and its connections.
 //!
 //! A process keeps its state on one thread, without locks, so its connections are served on that
-//! thread too; `actix-server`'s worker threads would force every table behind a mutex.
+//! thread too. With the worker threads of `actix-server`, every table would need a mutex.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -21,47 +21,50 @@
 use super::Answer;
 use super::observed::{Observed, Observer};
 
-/// How long a caller may take to send a request's head.
+/// Timeout for a caller to send a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long an idle connection is kept.
+/// How long an idle connection is kept open.
 const KEEP_ALIVE: Duration = Duration::from_secs(30);
 
-/// How long after its last answer a connection counts as busy: its bytes may not have left yet.
-const LAST_BYTES: Duration = Duration::from_millis(100);
+/// How long after its last response a connection still counts as busy, since the bytes may not have
+/// been sent yet.
+const FLUSH_GRACE: Duration = Duration::from_millis(100);
 
-/// How often a closing server looks whether a connection rests.
-const REST_LOOK: Duration = Duration::from_millis(50);
+/// How often a closing server checks whether a connection is idle. Also the delay before accepting
+/// again after an error.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a caller that was answered may go on sending its body: a close with unread bytes would
-/// reset the connection, and the answer with it. A round trip between regions takes 0.3 s.
+/// How long a caller that was answered may continue to send its body. Closing a connection with
+/// unread bytes would reset it, and the response would be lost. A round trip between regions takes
+/// 0.3 s.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// Bytes that one connection's answer may wait in memory before the body is paused.
+/// Bytes of a response buffered per connection before reading its body pauses.
 const WRITE_BUFFER: usize = 64 * 1024;
 
-/// A connection as the server sees it: a plain socket, or one that a test bench has wrapped.
+/// A server connection: a plain socket, or one wrapped by a test bench.
 pub trait Io: AsyncRead + AsyncWrite + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin> Io for T {}
 
-/// Wraps each accepted connection. Production serves plain sockets; a bench shapes them.
+/// Wraps each accepted connection. Production serves plain sockets; a bench shapes their traffic.
 pub type Wrap = Rc<dyn Fn(TcpStream, SocketAddr) -> Box<dyn Io>>;
 
-/// The [`Wrap`] that leaves a connection as it is.
+/// A [`Wrap`] that leaves connections unchanged.
 pub fn plain() -> Wrap {
     Rc::new(|stream, _| Box::new(stream))
 }
 
-/// How a server treats its connections.
+/// Timeouts and behaviour of a server's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
-    /// How long a caller may take to send a request's head.
+    /// Timeout for a caller to send a request's head.
     pub head: Duration,
-    /// How long an idle connection is kept.
+    /// How long an idle connection is kept open.
     pub idle: Duration,
-    /// Whether a caller that closed its sending side still gets its answer. If not, its request
-    /// ends at once.
+    /// Whether a caller that closed its sending side still gets its response. If not, its request
+    /// is aborted at once.
     pub half_closed: bool,
 }
 
@@ -75,21 +78,21 @@
     }
 }
 
-/// How far a server has closed.
+/// Stages of a server's shutdown, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Closing {
-    /// It accepts connections.
+    /// Accepts connections.
     Open,
-    /// It still does, but closes each that is open once it has answered on it: an answer that had begun
-    /// before could not say that it is the last.
+    /// Still accepts connections, but closes each open one once it has completed a response: one
+    /// that had begun before could not announce that it is the last.
     Leaving,
-    /// It accepts no more; those that are open go on.
+    /// Accepts no more connections; open ones continue.
     Refusing,
-    /// It closes those that are open as soon as they rest.
-    Resting,
+    /// Closes open connections as soon as they are idle.
+    Draining,
 }
 
-/// A running accept loop. Dropping it closes the listener; connections that are open go on.
+/// A running accept loop. Dropping it closes the listener; open connections continue.
 #[derive(Debug)]
 pub struct Server {
     accept: actix_rt::task::JoinHandle<()>,
@@ -97,7 +100,7 @@
 }
 
 impl Server {
-    /// Serves `listener` with `handler` on the present thread.
+    /// Serves `listener` with `handler` on the current thread.
     pub fn start<F, Fut>(listener: TcpListener, wrap: Wrap, handler: F) -> Self
     where
         F: Fn(Request, SocketAddr) -> Fut + Clone + 'static,
@@ -106,7 +109,7 @@
         Self::with_timing(listener, wrap, handler, Timing::default)
     }
 
-    /// Serves `listener` with `handler`; each new connection is treated as `timing` says then.
+    /// Serves `listener` with `handler`. `timing` is called for each new connection.
     pub fn with_timing<F, Fut, T>(listener: TcpListener, wrap: Wrap, handler: F, timing: T) -> Self
     where
         F: Fn(Request, SocketAddr) -> Fut + Clone + 'static,
@@ -119,18 +122,17 @@
         Self { accept, closing }
     }
 
-    /// Closes each open connection once it has answered on it.
+    /// Closes each open connection after its next response.
     pub fn leave(&self) {
-        self.close_as_far_as(Closing::Leaving);
+        self.advance_to(Closing::Leaving);
     }
 
-    /// Stops accepting connections but those that wait in the listen queue. Those that are open go
-    /// on.
+    /// Stops accepting connections, except those in the listen queue. Open ones continue.
     pub fn stop_accepting(&self) {
-        self.close_as_far_as(Closing::Refusing);
+        self.advance_to(Closing::Refusing);
     }
 
-    fn close_as_far_as(&self, stage: Closing) {
+    fn advance_to(&self, stage: Closing) {
         self.closing.send_if_modified(|closing| {
             let first = *closing < stage;
             *closing = stage.max(*closing);
@@ -138,9 +140,9 @@
         });
     }
 
-    /// Stops accepting connections, and closes those that are open as soon as they rest.
+    /// Stops accepting connections, and closes open ones as soon as they are idle.
     pub fn close(&self) {
-        self.close_as_far_as(Closing::Resting);
+        self.advance_to(Closing::Draining);
     }
 }
 
@@ -150,58 +152,59 @@
     }
 }
 
-/// What a connection has to do: requests whose answers are not written yet.
+/// The activity of a connection: requests whose responses are not written yet.
 #[derive(Debug, Default)]
 struct Activity {
-    answers: Cell<u32>,
+    pending: Cell<u32>,
     answered: Cell<u64>,
-    rests_since: Cell<Option<Instant>>,
+    last_answered_at: Cell<Option<Instant>>,
 }
 
 impl Activity {
-    fn rests(&self) -> bool {
-        let since = self.rests_since.get();
-        self.answers.get() == 0 && since.is_none_or(|since| since.elapsed() >= LAST_BYTES)
+    fn is_idle(&self) -> bool {
+        let since = self.last_answered_at.get();
+        self.pending.get() == 0 && since.is_none_or(|since| since.elapsed() >= FLUSH_GRACE)
     }
 }
 
-/// Counts an answer until it is written or given up.
-struct Busy(Rc<Activity>);
+/// Counts a response as pending until it is written or dropped.
+struct PendingAnswer(Rc<Activity>);
 
-impl Busy {
+impl PendingAnswer {
     fn begin(activity: &Rc<Activity>) -> Self {
-        activity.answers.set(activity.answers.get() + 1);
+        activity.pending.set(activity.pending.get() + 1);
         Self(activity.clone())
     }
 }
 
-impl Observer for Busy {}
+impl Observer for PendingAnswer {}
 
-impl Drop for Busy {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
-        self.0.answers.set(self.0.answers.get() - 1);
+        self.0.pending.set(self.0.pending.get() - 1);
         self.0.answered.set(self.0.answered.get() + 1);
-        self.0.rests_since.set(Some(Instant::now()));
+        self.0.last_answered_at.set(Some(Instant::now()));
     }
 }
 
-/// Waits until the server has closed as far as `stage`; forever if it is gone before.
-async fn reached(closing: &mut watch::Receiver<Closing>, stage: Closing) {
+/// Waits until the server has reached `stage`; forever if it is dropped before.
+async fn wait_for_stage(closing: &mut watch::Receiver<Closing>, stage: Closing) {
     if closing.wait_for(|closing| *closing >= stage).await.is_err() {
-        // The server is gone, and its connections go on.
+        // The server was dropped; its connections continue.
         std::future::pending::<()>().await;
     }
 }
 
-/// Waits until the server leaves and the connection rests after an answer, or closes and it rests.
-async fn closed_at_rest(mut closing: watch::Receiver<Closing>, activity: Rc<Activity>) {
-    reached(&mut closing, Closing::Leaving).await;
+/// Waits until the connection may be closed: the server is leaving and the connection is idle after
+/// a response, or the server is closing and the connection is idle.
+async fn wait_until_closable(mut closing: watch::Receiver<Closing>, activity: Rc<Activity>) {
+    wait_for_stage(&mut closing, Closing::Leaving).await;
     let answered = activity.answered.get();
     loop {
-        // What has arrived by the end of a sleep is read before this looks.
-        actix_rt::time::sleep(REST_LOOK).await;
-        let closes = *closing.borrow() >= Closing::Resting || activity.answered.get() > answered;
-        if closes && activity.rests() {
+        // Bytes that arrive before the end of the sleep are read before this check.
+        actix_rt::time::sleep(POLL_INTERVAL).await;
+        let due = *closing.borrow() >= Closing::Draining || activity.answered.get() > answered;
+        if due && activity.is_idle() {
             return;
         }
     }
@@ -225,33 +228,33 @@
         let closed = closed.clone();
         actix_rt::spawn(async move {
             let activity = Rc::new(Activity::default());
-            let closed = closed_at_rest(closed, activity.clone());
+            let closed = wait_until_closable(closed, activity.clone());
             select(Box::pin(connection(activity)), Box::pin(closed)).await;
         });
     };
     loop {
-        let stopped = reached(&mut closing, Closing::Refusing);
+        let stopped = wait_for_stage(&mut closing, Closing::Refusing);
         match select(Box::pin(stopped), Box::pin(listener.accept())).await {
             Either::Left(_) => break,
             Either::Right((Ok((stream, peer)), _)) => serve(stream, peer),
-            // Out of descriptors: wait for some to be closed instead of spinning.
-            Either::Right((Err(_), _)) => actix_rt::time::sleep(REST_LOOK).await,
+            // Out of file descriptors: wait until some are closed instead of busy-looping.
+            Either::Right((Err(_), _)) => actix_rt::time::sleep(POLL_INTERVAL).await,
         }
     }
     match listener.into_std() {
         Ok(queue) => accept_queue(&queue, serve),
-        Err(error) => log::warn!("connections in the listen queue are lost: {error}"),
+        Err(error) => log::warn!("connections in the listen queue lost: {error}"),
     }
 }
 
-/// Accepts what waits in the listen queue: those callers believe that they are connected. The
-/// runtime may not have heard of them yet, so the system is asked.
+/// Accepts the connections in the listen queue, whose callers consider themselves connected. The
+/// runtime may not have been notified of them yet, so this asks the system.
 fn accept_queue(queue: &std::net::TcpListener, serve: impl Fn(TcpStream, SocketAddr)) {
     while let Ok((stream, peer)) = queue.accept() {
         let adopted = stream.set_nonblocking(true);
         match adopted.and_then(|()| TcpStream::from_std(stream)) {
             Ok(stream) => serve(stream, peer),
-            Err(error) => log::debug!(peer:% = peer; "connection not taken over: {error}"),
+            Err(error) => log::debug!(peer:% = peer; "cannot accept queued connection: {error}"),
         }
     }
 }
@@ -269,12 +272,12 @@
     move |activity| {
         Box::pin(async move {
             let service = fn_service(move |request: Request| {
-                let busy = Busy::begin(&activity);
+                let pending = PendingAnswer::begin(&activity);
                 let answer = handler(request, peer);
                 async move {
                     let answer = answer
                         .await
-                        .map_body(|_, body| Observed::new(body, busy).boxed());
+                        .map_body(|_, body| Observed::new(body, pending).boxed());
                     Ok::<_, actix_http::Error>(answer)
                 }
             });
