--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,43 +1,43 @@
-//! Pauses that grow with each failure.
+//! Exponential backoff.
 
 use std::time::Duration;
 
-/// Doublings after which no pause grows any more, whatever its bound: the shortest one here, of
-/// 100 ms, would then last 2 hours.
+/// Maximum number of doublings, whatever the upper limit. The shortest delay here, of 100 ms, would
+/// last 2 hours by then.
 const DOUBLINGS_MAX: u32 = 16;
 
-/// The pause after a failure: double that of the failure before, up to a bound. Jitter is its
-/// caller's, and is not carried on to the next pause.
+/// The delay after a failure, which doubles with each failure up to an upper limit. Jitter is added
+/// by the caller, and does not affect the next delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
     first: Duration,
-    longest: Duration,
+    max: Duration,
     failures: u32,
 }
 
 impl Backoff {
-    /// Pauses from `first` to `longest`, without a failure yet.
-    pub fn new(first: Duration, longest: Duration) -> Self {
+    /// Creates a backoff with delays from `first` to `max` and no failure so far.
+    pub fn new(first: Duration, max: Duration) -> Self {
         Self {
             first,
-            longest,
+            max,
             failures: 0,
         }
     }
 
-    /// Failures since the last success.
+    /// The number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// A try failed. Returns the pause before the next.
+    /// Records a failed attempt. Returns the delay before the next.
     pub fn next_delay(&mut self) -> Duration {
-        let pause = self.first * 2u32.pow(self.failures.min(DOUBLINGS_MAX));
+        let delay = self.first * 2u32.pow(self.failures.min(DOUBLINGS_MAX));
         self.failures = self.failures.saturating_add(1);
-        pause.min(self.longest)
+        delay.min(self.max)
     }
 
-    /// A try succeeded: the next failure is the first again.
+    /// Records a successful attempt: the next failure counts as the first.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,6 +1,6 @@
-//! Time as the decision code sees it: a count of microseconds that the caller passes in.
+//! Time of the decision code: a count of microseconds that the caller passes in.
 //!
-//! Decisions never read a clock of their own, so that a recorded trace replays to the same outcome.
+//! Decisions never read a clock, so that replaying a recorded trace gives the same results.
 
 use std::ops::{Add, Sub};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -15,12 +15,12 @@
 pub struct Time(pub u64);
 
 impl Time {
-    /// The instant `millis` milliseconds after the beginning.
+    /// The instant `millis` milliseconds after the start of the count.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// The time that has passed since `earlier`, zero when `earlier` lies ahead.
+    /// The time elapsed since `earlier`, zero if `earlier` is in the future.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -42,18 +42,19 @@
     }
 }
 
-/// Where a process's clock begins: what others heard of before it began is dated back, and no fact
-/// that matters is older than this.
-const BEGINNING: Duration = Duration::from_secs(3_600);
+/// The value of a process's clock at its start. What others learned before that start is dated
+/// back, and no relevant fact is older than this.
+const START: Duration = Duration::from_secs(3_600);
 
-/// Time since the machine was booted. It never goes back, and unlike the steady clock's it counts the time for which the machine
-/// was suspended: what was believed before is older than that clock says.
+/// Time since the machine was booted. It never goes back and, unlike the monotonic clock, includes
+/// the time during which the machine was suspended: facts learned before are older than that clock
+/// says.
 pub fn since_boot() -> Duration {
-    // The kernel has this clock wherever it has the steady one.
+    // The kernel has this clock wherever it has the monotonic one.
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
 
-/// The clock at a process's edge: turns the time since the machine was booted into [`Time`].
+/// The clock of a process: converts the time since boot into [`Time`].
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: Duration,
@@ -68,9 +69,9 @@
 }
 
 impl Clock {
-    /// The present instant.
+    /// The current time.
     pub fn now(&self) -> Time {
-        Time::default() + BEGINNING + since_boot().saturating_sub(self.origin)
+        Time::default() + START + since_boot().saturating_sub(self.origin)
     }
 }
 
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,14 +1,14 @@
-//! 64-bit hashes that come out the same at every process.
+//! 64-bit hashes that are the same in every process.
 
-/// The hash of `parts`, which tells where each of them ends.
+/// The hash of `parts`, in which the boundaries between the parts count.
 pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> u64 {
     with_prefix(&[], parts)
 }
 
-/// The hash of `parts` under `subject`, which always has the same length.
-pub fn with_prefix<'a>(subject: &[u8], parts: impl IntoIterator<Item = &'a [u8]>) -> u64 {
+/// The hash of `prefix` and `parts`. The prefix must always have the same length.
+pub fn with_prefix<'a>(prefix: &[u8], parts: impl IntoIterator<Item = &'a [u8]>) -> u64 {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(subject);
+    hasher.update(prefix);
     for part in parts {
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
@@ -16,7 +16,7 @@
     truncate(&hasher.finalize())
 }
 
-/// The first word of `hash`.
+/// The first 64 bits of `hash`, in little-endian order.
 pub fn truncate(hash: &blake3::Hash) -> u64 {
     let mut word = [0; 8];
     word.copy_from_slice(&hash.as_bytes()[..8]);
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock counts the time for which a machine was suspended.
+//! The clock includes the time during which a machine was suspended.
 
 use std::cell::Cell;
 use std::fs;
@@ -9,7 +9,7 @@
 use pumicelatch::timeout;
 
 #[test]
-fn time_since_boot_is_the_kernels_uptime_which_counts_suspended_time() {
+fn since_boot_matches_kernel_uptime_including_suspension() {
     let uptime = fs::read_to_string("/proc/uptime").unwrap();
     let seconds: f64 = uptime.split(' ').next().unwrap().parse().unwrap();
     let difference = since_boot().as_secs_f64() - seconds;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_clock_goes_on_with_it() {
+fn clock_advances_with_time_since_boot() {
     let (clock, boot) = (Clock::default(), since_boot());
     let began = clock.now();
     std::thread::sleep(Duration::from_millis(50));
@@ -25,9 +25,10 @@
     assert!(passed >= Duration::from_millis(50) && passed <= of_boot);
 }
 
-/// After a suspension of three seconds the clock has gone on, and the runtime's timers have not.
+/// After a suspension of three seconds, the clock has advanced but the runtime's timers have not. A
+/// limit that expired meanwhile must not wait for the timers.
 #[test]
-fn a_limit_that_was_over_while_the_machine_was_suspended_is_noticed_soon() {
+fn timeout_that_expired_during_suspension_is_detected_soon() {
     actix_rt::System::new().block_on(async {
         let (clock, woken) = (Clock::default(), Cell::new(Duration::ZERO));
         let now = || clock.now() + woken.get();
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn what_is_ready_is_taken_though_its_limit_is_over() {
+fn ready_result_is_returned_after_its_limit() {
     actix_rt::System::new().block_on(async {
         let clock = Clock::default();
         let step = timeout::within(|| clock.now(), Duration::ZERO, async { 7 });
