--- a/src/route.rs
+++ b/src/route.rs
@@ -195,7 +195,7 @@
 
 /// The targets that serve one resource, on a ring ordered by the hash of their names.
 #[derive(Debug, Default)]
-struct Pool {
+struct Group {
     ring: Vec<(u64, ReplicaKey)>,
     cursor: usize,
 }
@@ -206,7 +206,7 @@
     own_hall: Arc<str>,
     replicas: SlotMap<ReplicaKey, Replica>,
     names: BTreeMap<Arc<str>, ReplicaKey>,
-    pools: BTreeMap<Resource, Pool>,
+    groups: BTreeMap<Resource, Group>,
 }
 
 impl Table {
@@ -246,7 +246,7 @@
     pub fn remove(&mut self, name: &str) {
         if let Some(key) = self.names.remove(name) {
             self.replicas.remove(key);
-            self.rebuild_pools();
+            self.rebuild_groups();
         }
     }
 
@@ -294,27 +294,27 @@
         replica.last_report = Some(now);
         replica.local_at_report = replica.local_in_flight;
         if changed {
-            self.rebuild_pools();
+            self.rebuild_groups();
         }
     }
 
-    fn rebuild_pools(&mut self) {
+    fn rebuild_groups(&mut self) {
         let cursors: BTreeMap<Resource, usize> = self
-            .pools
+            .groups
             .iter()
-            .map(|(need, pool)| (need.clone(), pool.cursor))
+            .map(|(need, group)| (need.clone(), group.cursor))
             .collect();
-        self.pools.clear();
+        self.groups.clear();
         for (key, replica) in &self.replicas {
             let hash = hash_of(replica.name.as_bytes());
             for need in &replica.load.serves {
-                let pool = self.pools.entry(need.clone()).or_default();
-                pool.ring.push((hash, key));
+                let group = self.groups.entry(need.clone()).or_default();
+                group.ring.push((hash, key));
             }
         }
-        for (need, pool) in &mut self.pools {
-            pool.ring.sort_unstable();
-            pool.cursor = cursors.get(need).copied().unwrap_or(0);
+        for (need, group) in &mut self.groups {
+            group.ring.sort_unstable();
+            group.cursor = cursors.get(need).copied().unwrap_or(0);
         }
     }
 
@@ -326,23 +326,23 @@
         now: Time,
         rng: &mut impl Rng,
     ) -> Option<Choice> {
-        let pool = self.pools.get_mut(query.resource)?;
-        pool.cursor = pool.cursor.wrapping_add(1);
-        let pool = &self.pools[query.resource];
+        let group = self.groups.get_mut(query.resource)?;
+        group.cursor = group.cursor.wrapping_add(1);
+        let group = &self.groups[query.resource];
         let choice = match strategy {
-            Strategy::RoundRobin => self.round_robin(pool, query, now),
-            Strategy::LeastOfTwo => self.cheapest(pool, query, now, rng, 2, |replica| {
+            Strategy::RoundRobin => self.round_robin(group, query, now),
+            Strategy::LeastOfTwo => self.cheapest(group, query, now, rng, 2, |replica| {
                 u64::from(replica.estimated_in_flight())
             }),
-            Strategy::Expected => self.expected(pool, query, now, rng),
-            Strategy::Declared => self.cheapest(pool, query, now, rng, usize::MAX, |replica| {
+            Strategy::Expected => self.expected(group, query, now, rng),
+            Strategy::Declared => self.cheapest(group, query, now, rng, usize::MAX, |replica| {
                 let free = replica
                     .capacity()
                     .saturating_sub(replica.estimated_in_flight());
                 u64::MAX - u64::from(free)
             }),
         };
-        let choice = choice.or_else(|| self.last_resort(pool, query, now))?;
+        let choice = choice.or_else(|| self.last_resort(group, query, now))?;
         let replica = &mut self.replicas[choice.replica];
         if replica.failures > 0 {
             replica.probing = true;
@@ -361,10 +361,10 @@
         self.eligible(key, query, now) && !self.replicas[key].ejected(now)
     }
 
-    fn round_robin(&self, pool: &Pool, query: Query<'_>, now: Time) -> Option<Choice> {
-        let length = pool.ring.len();
+    fn round_robin(&self, group: &Group, query: Query<'_>, now: Time) -> Option<Choice> {
+        let length = group.ring.len();
         (0..length)
-            .map(|step| pool.ring[(pool.cursor + step) % length].1)
+            .map(|step| group.ring[(group.cursor + step) % length].1)
             .find(|&key| self.ready(key, query, now))
             .map(|replica| Choice {
                 replica,
@@ -375,14 +375,14 @@
     /// Returns the cheapest of up to `count` ready targets, starting from random positions.
     fn cheapest(
         &self,
-        pool: &Pool,
+        group: &Group,
         query: Query<'_>,
         now: Time,
         rng: &mut impl Rng,
         count: usize,
         cost: impl Fn(&Replica) -> u64,
     ) -> Option<Choice> {
-        let length = pool.ring.len();
+        let length = group.ring.len();
         let mut best: Option<(u64, ReplicaKey)> = None;
         let mut found = 0;
         // Samples random positions first. If too few of those are ready, scans the ring from a
@@ -395,7 +395,7 @@
             if found >= count && step >= samples.len() {
                 break;
             }
-            let key = pool.ring[index].1;
+            let key = group.ring[index].1;
             if !self.ready(key, query, now) {
                 continue;
             }
@@ -416,7 +416,7 @@
 
     fn expected(
         &self,
-        pool: &Pool,
+        group: &Group,
         query: Query<'_>,
         now: Time,
         rng: &mut impl Rng,
@@ -426,11 +426,11 @@
             let factor = if is_local { 100 } else { REMOTE_COST_PERCENT };
             replica.expected_latency_us() * factor / 100
         };
-        let cheapest = self.cheapest(pool, query, now, rng, SAMPLE_SIZE, cost)?;
+        let cheapest = self.cheapest(group, query, now, rng, SAMPLE_SIZE, cost)?;
         let Some(prefix) = query.prefix else {
             return Some(cheapest);
         };
-        let affinity_target = self.affinity_target(pool, prefix, query, now);
+        let affinity_target = self.affinity_target(group, prefix, query, now);
         let Some(affinity_target) = affinity_target else {
             return Some(cheapest);
         };
@@ -448,21 +448,21 @@
     /// Returns the ready target at or after the prefix's position on the ring.
     fn affinity_target(
         &self,
-        pool: &Pool,
+        group: &Group,
         prefix: u64,
         query: Query<'_>,
         now: Time,
     ) -> Option<ReplicaKey> {
-        let length = pool.ring.len();
-        let start = pool.ring.partition_point(|(hash, _)| *hash < prefix);
+        let length = group.ring.len();
+        let start = group.ring.partition_point(|(hash, _)| *hash < prefix);
         (0..length.min(SAMPLE_SIZE))
-            .map(|step| pool.ring[(start + step) % length].1)
+            .map(|step| group.ring[(start + step) % length].1)
             .find(|&key| self.ready(key, query, now))
     }
 
     /// If all eligible targets are ejected, returns the one whose backoff ends first.
-    fn last_resort(&self, pool: &Pool, query: Query<'_>, now: Time) -> Option<Choice> {
-        let candidates = pool.ring.iter().map(|(_, key)| *key);
+    fn last_resort(&self, group: &Group, query: Query<'_>, now: Time) -> Option<Choice> {
+        let candidates = group.ring.iter().map(|(_, key)| *key);
         candidates
             .filter(|&key| self.eligible(key, query, now))
             .min_by_key(|&key| self.replicas[key].backoff_until)
