--- a/src/route.rs
+++ b/src/route.rs
@@ -108,8 +108,8 @@
     load: Load,
     listed_leaving: bool,
     last_report: Option<Time>,
-    local_in_flight: u32,
-    local_at_report: u32,
+    own_in_flight: u32,
+    own_at_report: u32,
     latency: Option<Duration>,
     failures: u32,
     backoff_until: Time,
@@ -120,8 +120,8 @@
     /// Estimated requests in flight: those of other entries by the last report, plus this entry's
     /// own.
     fn estimated_in_flight(&self) -> u32 {
-        let others = self.load.in_flight.saturating_sub(self.local_at_report);
-        others + self.local_in_flight
+        let others = self.load.in_flight.saturating_sub(self.own_at_report);
+        others + self.own_in_flight
     }
 
     fn capacity(&self) -> u32 {
@@ -231,8 +231,8 @@
             load: Load::default(),
             listed_leaving: false,
             last_report: None,
-            local_in_flight: 0,
-            local_at_report: 0,
+            own_in_flight: 0,
+            own_at_report: 0,
             latency: None,
             failures: 0,
             backoff_until: Time::default(),
@@ -292,7 +292,7 @@
         let changed = replica.load.serves != load.serves;
         replica.load = load;
         replica.last_report = Some(now);
-        replica.local_at_report = replica.local_in_flight;
+        replica.own_at_report = replica.own_in_flight;
         if changed {
             self.rebuild_groups();
         }
@@ -475,7 +475,7 @@
     /// Counts a request that was sent to a target.
     pub fn begin(&mut self, key: ReplicaKey) {
         if let Some(replica) = self.replicas.get_mut(key) {
-            replica.local_in_flight += 1;
+            replica.own_in_flight += 1;
         }
     }
 
@@ -484,8 +484,8 @@
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        replica.local_in_flight = replica.local_in_flight.saturating_sub(1);
-        replica.local_at_report = replica.local_at_report.min(replica.local_in_flight);
+        replica.own_in_flight = replica.own_in_flight.saturating_sub(1);
+        replica.own_at_report = replica.own_at_report.min(replica.own_in_flight);
         match end {
             Completion::Success(elapsed) => {
                 replica.failures = 0;
