--- a/src/lease.rs
+++ b/src/lease.rs
@@ -26,7 +26,7 @@
 pub const PATH: &str = "/v1/place";
 
 /// Longest time from a lease to the arrival of its request at the engine: a few milliseconds within
-/// and between halls, and one turn of a busy process's event loop at either end. An engine state
+/// and between halls, and one turn of a busy process at either end. An engine state
 /// that is observed later than that includes the request.
 const ARRIVAL_MAX: Duration = Duration::from_millis(60);
 
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -20,7 +20,7 @@
 
 const NOW: Time = Time::from_millis(50_000);
 
-/// An engine of the smaller size that is common in a fleet: 8 slots, 65 ms to prefill a prompt.
+/// An engine of a size that a fleet has hundreds of: 8 slots, 65 ms to prefill a prompt.
 fn engine() -> Engine {
     Engine {
         slots: 8,
--- a/tests/where.rs
+++ b/tests/where.rs
@@ -255,7 +255,7 @@
     sent.iter().map(|from| within(*from)).max().unwrap_or(0)
 }
 
-/// Requests per second that a replica of 12 slots can take while it is cold.
+/// Requests per second that a replica of 12 slots can take while it is cold, as such fleets report.
 const COLD_PER_S: f64 = 14.0;
 
 /// Requests per second above which a cold replica fails: 1.5 times its rate plus five.
