--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -174,7 +174,7 @@
 }
 
 /// What a sidecar works with.
-pub struct Edges {
+pub struct Dependencies {
     /// Its replica.
     pub engine: Rc<dyn Engine>,
     /// Names the origin of weights.
@@ -219,7 +219,7 @@
     /// Starts a sidecar on the present thread.
     pub fn start(
         setting: Setting,
-        edges: Edges,
+        dependencies: Dependencies,
         listeners: Listeners,
     ) -> Result<Running, metric::Error> {
         let metrics = Metrics::new()?;
@@ -229,12 +229,12 @@
             setting.seeds.clone(),
             setting.seed,
             setting.policy,
-            edges.paths.clone(),
+            dependencies.paths.clone(),
         );
         knowledge.traffic.register(&metrics.meter());
         let state = Rc::new(RefCell::new(None));
         let local = StagedChunks {
-            engine: edges.engine.clone(),
+            engine: dependencies.engine.clone(),
             state: state.clone(),
             first: Cell::new(true),
         };
@@ -262,11 +262,11 @@
         let sidecar = Rc::new(Self {
             tracker: Tracker::new(knowledge.clock, &metrics.meter()),
             knowledge,
-            bursts: Manager::new(host.clone(), edges.origins, setting.first_start),
+            bursts: Manager::new(host.clone(), dependencies.origins, setting.first_start),
             host,
             metrics,
-            engine: edges.engine,
-            source: edges.source,
+            engine: dependencies.engine,
+            source: dependencies.source,
             state,
             misses: Cell::new(0),
             born: Cell::new(0),
@@ -282,7 +282,7 @@
             told: Cell::new(0),
             turned: Cell::new(0),
             runs: RefCell::default(),
-            client: exchange::Client::sharing(edges.paths.clone()),
+            client: exchange::Client::sharing(dependencies.paths.clone()),
             began: now,
             requests,
             setting,
@@ -295,7 +295,7 @@
             actix_rt::spawn(traffic::log(sidecar.knowledge.clone())),
             actix_rt::spawn(reconnect_when_silent(
                 sidecar.host.clone(),
-                edges.paths.all_silent(),
+                dependencies.paths.all_silent(),
             )),
         ];
         let (control, metrics) = sidecar.serve(listeners);
