--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -6,7 +6,7 @@
 //! * [`reconcile`] brings the replica to the wanted version.
 //! * [`observe`] asks the replica how it does, and tells the entries.
 //! * [`carry`] carries callers' requests out at the replica.
-//! * [`trip`] measures the box's link by that.
+//! * [`rtt`] measures the box's link by that.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
 pub mod engine;
 pub mod observe;
 pub mod reconcile;
-pub mod trip;
+pub mod rtt;
 
 use engine::{Engine, State};
 
@@ -112,7 +112,7 @@
     complete: Cell<Option<(Digest, Time)>>,
     roll: RefCell<Option<reconcile::Roll>>,
     joined_with: RefCell<Option<(Digest, Rc<[Descriptor]>)>>,
-    trips: RefCell<trip::Trips>,
+    rtt: RefCell<rtt::Window>,
     ledger: RefCell<Ledger>,
     told: Cell<u64>,
     turned: Cell<u64>,
@@ -277,7 +277,7 @@
             complete: Cell::new(None),
             roll: RefCell::default(),
             joined_with: RefCell::default(),
-            trips: RefCell::new(trip::Trips::new(now)),
+            rtt: RefCell::new(rtt::Window::new(now)),
             ledger: RefCell::default(),
             told: Cell::new(0),
             turned: Cell::new(0),
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -206,7 +206,7 @@
 
     /// What was seen of the replica.
     fn seen(&self) -> Load {
-        let trip = self.trips.borrow_mut().shortest(self.knowledge.now());
+        let trip = self.rtt.borrow_mut().min(self.knowledge.now());
         let round_trip_ms = trip.as_millis() as u64;
         let (chunks_held, chunks) = self.arriving();
         let state = self.state.borrow();
@@ -367,7 +367,7 @@
         Ok(()) if note.way() == Some(Way::Renewed) => {}
         Ok(()) => {
             let now = sidecar.knowledge.now();
-            sidecar.trips.borrow_mut().finish(now.since(began), now);
+            sidecar.rtt.borrow_mut().record(now.since(began), now);
         }
         Err(error) => {
             log::debug!(entry:% = entry; "report: {error}");
--- a/src/sidecar/trip.rs
+++ b/src/sidecar/rtt.rs
@@ -13,12 +13,12 @@
 
 /// The exchanges of late.
 #[derive(Debug)]
-pub struct Trips {
+pub struct Window {
     finished: VecDeque<(Time, Duration)>,
     last: Time,
 }
 
-impl Trips {
+impl Window {
     /// No exchange yet, as of `now`.
     pub fn new(now: Time) -> Self {
         Self {
@@ -28,7 +28,7 @@
     }
 
     /// An exchange that took so long has brought its answer.
-    pub fn finish(&mut self, took: Duration, now: Time) {
+    pub fn record(&mut self, took: Duration, now: Time) {
         self.last = now;
         self.finished.push_back((now, took));
         if self.finished.len() > EXCHANGES_MAX {
@@ -38,7 +38,7 @@
 
     /// The shortest exchange of late: a link that is held up lengthens all of them, an entry that
     /// has gone only its own. Without any, the time since the last one.
-    pub fn shortest(&mut self, now: Time) -> Duration {
+    pub fn min(&mut self, now: Time) -> Duration {
         while let Some((at, _)) = self.finished.front()
             && now.since(*at) > RECENT
         {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -20,7 +20,7 @@
 use pumicelatch::route::health::{Health, Signal};
 use pumicelatch::route::pool::{Key, ModelQuery, Pool, Query, Unavailable};
 use pumicelatch::route::replica::{Load, Schedule};
-use pumicelatch::sidecar::trip::Trips;
+use pumicelatch::sidecar::rtt::Window;
 use pumicelatch::version::rollout;
 use pumicelatch::weight::Digest;
 use quickcheck::{TestResult, quickcheck};
@@ -470,15 +470,15 @@
 
 #[test]
 fn the_shortest_exchange_measures_a_link() {
-    let mut trips = Trips::new(NOW);
-    assert_eq!(trips.shortest(NOW), Duration::ZERO);
+    let mut trips = Window::new(NOW);
+    assert_eq!(trips.min(NOW), Duration::ZERO);
     let at = |ms| NOW + Duration::from_millis(ms);
-    trips.finish(Duration::from_millis(900), at(1_000));
-    trips.finish(Duration::from_millis(12), at(1_100));
-    assert_eq!(trips.shortest(at(1_200)), Duration::from_millis(12));
-    trips.finish(Duration::from_millis(700), at(2_500));
-    assert_eq!(trips.shortest(at(2_700)), Duration::from_millis(700));
-    assert_eq!(trips.shortest(at(5_500)), Duration::from_millis(3_000));
+    trips.record(Duration::from_millis(900), at(1_000));
+    trips.record(Duration::from_millis(12), at(1_100));
+    assert_eq!(trips.min(at(1_200)), Duration::from_millis(12));
+    trips.record(Duration::from_millis(700), at(2_500));
+    assert_eq!(trips.min(at(2_700)), Duration::from_millis(700));
+    assert_eq!(trips.min(at(5_500)), Duration::from_millis(3_000));
 }
 
 #[test]
