--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -327,7 +327,7 @@
     pub fn target(&self) -> Option<Target> {
         let target = manager::newest(&self.knowledge)?;
         let state = self.state.borrow();
-        let held = state.as_ref().and_then(|state| state.held(&target.model));
+        let held = state.as_ref().and_then(|state| state.loaded(&target.model));
         let catalog = self.knowledge.catalog.borrow();
         let lacking =
             held.and_then(|held| first_missing(catalog.desired_versions(&target.model), held));
--- a/src/sidecar/engine.rs
+++ b/src/sidecar/engine.rs
@@ -32,20 +32,20 @@
 
 impl State {
     /// The version of `model` that it holds.
-    pub fn held(&self, model: &str) -> Option<u64> {
+    pub fn loaded(&self, model: &str) -> Option<u64> {
         replica::version_of(&self.models, model)
     }
 }
 
 /// How a replica took an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum Outcome {
     /// It carries the order out.
-    Begun,
+    Accepted,
     /// It holds what was ordered already.
-    Holds,
+    AlreadyLoaded,
     /// The order does not fit its state.
-    Unfit,
+    Conflict,
 }
 
 /// Why a replica did not answer.
@@ -58,10 +58,10 @@
         reason: String,
     },
     /// It turned the question away, and wants nothing for so long.
-    #[error("replica wants rest for {} ms", rest.as_millis())]
-    TurnedAway {
+    #[error("replica wants rest for {} ms", backoff.as_millis())]
+    Rejected {
         /// How long.
-        rest: Duration,
+        backoff: Duration,
     },
     /// It answered with an unexpected status.
     #[error("replica answered {status}")]
@@ -71,7 +71,7 @@
     },
     /// The answer makes no sense.
     #[error("replica's answer is not understood: {reason}")]
-    Text {
+    Malformed {
         /// What the codec reported.
         reason: String,
     },
@@ -104,9 +104,9 @@
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
 
     /// Orders it to take what is staged, once it has finished what runs.
-    fn start<'a>(
+    fn load<'a>(
         &'a self,
         model: &'a str,
         version: u64,
-    ) -> LocalBoxFuture<'a, Result<Taken, Error>>;
+    ) -> LocalBoxFuture<'a, Result<Outcome, Error>>;
 }
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -78,14 +78,14 @@
                 sidecar.take_state(Some(state));
             }
             // It is there, and wants to be asked less often.
-            Ok(Err(Error::TurnedAway { rest })) => {
+            Ok(Err(Error::Rejected { backoff })) => {
                 sidecar.misses.set(0);
                 let notice = Notice {
-                    backoff: Some(rest),
+                    backoff: Some(backoff),
                     ..Notice::default()
                 };
                 sidecar.wants(notice);
-                sleep(rest.min(LOOK_AT_REST)).await;
+                sleep(backoff.min(LOOK_AT_REST)).await;
             }
             failed => {
                 sidecar.misses.set(sidecar.misses.get() + 1);
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -8,7 +8,7 @@
 use actix_rt::time::{sleep, timeout};
 
 use super::Sidecar;
-use super::engine::Taken;
+use super::engine::Outcome;
 use super::observe::MISSES_MAX;
 use crate::audit::Deed;
 use crate::burst::manager::{self, Target};
@@ -143,7 +143,7 @@
 
     fn stopgap_version(&self, newest: &Target) -> Option<u64> {
         let empty = match &*self.state.borrow() {
-            Some(state) => state.held(&newest.model).is_none() && !state.busy,
+            Some(state) => state.loaded(&newest.model).is_none() && !state.busy,
             // It comes up, and will hold nothing.
             None => self.comes_up_empty(),
         };
@@ -243,7 +243,7 @@
             rollout::State {
                 desired: target.version,
                 published_at: target.published,
-                loaded: known.held(&target.model),
+                loaded: known.loaded(&target.model),
                 busy: known.busy,
                 complete_since: self.complete_since(label),
                 wave: self.wave(label, rollout.waves),
@@ -346,13 +346,13 @@
             return;
         }
         self.staged.borrow_mut().ordered = Some(self.knowledge.now());
-        match self.engine.start(&target.model, target.version).await {
-            Ok(Taken::Begun | Taken::Holds) => {
+        match self.engine.load(&target.model, target.version).await {
+            Ok(Outcome::Accepted | Outcome::AlreadyLoaded) => {
                 let version = label.short();
                 self.host.audit(Deed::LoadOrdered { version });
                 log::info!(model = &*target.model, version = target.version; "change ordered");
             }
-            Ok(Taken::Unfit) => {
+            Ok(Outcome::Conflict) => {
                 log::warn!(version = target.version; "order does not fit the replica's state");
             }
             Err(error) => log::warn!(version = target.version; "order: {error}"),
