--- a/src/agent.rs
+++ b/src/agent.rs
@@ -28,8 +28,8 @@
 use crate::weight::{Digest, Store};
 
 pub mod daemon;
-pub mod door;
 pub mod engine;
+pub mod proxy;
 pub mod serve;
 pub mod status;
 
--- a/src/agent/door.rs
+++ b/src/agent/proxy.rs
@@ -72,7 +72,7 @@
 
 /// An answer that is not the target's own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Turned {
+pub struct Error {
     /// Why.
     pub reason: Reason,
     /// When to come back, in milliseconds; 0 when that is not known.
@@ -102,7 +102,7 @@
 }
 
 /// The headers that a proof covers, in order.
-pub const PROVEN: [&str; 9] = [
+pub const SIGNED_HEADERS: [&str; 9] = [
     header::REQUEST,
     header::VERSION,
     header::SERVICE,
@@ -120,7 +120,7 @@
 
 fn proven(agent: &Agent, request: &Request) -> bool {
     let parts: Vec<&str> = std::iter::once(request.path())
-        .chain(PROVEN.map(|name| text(request, name).unwrap_or_default()))
+        .chain(SIGNED_HEADERS.map(|name| text(request, name).unwrap_or_default()))
         .collect();
     let verdict = agent
         .keyring
@@ -180,7 +180,7 @@
 }
 
 fn turned(code: StatusCode, admitted: &'static str, reason: Reason, after: Duration) -> Answer {
-    let body = Turned {
+    let body = Error {
         reason,
         retry_after_ms: after.as_millis() as u64,
     };
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -8,7 +8,7 @@
 use futures_util::{Stream, stream};
 use tokio::net::TcpListener;
 
-use super::{Agent, door, status};
+use super::{Agent, proxy, status};
 use crate::burst::serve;
 use crate::http::{self, Answer, Server, Wrap};
 use crate::stop::Kind;
@@ -39,7 +39,7 @@
             report_stream(&agent),
         ),
         ("POST", ["v1", "run" | "keys"]) => take(agent, request).await,
-        ("POST", ["v1", "cancel", id]) => door::cancel(&agent, &request, id).await,
+        ("POST", ["v1", "cancel", id]) => proxy::cancel(&agent, &request, id).await,
         ("GET", ["health", "live"]) => http::status(StatusCode::OK),
         ("GET", ["health", "ready"]) => ready(&agent),
         ("GET", ["status"]) => http::json(StatusCode::OK, &status::status(&agent)),
@@ -57,11 +57,11 @@
         false => Kind::New,
     });
     if permit.is_refused() {
-        return permit.attach(door::not_admitted(door::Reason::Leaving));
+        return permit.attach(proxy::not_admitted(proxy::Reason::Leaving));
     }
     let answer = match request.path().trim_matches('/') {
-        "v1/run" => door::run(agent, request).await,
-        _ => door::issue_key(&agent, &request),
+        "v1/run" => proxy::run(agent, request).await,
+        _ => proxy::issue_key(&agent, &request),
     };
     permit.attach(answer)
 }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -8,7 +8,7 @@
 use super::Entry;
 use super::call::Job;
 use super::caller::{Code, Failure};
-use crate::agent::door::{PROVEN, Reason, Turned};
+use crate::agent::proxy::{self, Reason, SIGNED_HEADERS};
 use crate::clock::{Time, unix_millis};
 use crate::exchange::{self, Response, Reuse};
 use crate::request::Interruption;
@@ -29,7 +29,7 @@
 pub(super) fn prove(entry: &Entry, request: &mut exchange::Request) {
     let proof = {
         let parts: Vec<&str> = std::iter::once(request.path.as_str())
-            .chain(PROVEN.map(|name| request.header(name)))
+            .chain(SIGNED_HEADERS.map(|name| request.header(name)))
             .collect();
         entry.setting.keyring.prove(unix_millis(), &parts)
     };
@@ -104,7 +104,7 @@
 /// How an attempt that got no answer broke.
 pub(super) struct Broken {
     pub(super) found: Interruption,
-    pub(super) reason: Option<Turned>,
+    pub(super) reason: Option<proxy::Error>,
 }
 
 impl Broken {
@@ -205,7 +205,7 @@
         | Interruption::MidAnswer => true,
         Interruption::NotAdmitted => matches!(
             broken.reason,
-            Some(Turned {
+            Some(proxy::Error {
                 reason: Reason::TargetDown,
                 ..
             })
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -15,7 +15,7 @@
 use super::caller::{self, Code, Failure, Head};
 use super::relay::{Relay, broken};
 use super::status::count;
-use crate::agent::door::Reason;
+use crate::agent::proxy::Reason;
 use crate::clock::Time;
 use crate::config::Active;
 use crate::exchange::Response;
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -206,8 +206,8 @@
 
     /// What was seen of the replica.
     fn seen(&self) -> Load {
-        let trip = self.rtt.borrow_mut().min(self.knowledge.now());
-        let round_trip_ms = trip.as_millis() as u64;
+        let rtt = self.rtt.borrow_mut().min(self.knowledge.now());
+        let round_trip_ms = rtt.as_millis() as u64;
         let (chunks_held, chunks) = self.arriving();
         let state = self.state.borrow();
         let Some(state) = state.as_ref() else {
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output};
 
 use common::{Served, Shape, run};
-use pumicelatch::agent::door::Turned;
+use pumicelatch::agent::proxy;
 use pumicelatch::bench::caller::{Ask, Told};
 use pumicelatch::entry::caller::{Body, Code};
 use pumicelatch::entry::event::Reader;
@@ -136,7 +136,7 @@
                 ("x-proof", proof),
             ];
             let (status, body) = post(&format!("http://{address}/v1/run"), &headers, "{}").await;
-            let turned: Turned = serde_json::from_slice(&body).unwrap();
+            let turned: proxy::Error = serde_json::from_slice(&body).unwrap();
             assert_eq!(status, 403, "{turned:?}");
             let (status, _) = post(&format!("http://{address}/v1/keys"), &headers, "").await;
             assert_eq!(status, 403);
