--- a/src/gateway/course.rs
+++ b/src/gateway/dispatch.rs
@@ -1,4 +1,5 @@
-//! The course of one request: admission, the choice of replicas, attempts, and what follows their ends.
+//! State of one request: admission, choice of a replica, attempts, and what follows a failed
+//! attempt.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,11 +8,11 @@
 use rand::RngExt;
 
 use super::Gateway;
-use super::attempt::{Attempt, Begun, Failure, Send};
+use super::attempt::{Attempt, Failure, Incoming, Params};
 use super::dialect::{Code, Refusal};
 use super::job::Job;
-use super::repeat::Repeat;
-use super::trace::{Expected, Trace};
+use super::retry::Retry;
+use super::trace::{Estimate, Trace};
 use crate::clock::Time;
 use crate::http::Answer;
 use crate::lease::Throttle;
@@ -22,37 +23,37 @@
 use crate::route::pool::{self, Choice, Key, ModelQuery, Unavailable};
 use crate::stop;
 
-/// When a caller should come back if a service has no replica.
-const NO_REPLICA_RETRY: Duration = Duration::from_millis(1_900);
+/// Delay that callers are asked for if the service has no replica.
+const NO_REPLICA_RETRY_DELAY: Duration = Duration::from_millis(1_900);
 
-/// When a caller should come back after a replica refused its request.
-const REFUSED_RETRY: Duration = Duration::from_millis(150);
+/// Delay that callers are asked for after a replica refused the request.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Time over which those who come back after the rest of a replica are spread.
-const RETURN_SPREAD: Duration = Duration::from_millis(400);
+/// Time over which the retries of callers are spread after the backoff that a replica asked for.
+const RETRY_JITTER: Duration = Duration::from_millis(400);
 
-/// Connections to a replica that an entry may always have.
+/// Lower bound of an entry's share of the connections to one replica.
 const CONNECTIONS_MIN: u32 = 3;
 
-/// Processes that are asked for a place at each later look while a request waits.
-const ASKS_AGAIN: u32 = 1;
+/// Sidecars that are asked for a lease each time a waiting request is judged again.
+const LEASE_REQUESTS_PER_RECHECK: u32 = 1;
 
-/// Service time that is left out of the budget of a request that is tried again.
+/// Service time that another attempt needs: none is made unless more is left before the deadline.
 const RETRY_TIME_MIN: Duration = Duration::from_millis(30);
 
-/// The process stops, and the request has not run.
-pub(super) fn stopping() -> Refusal {
+/// The refusal of a request that has not run because the process is shutting down.
+pub(super) fn shutting_down() -> Refusal {
     Refusal::new(Code::Stopping, "the process stops").retry_after(stop::tracker::RETRY_DELAY)
 }
 
-/// The process ends, and the request may have run.
-pub(super) fn ending() -> Refusal {
+/// The refusal of a request that may have run when the process gave it up.
+pub(super) fn aborted() -> Refusal {
     Refusal::new(Code::Broken, "the process ends")
 }
 
-/// Answers for the entry itself, and writes down why.
+/// Builds the gateway's own response to a refused request, and records the reason.
 pub(super) fn refuse(gateway: &Gateway, trace: &mut Trace, refusal: &Refusal) -> Answer {
-    trace.ended(refusal.code.name());
+    trace.set_outcome(refusal.code.name());
     trace.reason.clone_from(&refusal.detail);
     let id = (!trace.id.is_empty()).then_some(trace.id.as_str());
     let mut answer = gateway.dialect.refuse(refusal, id);
@@ -62,27 +63,30 @@
     answer
 }
 
-/// A request on its way.
-pub struct Course {
+/// A request while it is being served.
+pub struct Dispatch {
     /// The gateway.
     pub gateway: Rc<Gateway>,
     /// The request.
     pub job: Rc<Job>,
-    /// What is written down of it.
+    /// What is logged about it.
     pub trace: Trace,
     tried: Vec<Key>,
-    unreached: u32,
+    /// Attempts of which no byte was sent.
+    connect_failures: u32,
+    /// Whether an attempt may have run.
     tainted: bool,
+    /// The last error response of a replica.
     failure: Option<Answer>,
-    /// What the next attempt takes of the budget.
-    repeat: Option<Repeat>,
-    /// When its caller tried first, if it was refused before and came back.
+    /// The retry, taken from the budget, that the next attempt uses.
+    retry: Option<Retry>,
+    /// When the caller first tried, if the request was refused before.
     pub(super) first_try: Option<Time>,
-    /// The only version that will do, once an answer of it has begun.
-    pub(super) only: Option<u64>,
+    /// The only acceptable version of the weights, once a response has started.
+    pub(super) pinned_version: Option<u64>,
 }
 
-impl Course {
+impl Dispatch {
     pub(super) fn new(gateway: Rc<Gateway>, job: Rc<Job>, mut trace: Trace) -> Self {
         let first_try = gateway.first_try(&job);
         trace.returned = first_try.is_some();
@@ -92,54 +96,58 @@
             job,
             trace,
             tried: Vec::new(),
-            unreached: 0,
+            connect_failures: 0,
             tainted: false,
             failure: None,
-            repeat: None,
-            only: None,
+            retry: None,
+            pinned_version: None,
         }
     }
 
-    /// What a caller without an answer is told when the process ends before a further attempt.
-    pub(super) fn untold(&self) -> Refusal {
-        if self.tainted { ending() } else { stopping() }
+    /// The refusal for a caller without a response when the process shuts down between attempts.
+    pub(super) fn unanswered_refusal(&self) -> Refusal {
+        if self.tainted {
+            aborted()
+        } else {
+            shutting_down()
+        }
     }
 
-    /// Ends with the replica's own failure if there is one, or else with `refusal`.
+    /// Returns the last error response of a replica if there is one, or else `refusal`.
     pub(super) fn give_up(&mut self, refusal: &Refusal) -> Answer {
         match self.failure.take() {
             Some(answer) => {
-                self.trace.ended("failed");
+                self.trace.set_outcome("failed");
                 self.trace.reason.clone_from(&refusal.detail);
                 answer
             }
             None => {
                 if refusal.code.outcome() == Some(Outcome::NotRun) {
                     let first = self.first_try.unwrap_or(self.job.arrived);
-                    self.gateway.note_refused(&self.job, first);
+                    self.gateway.record_rejection(&self.job, first);
                 }
                 refuse(&self.gateway, &mut self.trace, refusal)
             }
         }
     }
 
-    /// A process beside a replica knows that the caller tried `age` ago already.
-    pub(super) fn note_returned(&mut self, age: Duration) {
+    /// Records that, according to a sidecar, the caller first tried `age` ago.
+    pub(super) fn record_earlier_try(&mut self, age: Duration) {
         let first = self.gateway.knowledge.now() - age;
         let known = self.first_try.get_or_insert(first);
         *known = first.min(*known);
         self.trace.returned = true;
     }
 
-    /// Notes a failed attempt. An error is the end.
-    pub(super) fn follow_up(&mut self, failure: Failure) -> Result<(), Refusal> {
-        let (ended, detail) = self.take_failure(failure);
+    /// Records a failed attempt. `Ok` means that another attempt may be made.
+    pub(super) fn handle_failure(&mut self, failure: Failure) -> Result<(), Refusal> {
+        let (ended, detail) = self.record_failure(failure);
         match next::after(ended, self.situation()) {
             Next::Elsewhere { .. } if !self.gateway.setting.policy.retries => {
                 Err(self.refusal_after(ended, detail))
             }
             Next::Elsewhere { charged } => {
-                if !charged || self.take_repeat() {
+                if !charged || self.acquire_retry() {
                     return Ok(());
                 }
                 let detail = format!("{detail}; no repeat is left in the budget");
@@ -149,21 +157,21 @@
         }
     }
 
-    /// Takes a repeat for the next attempt, if there is one.
-    fn take_repeat(&mut self) -> bool {
-        self.repeat = Repeat::take(&self.gateway, &self.job.service);
-        self.repeat.is_some()
+    /// Takes a retry for the next attempt from the budget. Returns whether one was left.
+    fn acquire_retry(&mut self) -> bool {
+        self.retry = Retry::acquire(&self.gateway, &self.job.service);
+        self.retry.is_some()
     }
 
-    /// Takes what is to be kept of a failed attempt.
-    fn take_failure(&mut self, failure: Failure) -> (Ended, String) {
+    /// Updates the state from a failed attempt. Returns how it ended and the details.
+    fn record_failure(&mut self, failure: Failure) -> (Ended, String) {
         let Failure {
             ended,
             detail,
             answer,
         } = failure;
         if ended == Ended::NotSent {
-            self.unreached += 1;
+            self.connect_failures += 1;
         }
         self.tainted |= next::outcome_of(ended) != Outcome::NotRun;
         if answer.is_some() {
@@ -172,7 +180,7 @@
         (ended, detail)
     }
 
-    /// What is known of the request.
+    /// The state that decides what follows a failed attempt.
     fn situation(&self) -> Situation {
         let remaining = self.job.remaining(self.gateway.knowledge.now());
         Situation {
@@ -180,12 +188,12 @@
             tainted: self.tainted,
             sent: self.trace.sent,
             sent_max: self.job.route.attempts_max,
-            connect_failures: self.unreached,
+            connect_failures: self.connect_failures,
             time_left: remaining > RETRY_TIME_MIN,
         }
     }
 
-    /// What a caller is told when no further attempt is made.
+    /// The refusal when no further attempt is made.
     fn refusal_after(&self, ended: Ended, detail: String) -> Refusal {
         let late = self.job.remaining(self.gateway.knowledge.now()) <= RETRY_TIME_MIN;
         if self.tainted || next::outcome_of(ended) != Outcome::NotRun {
@@ -201,12 +209,12 @@
         }
         let now = self.gateway.knowledge.now();
         let refusal = Refusal::new(Code::NoReplica, detail);
-        let rest = {
+        let backoff = {
             let pool = self.gateway.pool.borrow();
-            self.with_ask(&[], |ask| pool.backoff(ask, now))
+            self.with_query(&[], |query| pool.backoff(query, now))
         };
-        if let Some(rest) = rest {
-            return refusal.retry_after(self.after_rest(rest));
+        if let Some(backoff) = backoff {
+            return refusal.retry_after(self.delay_after_backoff(backoff));
         }
         let outage = self
             .gateway
@@ -214,43 +222,46 @@
             .borrow()
             .mostly_invalidated(&self.job.service);
         refusal.retry_after(if outage {
-            self.arrival(self.job.remaining(now))
+            self.weights_retry_delay(self.job.remaining(now))
         } else {
-            REFUSED_RETRY
+            REFUSED_RETRY_DELAY
         })
     }
 
-    /// Finds a place, waits for one, or refuses.
+    /// Finds a replica for the request, waiting for a short time if need be, or refuses the
+    /// request.
     pub(super) async fn admit(&mut self) -> Result<Choice, Refusal> {
-        let mut asks = self.gateway.setting.policy.lease_requests;
+        let mut lease_requests = self.gateway.setting.policy.lease_requests;
         loop {
-            let chosen_before = self.trace.sent + self.unreached > 0;
+            let chosen_before = self.trace.sent + self.connect_failures > 0;
             let limit = if chosen_before {
-                // A request that was chosen a replica for already is worth the rest of its time.
+                // After an earlier attempt, only the deadline limits the wait for the first event.
                 self.job.deadline.since(self.job.arrived)
             } else {
                 self.limit()
             };
-            let found = self.find(asks, limit).await;
+            let found = self.find_replica(lease_requests, limit).await;
             if let Some(age) = found.tried_before {
-                self.note_returned(age);
+                self.record_earlier_try(age);
             }
             let limit = if chosen_before { limit } else { self.limit() };
             self.trace.asked += found.asked;
-            self.trace.place = found.given;
+            self.trace.leased = found.leased;
             let (choice, idle) = (found.choice, found.idle);
             if chosen_before {
                 return choice
-                    .and_then(|choice| self.unless_cold(choice, found.given))
-                    .map_err(|shortage| self.refusal_after(Ended::Refused, shortage.to_string()));
+                    .and_then(|choice| self.check_cold(choice, found.leased))
+                    .map_err(|unavailable| {
+                        self.refusal_after(Ended::Refused, unavailable.to_string())
+                    });
             }
-            if found.given {
-                return choice.map_err(|shortage| self.shortage(shortage));
+            if found.leased {
+                return choice.map_err(|unavailable| self.unavailable(unavailable));
             }
-            asks = asks.min(ASKS_AGAIN);
+            lease_requests = lease_requests.min(LEASE_REQUESTS_PER_RECHECK);
             let now = self.gateway.knowledge.now();
             let remaining = self.job.remaining(now);
-            let case = Input {
+            let input = Input {
                 elapsed: now.since(self.job.arrived),
                 remaining,
                 expected: choice.as_ref().ok().map(|choice| choice.expected),
@@ -258,12 +269,12 @@
             let verdict = if idle {
                 Verdict::Send
             } else {
-                admission::evaluate(case, Bounds::new(self.job.objective(), limit))
+                admission::evaluate(input, Bounds::new(self.job.objective(), limit))
             };
             match (verdict, choice) {
                 (Verdict::Send, Ok(choice)) => {
-                    let choice = self.unless_cold(choice, found.given);
-                    return choice.map_err(|shortage| self.shortage(shortage));
+                    let choice = self.check_cold(choice, found.leased);
+                    return choice.map_err(|unavailable| self.unavailable(unavailable));
                 }
                 (Verdict::Wait(pause), _) => sleep(pause).await,
                 (Verdict::Refuse { retry_after }, Ok(choice)) => {
@@ -275,41 +286,41 @@
                     let refusal = Refusal::new(Code::Overload, detail);
                     return Err(refusal.retry_after(retry_after));
                 }
-                (_, Err(shortage)) => return Err(self.shortage(shortage)),
+                (_, Err(unavailable)) => return Err(self.unavailable(unavailable)),
             }
         }
     }
 
-    fn shortage(&self, shortage: Unavailable) -> Refusal {
+    fn unavailable(&self, unavailable: Unavailable) -> Refusal {
         let remaining = self.job.remaining(self.gateway.knowledge.now());
-        let refusal = Refusal::new(Code::NoReplica, shortage.to_string());
-        refusal.retry_after(match shortage {
-            Unavailable::BackingOff { remaining: rest } => self.after_rest(rest),
-            _ => self.arrival(remaining),
+        let refusal = Refusal::new(Code::NoReplica, unavailable.to_string());
+        refusal.retry_after(match unavailable {
+            Unavailable::BackingOff { remaining: backoff } => self.delay_after_backoff(backoff),
+            _ => self.weights_retry_delay(remaining),
         })
     }
 
-    /// When a caller should come back to replicas of which the first has so much of its rest left: no sooner, and not all callers at
-    /// once.
-    fn after_rest(&self, rest: Duration) -> Duration {
+    /// Delay that the caller is asked for if all replicas asked for backoff and the shortest lasts
+    /// for `backoff`: not less, and with jitter so that callers do not all return at once.
+    fn delay_after_backoff(&self, backoff: Duration) -> Duration {
         let apart = self
             .gateway
             .knowledge
             .rng
             .borrow_mut()
             .random_range(0.0..1.0);
-        rest + RETURN_SPREAD.mul_f64(apart)
+        backoff + RETRY_JITTER.mul_f64(apart)
     }
 
-    /// The limit on its first event, counted from its arrival.
+    /// The limit on the time from arrival to first event.
     fn limit(&self) -> Duration {
         let (whole, late) = self.limits();
         let age = self.first_try.map(|first| self.job.arrived.since(first));
         age.map_or(whole, |age| retry::remaining_limit(whole, late, age))
     }
 
-    /// The limit that is common to requests of the service, as far as the policy shares it, and that
-    /// of requests whose callers were refused before and are late.
+    /// Two limits on the time to the first event: that of first tries, which the policy may share
+    /// among all requests of the service, and that of retries whose callers are already late.
     pub(super) fn limits(&self) -> (Duration, Duration) {
         let gateway = &self.gateway;
         let own = self.job.objective();
@@ -325,11 +336,11 @@
         )
     }
 
-    /// When the caller should come back to find weights at the replicas.
-    fn arrival(&self, remaining: Duration) -> Duration {
+    /// Delay that the caller is asked for until replicas are expected to have received weights.
+    fn weights_retry_delay(&self, remaining: Duration) -> Duration {
         let gateway = &self.gateway;
         if !gateway.setting.policy.retry_after_eta {
-            return NO_REPLICA_RETRY;
+            return NO_REPLICA_RETRY_DELAY;
         }
         let now = gateway.knowledge.now();
         let arrival = gateway.pool.borrow().weights_eta(&self.job.service, now);
@@ -337,29 +348,31 @@
         admission::retry_after(arrival, remaining, spread)
     }
 
-    /// Chooses a replica, if possible none of `full`; for a begun answer, one of its version. Tells as
-    /// well whether the service is mostly idle, so that nothing is to be refused.
+    /// Chooses a replica, avoiding those in `full` if possible; for a started response, one with
+    /// the same version. Also returns whether fewer than half of the service's slots are taken, in
+    /// which case the request need not be refused.
     pub fn choose(&self, full: &[Key]) -> (Result<Choice, Unavailable>, bool) {
         let gateway = &self.gateway;
         gateway.refresh_pool();
         let now = gateway.knowledge.now();
-        self.with_ask(full, |ask| {
+        self.with_query(full, |query| {
             let pool = gateway.pool.borrow();
             let mut rng = gateway.knowledge.rng.borrow_mut();
-            let choice = pool.choose(ask, now, &mut *rng);
-            let (taken, places) = pool.occupancy(ask, now);
+            let choice = pool.choose(query, now, &mut *rng);
+            let (taken, places) = pool.occupancy(query, now);
             (choice, taken * 2 < places)
         })
     }
 
-    /// Calls `then` with what this request asks the pool for.
-    pub(super) fn with_ask<T>(&self, full: &[Key], then: impl FnOnce(pool::Query<'_>) -> T) -> T {
+    /// Calls `then` with this request's query to the pool.
+    pub(super) fn with_query<T>(&self, full: &[Key], then: impl FnOnce(pool::Query<'_>) -> T) -> T {
         let gateway = &self.gateway;
         let now = gateway.knowledge.now();
         let service = self.job.routing.service(&self.job.service);
-        let model = self.job.ask.inference.as_ref().map(|work| &*work.model);
+        let model = self.job.meta.inference.as_ref().map(|work| &*work.model);
         let engine = service.and_then(|service| service.engine.as_ref());
-        // Replicas that hold models are engines, whatever could be read of their service.
+        // Replicas that hold models are engines even if their service's configuration is
+        // unreadable.
         let engines = || {
             let catalog = gateway.knowledge.catalog.borrow();
             engine.is_some() || catalog.loaded_model(Some(&self.job.service)).is_some()
@@ -373,7 +386,7 @@
             model: model.map(|model| ModelQuery {
                 model,
                 min_version: self.oldest_version(model, now),
-                pinned_version: self.only,
+                pinned_version: self.pinned_version,
             }),
             engine,
             demand: self.job.demand(),
@@ -386,35 +399,36 @@
         })
     }
 
-    /// Requests a second that a cold replica bears; 0 if there is no bound.
+    /// Requests per second that a cold replica tolerates; 0 if unlimited.
     fn cold_per_s(&self) -> f64 {
         let service = self.job.routing.service(&self.job.service);
         service.map_or(0.0, |service| service.cold_per_s)
     }
 
-    /// Part of it that this entry may send where the process beside the replica deals none out.
+    /// This entry's share of that rate, used where no sidecar rations requests to the replica.
     fn own_cold_per_s(&self) -> f64 {
         let entries = self.gateway.knowledge.peers.borrow().upper_bound();
         self.cold_per_s() / entries.max(1) as f64
     }
 
-    /// What the replica `key` bears, if it is cold.
-    pub(super) fn ration(&self, key: Key) -> Option<Throttle> {
+    /// The ration of the replica `key`, if it is cold and its rate is limited.
+    pub(super) fn throttle(&self, key: Key) -> Option<Throttle> {
         let per_s = self.cold_per_s();
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
-        let rest = pool.get(key)?.cold_remaining(now);
-        (per_s > 0.0 && !rest.is_zero()).then_some(Throttle {
-            rest_ms: rest.as_millis() as u64,
+        let remaining = pool.get(key)?.cold_remaining(now);
+        (per_s > 0.0 && !remaining.is_zero()).then_some(Throttle {
+            rest_ms: remaining.as_millis() as u64,
             per_s,
         })
     }
 
-    /// The choice, unless no place is kept there, and the replica is cold and bears no more.
-    fn unless_cold(&self, choice: Choice, given: bool) -> Result<Choice, Unavailable> {
+    /// Returns the choice unless the replica is cold and its rate is used up. A request
+    /// that was granted a lease passes: the sidecar has counted it.
+    fn check_cold(&self, choice: Choice, leased: bool) -> Result<Choice, Unavailable> {
         let now = self.gateway.knowledge.now();
         let mut pool = self.gateway.pool.borrow_mut();
-        let bears = given || pool.take_cold_token(choice.key, self.own_cold_per_s(), now);
+        let bears = leased || pool.take_cold_token(choice.key, self.own_cold_per_s(), now);
         bears.then_some(choice).ok_or(Unavailable::Cold)
     }
 
@@ -425,72 +439,72 @@
         catalog.oldest_allowed(model, bound, now)
     }
 
-    /// Sends the request to the chosen replica.
+    /// Makes an attempt at the chosen replica.
     pub async fn attempt(
         &mut self,
         choice: Choice,
         last_event: Option<u64>,
-    ) -> Result<Begun, Failure> {
+    ) -> Result<Incoming, Failure> {
         let Some(attempt) = Attempt::begin(&self.gateway, &self.job, choice) else {
             let detail = "the replica has gone, or wants nothing now";
             return Err(Failure::new(Ended::NotSent, detail));
         };
         self.tried.push(choice.key);
         self.trace.replica = Some(attempt.instance.id.clone());
-        self.trace.expected = Some(Expected {
+        self.trace.expected = Some(Estimate {
             chosen: self.trace.elapsed(),
             first: choice.expected,
             requests: choice.requests,
         });
-        let send = Send {
+        let send = Params {
             last_event,
-            version: self.only,
-            moves_on: self.may_move_after_one_more(),
+            version: self.pinned_version,
+            can_fail_over: self.can_fail_over_after_next(),
         };
-        let mut repeat = self.repeat.take();
-        if let Some(repeat) = &mut repeat {
-            repeat.send();
+        let mut retry = self.retry.take();
+        if let Some(retry) = &mut retry {
+            retry.mark_sent();
         }
         let result = attempt.send(&self.job, send).await;
         let ended = result.as_ref().err().map(|failure| failure.ended);
-        if let Some(repeat) = repeat {
-            repeat.ended(ended);
+        if let Some(retry) = retry {
+            retry.settle(ended);
         }
         self.trace.sent += u32::from(ended != Some(Ended::NotSent));
         result
     }
 
-    /// Notes the failure of an attempt to take a begun answer up. Returns whether another may
-    /// follow.
+    /// Records that a stream broke, or could not be resumed. Returns whether another attempt to
+    /// resume it may follow.
     pub fn may_resume(&mut self, failure: Failure) -> bool {
-        let (ended, detail) = self.take_failure(failure);
+        let (ended, detail) = self.record_failure(failure);
         self.trace.reason = detail;
         if !self.gateway.setting.policy.resume {
             return false;
         }
         let next = next::after(ended, self.situation());
         match next {
-            Next::Elsewhere { charged } => !charged || self.take_repeat(),
+            Next::Elsewhere { charged } => !charged || self.acquire_retry(),
             Next::PassOn | Next::GiveUp(_) => false,
         }
     }
 
     /// Whether another replica may still receive the request.
-    pub fn may_move(&self) -> bool {
-        moves_on(self.situation())
+    pub fn can_fail_over(&self) -> bool {
+        can_fail_over(self.situation())
     }
 
-    /// Whether another one may once the next has received it.
-    fn may_move_after_one_more(&self) -> bool {
+    /// Whether another replica may still receive the request after the next attempt.
+    fn can_fail_over_after_next(&self) -> bool {
         let situation = self.situation();
-        moves_on(Situation {
+        can_fail_over(Situation {
             sent: situation.sent + 1,
             ..situation
         })
     }
 }
 
-fn moves_on(situation: Situation) -> bool {
+fn can_fail_over(situation: Situation) -> bool {
     let next = next::after(Ended::Broken, situation);
     matches!(next, Next::Elsewhere { .. })
 }
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -1,4 +1,5 @@
-//! Tells the entries of the own hall how replicas do, and asks other halls.
+//! Sends the state of replicas to the other entries of the local hall, and polls other halls for
+//! theirs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,54 +17,54 @@
 use crate::wire::pack;
 use crate::wire::sync::{Frame, HALL_PATH, HallStatus, HallUpdate, Heartbeat, ReplicaStatus};
 
-/// How often it is looked whether anyone is to be told or asked.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which this module checks whether a frame or a poll is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Replicas of another hall that a hall is told of: those with the most free places. Work goes to
-/// another hall only for want of places in the own, and a hall has no more entries than that.
-const FAR_MAX: usize = 64;
+/// Replicas of another hall that a report includes: the least loaded ones. Requests go to another
+/// hall only when the local one is full, and a hall has no more entries than this.
+const REMOTE_REPLICAS_MAX: usize = 64;
 
-/// Tells and asks until dropped.
+/// Sends frames and polls halls until dropped.
 pub async fn run(gateway: Rc<Gateway>) {
     loop {
         if gateway.knowledge.policy.digests {
-            gateway.look_at_halls();
+            gateway.exchange_with_halls();
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
-async fn ask_hall(gateway: Rc<Gateway>, ask: Poll) {
+async fn poll_hall(gateway: Rc<Gateway>, poll: Poll) {
     let knowledge = &gateway.knowledge;
-    let sync = knowledge.heartbeat_with(if ask.wants_peers {
+    let heartbeat = knowledge.heartbeat_with(if poll.wants_peers {
         PeerExchange::PushPullHall
     } else {
         PeerExchange::Skip
     });
-    let answer = gossip::call::<_, HallUpdate>(knowledge, ask.entry, HALL_PATH, &sync).await;
-    gateway.halls.borrow_mut().finished(&ask.hall);
+    let answer = gossip::call::<_, HallUpdate>(knowledge, poll.entry, HALL_PATH, &heartbeat).await;
+    gateway.halls.borrow_mut().finished(&poll.hall);
     match answer {
         Ok(answer) => {
-            let digest = answer.digest();
-            gossip::apply_answer(knowledge, ask.entry, answer.update);
-            match digest {
-                Ok(digest) => gateway.take_digest(&digest),
+            let status = answer.digest();
+            gossip::apply_answer(knowledge, poll.entry, answer.update);
+            match status {
+                Ok(status) => gateway.apply_hall_status(&status),
                 Err(error) => {
                     log::warn!(
-                        entry:% = ask.entry, hall = &*ask.hall;
+                        entry:% = poll.entry, hall = &*poll.hall;
                         "cannot unpack the replicas in the hall's answer: {error}"
                     );
                 }
             }
         }
         Err(error) => {
-            log::debug!(entry:% = ask.entry, hall = &*ask.hall; "hall: {error}");
+            log::debug!(entry:% = poll.entry, hall = &*poll.hall; "cannot poll the hall: {error}");
         }
     }
 }
 
-/// Returns the [`FAR_MAX`] least loaded replicas. Those that take no requests sort last: they mostly
-/// have nothing in progress and would otherwise displace replicas that can serve.
+/// Returns the [`REMOTE_REPLICAS_MAX`] least loaded replicas. Those that take no requests sort
+/// last: they mostly have nothing in progress and would otherwise displace replicas that can serve.
 fn least_loaded(mut reports: Vec<ReplicaStatus>) -> Vec<ReplicaStatus> {
     let key = |reported: &ReplicaStatus| {
         (
@@ -72,34 +73,34 @@
         )
     };
     reports.sort_by_key(key);
-    reports.truncate(FAR_MAX);
+    reports.truncate(REMOTE_REPLICAS_MAX);
     reports
 }
 
 impl Gateway {
-    fn look_at_halls(self: &Rc<Self>) {
+    fn exchange_with_halls(self: &Rc<Self>) {
         let knowledge = &self.knowledge;
         let now = knowledge.now();
         let own = knowledge.identity.address;
-        let fellows = knowledge.local_peers();
-        let place = Readers::rank(own, &fellows);
-        if !self.hub.borrow().is_active(place, now) {
+        let local_peers = knowledge.local_peers();
+        let rank = Readers::rank(own, &local_peers);
+        if !self.hub.borrow().is_active(rank, now) {
             return;
         }
-        for ask in self.due_halls(now) {
-            actix_rt::spawn(ask_hall(self.clone(), ask));
+        for poll in self.due_polls(now) {
+            actix_rt::spawn(poll_hall(self.clone(), poll));
         }
         let changed = self
             .pool
             .borrow()
             .last_availability_change(&knowledge.identity.hall);
-        let extent = self.hub.borrow_mut().due(place, changed, now);
-        if let Some(extent) = extent {
-            self.tell_hall(extent, now);
+        let content = self.hub.borrow_mut().due(rank, changed, now);
+        if let Some(content) = content {
+            self.send_frame(content, now);
         }
     }
 
-    fn due_halls(&self, now: Time) -> Vec<Poll> {
+    fn due_polls(&self, now: Time) -> Vec<Poll> {
         let knowledge = &self.knowledge;
         let peers = knowledge.peers.borrow();
         let mut rng = knowledge.rng.borrow_mut();
@@ -107,46 +108,46 @@
         halls.due(&knowledge.identity.hall, &peers, now, &mut *rng)
     }
 
-    /// Sends one frame, written once, to each other entry of the hall.
-    fn tell_hall(&self, extent: Content, now: Time) {
+    /// Sends one frame, encoded once, to each other entry of the hall.
+    fn send_frame(&self, content: Content, now: Time) {
         let knowledge = &self.knowledge;
-        let sync = knowledge.heartbeat(extent == Content::Whole { entries: true });
-        let header = self.hub.borrow_mut().next_header(sync.revisions);
+        let heartbeat = knowledge.heartbeat(content == Content::Whole { entries: true });
+        let header = self.hub.borrow_mut().next_header(heartbeat.revisions);
         let frame = Frame {
-            digests: self.digests(extent, now),
+            digests: self.statuses(content, now),
             update: knowledge.update_since(header.baseline),
             incarnation: header.incarnation,
             number: header.number,
-            heartbeat: sync,
+            heartbeat,
         };
         match pack::pack(&frame) {
             Ok(packed) => {
                 let message = Message::Frame(packed.into());
                 fanout::send(knowledge, &message, knowledge.local_peers());
             }
-            Err(error) => log::error!("frame of the hall: {error}"),
+            Err(error) => log::error!("cannot encode the frame for the hall: {error}"),
         }
     }
 
-    fn digests(&self, extent: Content, now: Time) -> Vec<HallStatus> {
+    fn statuses(&self, content: Content, now: Time) -> Vec<HallStatus> {
         let own = &self.knowledge.identity.hall;
-        match extent {
+        match content {
             Content::Since(since) => vec![HallStatus {
                 hall: own.clone(),
                 replicas: self.pool.borrow().reports_since(own, since, now),
             }],
             Content::Whole { .. } => {
                 let halls = self.pool.borrow().halls();
-                let digests = halls.into_iter().map(|hall| HallStatus {
+                let statuses = halls.into_iter().map(|hall| HallStatus {
                     replicas: self.reports(&hall, now),
                     hall,
                 });
-                digests.collect()
+                statuses.collect()
             }
         }
     }
 
-    /// How the replicas of a hall do: all of the own hall's, the best of another's.
+    /// Reports of a hall's replicas: of all in the local hall, of the least loaded in another.
     fn reports(&self, hall: &str, now: Time) -> Vec<ReplicaStatus> {
         let reports = self.pool.borrow().reports(hall, now);
         if *hall == *self.knowledge.identity.hall {
@@ -155,45 +156,45 @@
         least_loaded(reports)
     }
 
-    /// Answers how this hall's replicas do.
-    pub(super) fn hall_news(&self, sync: &Heartbeat) -> HallUpdate {
+    /// Answers another hall's poll with the state of this hall's least loaded replicas.
+    pub(super) fn hall_update(&self, heartbeat: &Heartbeat) -> HallUpdate {
         let now = self.knowledge.now();
         let hall = self.knowledge.identity.hall.clone();
         let replicas = least_loaded(self.pool.borrow().reports(&hall, now));
-        let news = self.knowledge.update_for_hall(sync);
+        let update = self.knowledge.update_for_hall(heartbeat);
         HallUpdate::new(
             HallStatus { hall, replicas },
-            news,
-            sync.takes_packed_digest,
+            update,
+            heartbeat.takes_packed_digest,
         )
     }
 
     /// Applies a frame from another entry of the hall unless it is outdated. Returns its heartbeat
     /// in both cases.
-    pub(super) fn take_frame(&self, frame: Frame) -> Heartbeat {
+    pub(super) fn apply_frame(&self, frame: Frame) -> Heartbeat {
         let (from, now) = (frame.heartbeat.from, self.knowledge.now());
         let mut hub = self.hub.borrow_mut();
         let accepted = hub.accept_frame(from, frame.incarnation, frame.number, now);
         drop(hub);
         if accepted {
-            for digest in &frame.digests {
-                self.take_digest(digest);
+            for status in &frame.digests {
+                self.apply_hall_status(status);
             }
-            if let Some(news) = frame.update {
-                self.knowledge.apply_update(from, news);
+            if let Some(update) = frame.update {
+                self.knowledge.apply_update(from, update);
             }
         }
         frame.heartbeat
     }
 
-    /// Takes how the replicas of a hall do.
-    fn take_digest(&self, digest: &HallStatus) {
+    /// Applies the reports of a hall's replicas to the pool.
+    fn apply_hall_status(&self, status: &HallStatus) {
         self.refresh_pool();
         let now = self.knowledge.now();
         let mut pool = self.pool.borrow_mut();
-        for told in &digest.replicas {
-            let age = Duration::from_millis(told.age_ms);
-            pool.report(told.address, &told.load, now - age);
+        for reported in &status.replicas {
+            let age = Duration::from_millis(reported.age_ms);
+            pool.report(reported.address, &reported.load, now - age);
         }
     }
 }
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request in: its head, its route and access, its body.
+//! Validates a caller's request: its head, route and access; and reads its body.
 
 use std::time::Duration;
 
@@ -17,50 +17,51 @@
 use crate::request::poison;
 use crate::timeout;
 
-/// When a caller should come back to a process that knows no configuration yet.
-const NOT_READY_RETRY: Duration = Duration::from_millis(300);
+/// Delay that callers are asked for while the configuration is missing or partly unreadable.
+const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Bytes of a body that tell it from others: long ones are not hashed whole.
-const FINGERPRINTED: usize = 4 << 10;
+/// Length of the body prefix that is part of the fingerprint, in bytes, to bound the cost of
+/// hashing.
+const FINGERPRINT_BODY_MAX: usize = 4 << 10;
 
-/// Notes the id of a request that is not looked into.
-pub fn name(gateway: &Gateway, request: &Request, trace: &mut Trace) {
-    if let Ok(ask) = gateway.dialect.parse(request.head()) {
-        trace.id = ask.id;
+/// Records the id of a request that is refused without further validation.
+pub fn record_id(gateway: &Gateway, request: &Request, trace: &mut Trace) {
+    if let Ok(meta) = gateway.dialect.parse(request.head()) {
+        trace.id = meta.id;
     }
 }
 
-/// Checks a request against the configuration in force, and reads its body.
+/// Validates a request against the current configuration, and reads its body.
 pub async fn prepare(
     gateway: &Gateway,
     request: &mut Request,
     trace: &mut Trace,
 ) -> Result<Job, Refusal> {
     let routing = gateway.knowledge.catalog.borrow().routing().cloned();
-    let ask = gateway.dialect.parse(request.head());
-    if let Ok(ask) = &ask {
-        trace.id.clone_from(&ask.id);
+    let meta = gateway.dialect.parse(request.head());
+    if let Ok(meta) = &meta {
+        trace.id.clone_from(&meta.id);
     }
     let Some(routing) = routing else {
         let refusal = Refusal::new(Code::NotReady, "no configuration is known yet");
-        return Err(refusal.retry_after(NOT_READY_RETRY));
+        return Err(refusal.retry_after(NOT_READY_RETRY_DELAY));
     };
-    let ask = ask.map_err(|error| Refusal::new(Code::Malformed, error.to_string()))?;
+    let meta = meta.map_err(|error| Refusal::new(Code::Malformed, error.to_string()))?;
     let limits = routing.document.limits;
-    check_head(request.head(), &ask, limits)?;
+    check_head(request.head(), &meta, limits)?;
     let route = routing
-        .route(&ask.host, &ask.path)
+        .route(&meta.host, &meta.path)
         .cloned()
         .ok_or_else(|| no_route(&routing))?;
     trace.route = route.name.clone();
-    let customer = match routing.access(&route, ask.api_key.as_deref()) {
+    let customer = match routing.access(&route, meta.api_key.as_deref()) {
         Access::Customer(customer) => Some(customer),
         Access::Anonymous => None,
         Access::Denied => {
             let text = "a valid key is needed";
             return Err(Refusal::new(Code::NoAccess, text));
         }
-        Access::Unknown => return Err(not_understood("customers")),
+        Access::Unknown => return Err(unreadable_config("customers")),
     };
     let priority = customer.and_then(|customer| customer.priority);
     let priority = priority.unwrap_or(route.priority);
@@ -73,17 +74,19 @@
     let service = route
         .service(draw)
         .cloned()
-        .ok_or_else(|| not_understood("the services of this route"))?;
-    let held = Duration::from_millis(route.timeout_ms);
-    let longest = ask.timeout.map_or(held, |deadline| deadline.min(held));
+        .ok_or_else(|| unreadable_config("the services of this route"))?;
+    let route_timeout = Duration::from_millis(route.timeout_ms);
+    let timeout = meta
+        .timeout
+        .map_or(route_timeout, |deadline| deadline.min(route_timeout));
     let arrived = trace.arrived;
-    let body = read_body(request, limits, longest, || gateway.knowledge.now()).await?;
-    let fingerprint = fingerprint(&ask, body.as_deref());
-    let name = poison_name(request.head(), &ask, customer.as_deref(), body.as_deref());
-    trace.name = Some(name);
+    let body = read_body(request, limits, timeout, || gateway.knowledge.now()).await?;
+    let fingerprint = fingerprint(&meta, body.as_deref());
+    let request_hash = request_hash(request.head(), &meta, customer.as_deref(), body.as_deref());
+    trace.request_hash = Some(request_hash);
     Ok(Job {
         head: copy_head(request.head()),
-        ask,
+        meta,
         body,
         route,
         service,
@@ -92,25 +95,25 @@
         priority,
         residency,
         arrived,
-        deadline: arrived + longest,
+        deadline: arrived + timeout,
         fingerprint,
-        name,
+        request_hash,
     })
 }
 
-/// What stays the same when the caller tries again: everything but the try's id, its deadline, and how
-/// much of an answer the caller has.
-fn fingerprint(ask: &Metadata, body: Option<&[u8]>) -> Fingerprint {
+/// The fingerprint of a request, which is the same for each retry: it leaves out the try's id, the
+/// deadline, and how much of a response the caller already has.
+fn fingerprint(meta: &Metadata, body: Option<&[u8]>) -> Fingerprint {
     let body = body.unwrap_or_default();
     let length = (body.len() as u64).to_le_bytes();
-    let work = ask.inference.as_ref();
+    let work = meta.inference.as_ref();
     let number = |of: fn(&Inference) -> u32| work.map_or(0, of).to_le_bytes();
     let (prompt, output) = (number(|work| work.prompt), number(|work| work.output_max));
     let hint = number(|work| work.output_hint.unwrap_or(0));
     Fingerprint::of([
-        ask.host.as_bytes(),
-        ask.path.as_bytes(),
-        ask.api_key.as_deref().unwrap_or_default().as_bytes(),
+        meta.host.as_bytes(),
+        meta.path.as_bytes(),
+        meta.api_key.as_deref().unwrap_or_default().as_bytes(),
         work.and_then(|work| work.prefix.as_deref())
             .unwrap_or_default()
             .as_bytes(),
@@ -118,35 +121,36 @@
         &output,
         &hint,
         &length,
-        &body[..body.len().min(FINGERPRINTED)],
+        &body[..body.len().min(FINGERPRINT_BODY_MAX)],
     ])
 }
 
-/// What stays the same whenever the request comes. A customer may have several keys.
-fn poison_name(
+/// The hash of the request for counting crashes of replicas: the same for each retry, and for
+/// all API keys of a customer.
+fn request_hash(
     head: &RequestHead,
-    ask: &Metadata,
+    meta: &Metadata,
     customer: Option<&str>,
     body: Option<&[u8]>,
 ) -> poison::RequestHash {
     let path = head
         .uri
         .path_and_query()
-        .map_or(&*ask.path, |path| path.as_str());
-    let caller = customer.or(ask.api_key.as_deref()).unwrap_or_default();
-    poison::RequestHash::of(&ask.host, path, caller, body.unwrap_or_default())
+        .map_or(&*meta.path, |path| path.as_str());
+    let caller = customer.or(meta.api_key.as_deref()).unwrap_or_default();
+    poison::RequestHash::of(&meta.host, path, caller, body.unwrap_or_default())
 }
 
-/// A part of the configuration could not be read, and this request may need it: nobody may tell its
-/// caller that it is not allowed.
-fn not_understood(part: &str) -> Refusal {
+/// Refuses a request that may depend on an unreadable part of the configuration. The caller must
+/// not be told that access is denied, as that is not known.
+fn unreadable_config(part: &str) -> Refusal {
     let text = format!("{part} of the configuration could not be read");
-    Refusal::new(Code::NotReady, text).retry_after(NOT_READY_RETRY)
+    Refusal::new(Code::NotReady, text).retry_after(NOT_READY_RETRY_DELAY)
 }
 
 fn no_route(routing: &Routing) -> Refusal {
     if routing.document.gaps.routes {
-        return not_understood("routes");
+        return unreadable_config("routes");
     }
     Refusal::new(Code::NoRoute, "no route takes this host and path")
 }
@@ -159,7 +163,7 @@
     copy
 }
 
-fn check_head(head: &RequestHead, ask: &Metadata, limits: Limits) -> Result<(), Refusal> {
+fn check_head(head: &RequestHead, meta: &Metadata, limits: Limits) -> Result<(), Refusal> {
     let line = head
         .uri
         .path_and_query()
@@ -172,7 +176,7 @@
         let text = format!("the head is longer than {} bytes", limits.head_bytes);
         return Err(Refusal::new(Code::HeadTooLong, text));
     }
-    if ask
+    if meta
         .body_length
         .is_some_and(|length| length > limits.body_bytes as u64)
     {
@@ -185,7 +189,7 @@
 async fn read_body(
     request: &mut Request,
     limits: Limits,
-    longest: Duration,
+    timeout: Duration,
     now: impl Fn() -> Time,
 ) -> Result<Option<Bytes>, Refusal> {
     let none = matches!(request.payload(), actix_http::Payload::None);
@@ -193,7 +197,7 @@
         return Ok(None);
     }
     let body = http::read_request(request, limits.body_bytes);
-    match timeout::within(now, longest, body).await {
+    match timeout::within(now, timeout, body).await {
         None => Err(Refusal::new(
             Code::BodyTooSlow,
             "the body did not come in time",
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,9 +1,10 @@
-//! Finds a place for a request: asks the processes beside replicas, or goes by what is known.
+//! Finds a replica for a request, by asking sidecars for a lease or from what the entry knows. A
+//! lease reserves a place in the replica's engine or queue.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::course::Course;
+use super::dispatch::Dispatch;
 use crate::clock::Time;
 use crate::exchange::Note;
 use crate::knowledge::gossip;
@@ -12,41 +13,43 @@
 use crate::route::search::{Reply, Search, Step};
 use crate::timeout;
 
-/// How long the process beside a replica may take to answer. In a hall that is 0.2 ms, and 60 ms are
-/// two chunks of weights on its link: what takes longer would hold up the request as well.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(60);
+/// Timeout for a sidecar's answer over a used connection. Within a hall an answer takes 0.2 ms; 60
+/// ms is the time of two chunks of weights on the sidecar's link. A link that holds an answer up
+/// for longer would hold up the request as well.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// How long it may take on a new connection, after a used one has brought nothing: three times the
-/// longest way between two halls and back.
-const ANSWERS_AGAIN: Duration = Duration::from_millis(30);
+/// Timeout for the answer over a new connection after the used one brought none: three times the
+/// longest round trip between two halls.
+const RENEWED_ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// What was found for a request.
+/// The result of the search for a lease.
 pub struct Found {
-    /// The replica to send it to, or the best that is known.
+    /// The replica to send the request to, or else the best known one.
     pub choice: Result<Choice, Unavailable>,
-    /// Whether a place is kept there.
-    pub given: bool,
-    /// Whether the service is mostly idle, as far as is known.
+    /// Whether a lease was granted there.
+    pub leased: bool,
+    /// Whether fewer than half of the service's slots are taken, as far as the entry knows.
     pub idle: bool,
-    /// Processes that were asked.
+    /// Number of sidecars that were asked.
     pub asked: u32,
-    /// Time since the caller's first try, if one of them knows that it was refused before.
+    /// Time since the caller's first try, if a sidecar knows that the request was refused before.
     pub tried_before: Option<Duration>,
 }
 
-/// What a process beside a replica answered.
+/// A sidecar's answer.
 #[derive(Default)]
-struct Asked {
-    /// The replica, if it has a place.
+struct Offer {
+    /// The replica, if a lease was granted.
     choice: Option<Choice>,
-    /// Time since the caller's first try, if it is known there.
+    /// Time since the caller's first try, if the sidecar knows it.
     tried_before: Option<Duration>,
 }
 
-impl Course {
-    /// Asks up to `asks` processes for a place from which the first event comes within `limit`.
-    pub(super) async fn find(&self, asks: u32, limit: Duration) -> Found {
-        let mut search = Search::new(asks, limit);
+impl Dispatch {
+    /// Asks up to `lease_requests` sidecars for a lease with which the first event is expected
+    /// within `limit`.
+    pub(super) async fn find_replica(&self, lease_requests: u32, limit: Duration) -> Found {
+        let mut search = Search::new(lease_requests, limit);
         let mut tried_before = None;
         loop {
             let (key, known) = match search.step() {
@@ -67,7 +70,7 @@
                     }
                 }
             };
-            let Some((process, limits)) = self.process_beside(key, limit) else {
+            let Some((sidecar, limits)) = self.sidecar_with_limits(key, limit) else {
                 let known = known.unwrap_or_else(|| self.choose(search.probed()));
                 return self.best_known(&search, known, tried_before);
             };
@@ -77,13 +80,15 @@
             } else {
                 limits.immediate
             };
-            let ask = self.place_ask(key, process, at, limits.queued);
-            let answer = self.ask(&mut search, key, process, &ask).await;
+            let request = self.build_lease_request(key, sidecar, at, limits.queued);
+            let answer = self
+                .request_lease(&mut search, key, sidecar, &request)
+                .await;
             tried_before = tried_before.max(answer.tried_before);
             if let Some(choice) = answer.choice {
                 return Found {
                     choice: Ok(choice),
-                    given: true,
+                    leased: true,
                     idle: false,
                     asked: search.probed().len() as u32 + 1,
                     tried_before,
@@ -92,8 +97,9 @@
         }
     }
 
-    /// The best replica without a place: one of those that answered, if any did; but if most places
-    /// of the service are free, the one that is `known` beside those.
+    /// The best replica without a lease: the one with the earliest first event according
+    /// to the sidecars that answered; if none did, or most slots of the service are free, the one
+    /// that is `known` to be best.
     fn best_known(
         &self,
         search: &Search,
@@ -102,27 +108,27 @@
     ) -> Found {
         let (known, idle) = known;
         let now = self.gateway.knowledge.now();
-        let least = search.best().filter(|_| !idle);
-        // Its process knows better than this entry what it has to do.
-        let least = least.and_then(|(expected, key)| {
-            let choice = self.expects(key, now)?;
+        let best = search.best().filter(|_| !idle);
+        // The sidecar's estimate is better than this entry's: it knows the replica's actual load.
+        let best = best.and_then(|(expected, key)| {
+            let choice = self.expected_at(key, now)?;
             Some(Choice { expected, ..choice })
         });
         Found {
-            choice: least.map_or(known, Ok),
-            given: false,
+            choice: best.map_or(known, Ok),
+            leased: false,
             idle,
             asked: search.probed().len() as u32,
             tried_before,
         }
     }
 
-    /// The question for a place at the replica `key`, at once or in the queue, by its limit `at`, where `whole` is that of
-    /// the request as such.
-    fn place_ask(
+    /// Builds the request for a lease at the replica `key`. `at` is the limit on the first event
+    /// for this lease, `whole` that of the caller\'s request itself.
+    fn build_lease_request(
         &self,
         key: Key,
-        process: SocketAddr,
+        sidecar: SocketAddr,
         at: Duration,
         whole: Duration,
     ) -> lease::Request {
@@ -131,37 +137,43 @@
         let demand = self.job.demand();
         let known = self.first_try.is_some();
         let (_, late) = self.limits();
-        let told = gateway
-            .refusals
+        let pending = gateway
+            .rejections
             .borrow_mut()
-            .take_pending(process, knowledge.now());
+            .take_pending(sidecar, knowledge.now());
         lease::Request {
             from: Some(knowledge.identity.address),
             prompt: demand.prompt,
             output: demand.output,
             limit_ms: at.as_millis() as u64,
             queue_spread: knowledge.policy.queue_spread,
-            // Whose first try is known has its limit already.
+            // If the first try is known, the limit already takes it into account.
             request: (!known).then_some(self.job.fingerprint),
             whole_ms: whole.as_millis() as u64,
             late_ms: late.as_millis() as u64,
-            refused: told,
-            cold: self.ration(key),
+            refused: pending,
+            cold: self.throttle(key),
         }
     }
 
-    /// Asks the process beside the replica `key`.
-    async fn ask(
+    /// Asks the sidecar of the replica `key` for a lease.
+    async fn request_lease(
         &self,
         search: &mut Search,
         key: Key,
-        process: SocketAddr,
-        ask: &lease::Request,
-    ) -> Asked {
+        sidecar: SocketAddr,
+        request: &lease::Request,
+    ) -> Offer {
         let knowledge = &self.gateway.knowledge;
-        let (within, note) = ((ANSWERS_WITHIN, ANSWERS_AGAIN), Note::default());
-        let answer =
-            gossip::call_within::<_, Response>(knowledge, process, lease::PATH, ask, within, &note);
+        let (within, note) = ((ANSWER_TIMEOUT, RENEWED_ANSWER_TIMEOUT), Note::default());
+        let answer = gossip::call_within::<_, Response>(
+            knowledge,
+            sidecar,
+            lease::PATH,
+            request,
+            within,
+            &note,
+        );
         let answer = answer.await;
         let now = knowledge.now();
         match answer {
@@ -174,82 +186,84 @@
                     let mut pool = self.gateway.pool.borrow_mut();
                     pool.report(address, &answer.load, now);
                 }
-                self.gateway.hear_refused(&answer.refused, now);
+                self.gateway.merge_rejections(&answer.refused, now);
                 let tried_before = answer.tried_before_ms.map(Duration::from_millis);
                 if answer.dealt_out {
                     self.gateway.pool.borrow_mut().mark_cold_exhausted(key, now);
                 }
                 let choice = self
-                    .expects_by(key, &answer, now)
+                    .expected_by_sidecar(key, &answer, now)
                     .filter(|_| !answer.dealt_out);
                 if answer.given && choice.is_some() {
-                    return Asked {
+                    return Offer {
                         choice,
                         tried_before,
                     };
                 }
-                let said =
+                let reply =
                     choice.map_or(Reply::Unavailable, |choice| Reply::Queued(choice.expected));
-                search.record(key, said);
-                Asked {
+                search.record(key, reply);
+                Offer {
                     choice: None,
                     tried_before,
                 }
             }
             Err(error) => {
                 log::info!(
-                    request = self.job.ask.id.as_str(), process:% = process, connection:% = note;
-                    "no place: {error}"
+                    request = self.job.meta.id.as_str(), process:% = sidecar, connection:% = note;
+                    "lease request failed: {error}"
                 );
-                let silent = matches!(
+                let timed_out = matches!(
                     error,
                     gossip::Error::Patience(timeout::Error::NoAnswer { .. })
                 );
                 self.gateway
                     .pool
                     .borrow_mut()
-                    .mark_unresponsive(key, silent, now);
-                if silent {
+                    .mark_unresponsive(key, timed_out, now);
+                if timed_out {
                     search.timed_out(key);
                 } else {
                     search.record(key, Reply::Unavailable);
                 }
-                Asked::default()
+                Offer::default()
             }
         }
     }
 
-    /// The choice of the replica `key`, whose process expects what `answer` says: it knows its passes, and
-    /// this entry what is known of the link to it.
-    fn expects_by(&self, key: Key, answer: &Response, now: Time) -> Option<Choice> {
-        let choice = self.expects(key, now)?;
-        let told = answer.expected_ms.map(Duration::from_millis);
-        let expected = told.and_then(|told| self.corrected(key, told, now));
+    /// The choice of the replica `key` with the estimate from the sidecar's `answer`, which is
+    /// based on the engine's actual passes, corrected by what this entry knows of the link.
+    fn expected_by_sidecar(&self, key: Key, answer: &Response, now: Time) -> Option<Choice> {
+        let choice = self.expected_at(key, now)?;
+        let reported = answer.expected_ms.map(Duration::from_millis);
+        let expected = reported.and_then(|reported| self.corrected(key, reported, now));
         Some(Choice {
             expected: expected.unwrap_or(choice.expected),
             ..choice
         })
     }
 
-    fn corrected(&self, key: Key, told: Duration, now: Time) -> Option<Duration> {
+    fn corrected(&self, key: Key, reported: Duration, now: Time) -> Option<Duration> {
         let pool = self.gateway.pool.borrow();
-        self.with_ask(&[], |ask| pool.corrected_estimate(key, ask, told, now))
+        self.with_query(&[], |query| {
+            pool.corrected_estimate(key, query, reported, now)
+        })
     }
 
-    fn expects(&self, key: Key, now: Time) -> Option<Choice> {
-        self.with_ask(&[], |ask| {
-            self.gateway.pool.borrow().estimate(key, ask, now)
+    fn expected_at(&self, key: Key, now: Time) -> Option<Choice> {
+        self.with_query(&[], |query| {
+            self.gateway.pool.borrow().estimate(key, query, now)
         })
     }
 
-    /// Where the process beside a replica is asked, and the limits that it is told; `None` if
-    /// nobody there gives places, or did not answer lately.
-    fn process_beside(&self, key: Key, limit: Duration) -> Option<(SocketAddr, Limits)> {
-        let process = self.gateway.process_beside(key)?;
+    /// The sidecar of a replica and the limits for its estimate; `None` if it grants no leases or
+    /// has recently failed to answer.
+    fn sidecar_with_limits(&self, key: Key, limit: Duration) -> Option<(SocketAddr, Limits)> {
+        let sidecar = self.gateway.sidecar_of(key)?;
         let now = self.gateway.knowledge.now();
         let pool = self.gateway.pool.borrow();
         let left = limit.saturating_sub(now.since(self.job.arrived));
-        let limits = self.with_ask(&[], |ask| pool.limits(key, ask, left, now))?;
-        Some((process, limits))
+        let limits = self.with_query(&[], |query| pool.limits(key, query, left, now))?;
+        Some((sidecar, limits))
     }
 }
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -1,4 +1,4 @@
-//! What is counted and written down of one request.
+//! The log record of one request.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,62 +8,62 @@
 use crate::clock::Time;
 use crate::request::poison;
 
-/// What was expected of a replica when it was chosen for a request.
+/// What was expected of the replica when it was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Expected {
-    /// When it was chosen, from the request's arrival.
+pub struct Estimate {
+    /// Time from the request's arrival to the choice.
     pub chosen: Duration,
-    /// Time until the first event.
+    /// Expected time to the first event.
     pub first: Duration,
-    /// Requests that it was known to have.
+    /// Requests that the replica was known to have.
     pub requests: u32,
 }
 
-/// Counts a request for as long as it lives, and writes down how it ended.
+/// Collects what is known about a request; when dropped, logs it and updates the metrics.
 pub struct Trace {
     gateway: Rc<Gateway>,
-    /// Its id.
+    /// The id of the request.
     pub id: String,
-    /// What stays the same of it whenever it comes, once that is known.
-    pub name: Option<poison::RequestHash>,
-    /// Its route.
+    /// The hash of the request for counting crashes of replicas, once the body was read.
+    pub request_hash: Option<poison::RequestHash>,
+    /// The name of its route.
     pub route: Arc<str>,
-    /// The replica that answers, or the last that was tried.
+    /// The replica that responds, or the last one tried.
     pub replica: Option<Arc<str>>,
-    /// What was expected of that replica when it was chosen.
-    pub expected: Option<Expected>,
-    /// Replicas that received it.
+    /// What was expected of that replica.
+    pub expected: Option<Estimate>,
+    /// Number of replicas that received the request.
     pub sent: u32,
-    /// Processes beside replicas that were asked for a place.
+    /// Number of sidecars that were asked for a lease.
     pub asked: u32,
-    /// Whether the last one of them gave one.
-    pub place: bool,
-    /// Time to the first event of its stream.
+    /// Whether the last search was granted a lease.
+    pub leased: bool,
+    /// Time from arrival to the first event of the stream.
     pub first: Option<Duration>,
-    /// Longest pause between two events of its stream.
+    /// Longest pause between two events of the stream.
     pub gap: Duration,
-    /// Whether its caller was refused before, and came back.
+    /// Whether this is a retry of a request that was refused before.
     pub returned: bool,
-    /// Why it ended as it did.
+    /// Why the request ended that way.
     pub reason: String,
-    /// When its head came.
+    /// When the head of the request arrived.
     pub arrived: Time,
     outcome: &'static str,
 }
 
 impl Trace {
-    /// A request whose head came.
+    /// Begins the record of a request whose head has arrived.
     pub fn begin(gateway: &Rc<Gateway>, arrived: Time) -> Self {
         Self {
             gateway: gateway.clone(),
             id: String::new(),
-            name: None,
+            request_hash: None,
             route: "".into(),
             replica: None,
             expected: None,
             sent: 0,
             asked: 0,
-            place: false,
+            leased: false,
             first: None,
             gap: Duration::ZERO,
             returned: false,
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Says how the request ended.
-    pub fn ended(&mut self, outcome: &'static str) {
+    /// Sets how the request ended.
+    pub fn set_outcome(&mut self, outcome: &'static str) {
         self.outcome = outcome;
     }
 
-    /// Time since the request's head came.
+    /// Time since the request's head arrived.
     pub fn elapsed(&self) -> Duration {
         self.gateway.knowledge.now().since(self.arrived)
     }
@@ -92,20 +92,20 @@
     fn drop(&mut self) {
         let gateway = &self.gateway;
         let took = self.elapsed();
-        gateway.instruments.request(self.outcome, took);
+        gateway.instruments.record_request(self.outcome, took);
         let catalog = gateway.knowledge.catalog.borrow();
         let version = catalog
             .routing()
             .map_or(0, |routing| routing.document.version);
         log::info!(
             request = self.id.as_str(),
-            name = self.name.map(|name| name.to_string()).unwrap_or_default(),
+            name = self.request_hash.map(|hash| hash.to_string()).unwrap_or_default(),
             route = &*self.route,
             outcome = self.outcome,
             replica = self.replica.as_deref().unwrap_or_default(),
             sent = self.sent,
             asked = self.asked,
-            place = self.place,
+            place = self.leased,
             ms = took.as_millis() as u64,
             chosen_ms = millis(self.expected.map(|expected| expected.chosen)),
             expected_ms = millis(self.expected.map(|expected| expected.first)),
--- a/tests/life.rs
+++ b/tests/life.rs
@@ -1,6 +1,7 @@
-//! A replica may start again under the id that it had. It then holds nothing of before, and news of its
-//! earlier life arrives late, through the list, reports and other entries, in any order. Whatever was
-//! believed belongs to one life: a later one replaces it whole.
+//! Guards against using what is known of an earlier instance for a later one. A replica may restart
+//! under the same id, as a new instance. It has then lost its weights, but late updates about its
+//! earlier instance still arrive, through the list, reports and other entries, in any order. All
+//! state belongs to one instance, and a later instance replaces it completely.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 
 const NOW: Time = Time::from_millis(50_000);
 
-/// The starts of the two lives, in milliseconds since the Unix epoch.
+/// Start times of the two instances, in milliseconds since the Unix epoch.
 const FIRST: u64 = 1_764_720_000_000;
 const SECOND: u64 = FIRST + 700;
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// An entry's picture: what it believes of the list, and its pool.
+/// The state of an entry: what it believes of the list, and its pool.
 struct Entry {
     catalog: Catalog,
     pool: Pool,
@@ -86,7 +87,7 @@
         effect
     }
 
-    fn ask(&self) -> Query<'_> {
+    fn query(&self) -> Query<'_> {
         Query {
             service: "tutor",
             model: Some(ModelQuery {
@@ -110,7 +111,7 @@
 
     fn choose(&self) -> Result<Choice, Unavailable> {
         self.pool
-            .choose(self.ask(), NOW, &mut SmallRng::seed_from_u64(1))
+            .choose(self.query(), NOW, &mut SmallRng::seed_from_u64(1))
     }
 
     fn key(&self) -> Key {
@@ -118,27 +119,27 @@
     }
 }
 
-/// News of the replica, as it may arrive at an entry.
+/// An update about the replica, as it may arrive at an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum News {
-    /// The list's entry of the first life, written early.
+enum Update {
+    /// The record of the first instance in the list, written early.
     ListedFirst,
-    /// A heartbeat of the first life, written after the second one began.
+    /// The record of the first instance, written by a heartbeat after the second one started.
     ListedLate,
-    /// The list's entry of the second life.
+    /// The record of the second instance in the list.
     ListedSecond,
-    /// The process beside it tells of the first life.
+    /// The sidecar's report about the first instance.
     ReportedFirst,
-    /// It tells of the second life.
+    /// The sidecar's report about the second instance.
     ReportedSecond,
-    /// Another entry tells what it was told of the first life.
+    /// Another entry passes on a report about the first instance.
     DigestLate,
 }
 
-use News::*;
+use Update::*;
 
-impl News {
-    fn arrives(self, entry: &mut Entry) {
+impl Update {
+    fn apply(self, entry: &mut Entry) {
         let address = "10.0.0.1:80".parse().unwrap();
         match self {
             ListedFirst => drop(entry.learn(10, record(FIRST, holding(1)))),
@@ -153,12 +154,12 @@
         }
     }
 
-    fn tells_second(self) -> bool {
+    fn is_second(self) -> bool {
         matches!(self, ListedSecond | ReportedSecond)
     }
 }
 
-fn orders(rest: &[News]) -> Vec<Vec<News>> {
+fn permutations(rest: &[Update]) -> Vec<Vec<Update>> {
     if rest.is_empty() {
         return vec![Vec::new()];
     }
@@ -166,7 +167,7 @@
     for (place, &first) in rest.iter().enumerate() {
         let mut others = rest.to_vec();
         others.remove(place);
-        for mut order in orders(&others) {
+        for mut order in permutations(&others) {
             order.insert(0, first);
             all.push(order);
         }
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn in_every_order_of_news_a_later_life_is_never_used_for_what_an_earlier_one_held() {
+fn a_later_instance_is_never_used_for_weights_of_an_earlier_one_in_any_order_of_updates() {
     let all = [
         ListedFirst,
         ListedLate,
@@ -184,19 +185,19 @@
         ReportedSecond,
         DigestLate,
     ];
-    for order in orders(&all) {
+    for order in permutations(&all) {
         let mut entry = Entry::new();
-        let mut told = false;
-        for news in &order {
+        let mut second_known = false;
+        for update in &order {
             let listed = entry.catalog.replicas().contains_key("i-1");
-            // A report about a replica that is not listed yet is no news of it.
-            told |= news.tells_second() && (listed || *news == ListedSecond);
-            news.arrives(&mut entry);
-            if told {
+            // A report about a replica that is not listed yet has no effect.
+            second_known |= update.is_second() && (listed || *update == ListedSecond);
+            update.apply(&mut entry);
+            if second_known {
                 assert_eq!(
                     entry.choose(),
                     Err(Unavailable::NoneEligible),
-                    "{order:?} after {news:?}"
+                    "{order:?} after {update:?}"
                 );
             }
         }
@@ -214,15 +215,15 @@
         );
         assert!(
             entry.choose().is_ok(),
-            "{order:?}: it serves once it holds something"
+            "{order:?}: it serves once it holds weights"
         );
     }
 }
 
 #[test]
-fn the_order_of_lists_makes_no_difference_to_what_is_told_on() {
+fn the_record_that_is_passed_on_does_not_depend_on_the_order_of_lists() {
     let (early, late) = (record(FIRST, holding(1)), record(SECOND, Vec::new()));
-    let learnt = |order: [(u64, &Record); 2]| {
+    let record_after = |order: [(u64, &Record); 2]| {
         let mut catalog = Catalog::new(true);
         for (revision, record) in order {
             let fact = Fact::Replica(record.clone());
@@ -231,19 +232,20 @@
         catalog.replicas()["i-1"].record.clone()
     };
     for (first, second) in [(10, 12), (12, 10)] {
-        assert_eq!(learnt([(first, &early), (second, &late)]), late);
-        assert_eq!(learnt([(second, &late), (first, &early)]), late);
+        assert_eq!(record_after([(first, &early), (second, &late)]), late);
+        assert_eq!(record_after([(second, &late), (first, &early)]), late);
     }
 }
 
-/// Everything that an entry believes of one life, and that another would suffer from.
+/// Guards against state of one instance that would harm another: requests in flight, penalties,
+/// lags, denials, connections.
 #[test]
-fn requests_penalties_lags_denials_and_connections_end_with_their_life() {
+fn requests_penalties_lags_denials_and_connections_end_with_their_instance() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let address = "10.0.0.1:80".parse().unwrap();
     entry.pool.report(address, &load(FIRST, holding(1)), NOW);
-    let demand = entry.ask().demand;
+    let demand = entry.query().demand;
     let first = entry.key();
     let numbers: Vec<u64> = (0..8)
         .map(|_| entry.pool.begin(first, demand, Duration::ZERO, NOW))
@@ -261,13 +263,13 @@
     let second = entry.key();
     assert_ne!(
         second, first,
-        "whoever tried the first life may try the second"
+        "requests that were tried at the first instance may be tried at the second"
     );
     let choice = entry.choose().unwrap();
     assert_eq!((choice.key, choice.requests), (second, 0));
     let alone = choice.expected;
 
-    // What the first life's requests and its process still bring changes nothing.
+    // Late events of the first instance's requests and a late report about it change nothing.
     let late = NOW + Duration::from_millis(900);
     for number in numbers {
         entry
@@ -284,13 +286,13 @@
     );
     assert!(
         !entry.pool.grants_leases(second, late),
-        "its process has not told yet"
+        "its sidecar has not reported yet"
     );
 }
 
 #[test]
-fn where_replicas_tell_their_lives_an_entry_without_one_names_none_and_the_others_hold() {
-    let stranger = Record {
+fn a_record_without_start_time_is_ignored_if_others_of_its_service_have_one() {
+    let without_start = Record {
         id: "i-2".into(),
         address: "10.0.0.9:80".parse().unwrap(),
         ..record(0, holding(1))
@@ -304,16 +306,16 @@
         let ids = ids.map(|&key| entry.pool.get(key).unwrap().record.id.clone());
         ids.collect::<Vec<Arc<str>>>()
     };
-    let sound = record(FIRST, holding(1));
-    assert_eq!(listed([&stranger, &sound]), ["i-1".into()]);
-    assert_eq!(listed([&sound, &stranger]), ["i-1".into()]);
-    // Where nobody tells, all are used.
+    let with_start = record(FIRST, holding(1));
+    assert_eq!(listed([&without_start, &with_start]), ["i-1".into()]);
+    assert_eq!(listed([&with_start, &without_start]), ["i-1".into()]);
+    // If no record of the service has a start time, all are used.
     let silent = record(0, holding(1));
-    assert_eq!(listed([&silent, &stranger]).len(), 2);
+    assert_eq!(listed([&silent, &without_start]).len(), 2);
 }
 
 #[test]
-fn a_report_is_about_the_replica_of_its_life_where_two_are_listed_at_one_address() {
+fn a_report_applies_to_the_replica_of_its_instance_if_two_are_listed_at_one_address() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let next = Record {
@@ -332,20 +334,21 @@
     assert_eq!((holds("i-1"), holds("i-2")), (Some(1), Some(2)));
 }
 
-/// What shows, beside a connection that is refused, that a run broke with its replica and not with its connection.
+/// What shows, besides a refused connection, that a run broke because its replica is gone, and not
+/// because its connection failed.
 #[test]
-fn a_life_is_over_when_a_later_one_is_known_or_nobody_is_found_there() {
+fn an_instance_is_over_when_a_later_one_is_known_or_the_replica_is_dead() {
     let mut entry = Entry::new();
     entry.learn(10, record(FIRST, holding(1)));
     let address = "10.0.0.1:80".parse().unwrap();
     let known = entry.pool.ids_at(address);
     let over = |entry: &Entry| entry.pool.superseded(address, FIRST, &known, NOW);
     entry.pool.report(address, &load(FIRST, holding(1)), NOW);
-    assert!(!over(&entry), "it is there");
+    assert!(!over(&entry), "it is alive");
 
     let mut reborn = Entry::new();
     reborn.learn(12, record(SECOND, holding(1)));
-    assert!(over(&reborn), "it started again under its id");
+    assert!(over(&reborn), "it restarted under its id");
 
     let other = Record {
         id: "i-2".into(),
@@ -361,5 +364,5 @@
         ..load(FIRST, Vec::new())
     };
     dead.pool.report(address, &nobody, NOW);
-    assert!(over(&dead), "the process beside it finds nobody");
+    assert!(over(&dead), "its sidecar reports it dead");
 }
