--- a/src/sidecar/engine.rs
+++ b/src/sidecar/engine.rs
@@ -1,4 +1,4 @@
-//! What a replica offers to the process beside it.
+//! The interface of a replica towards its sidecar.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,84 +11,84 @@
 use crate::member::replica::{self, LoadedModel};
 use crate::route::notice::Notice;
 
-/// What a replica reports of itself.
+/// A replica's report about itself.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct State {
-    /// When it started, in milliseconds since the Unix epoch; 0 if it does not tell.
+    /// Its start time in milliseconds since the Unix epoch; 0 if not reported.
     pub born: u64,
-    /// The models that it holds.
+    /// The models that it has loaded.
     pub models: Vec<LoadedModel>,
-    /// Whether it carries an order out.
+    /// Whether it is executing an order.
     pub busy: bool,
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests in the queue.
     pub queued: u32,
-    /// Factor on its times; above 1 it is slow.
+    /// Factor on its times; slow above 1.
     pub pace: f64,
-    /// Whether it said with its answer that it leaves.
+    /// Whether its answer contained a notice that it is leaving.
     pub leaving: bool,
 }
 
 impl State {
-    /// The version of `model` that it holds.
+    /// Returns the loaded version of `model`, if any.
     pub fn loaded(&self, model: &str) -> Option<u64> {
         replica::version_of(&self.models, model)
     }
 }
 
-/// How a replica took an order.
+/// A replica's response to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It carries the order out.
+    /// It executes the order.
     Accepted,
-    /// It holds what was ordered already.
+    /// It has already loaded the ordered version.
     AlreadyLoaded,
-    /// The order does not fit its state.
+    /// It can't execute the order in its current state.
     Conflict,
 }
 
-/// Why a replica did not answer.
+/// Error of a call to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The exchange failed.
-    #[error("replica is out of reach: {reason}")]
+    #[error("replica is unreachable: {reason}")]
     Unreachable {
-        /// What happened.
+        /// The reported error.
         reason: String,
     },
-    /// It turned the question away, and wants nothing for so long.
-    #[error("replica wants rest for {} ms", backoff.as_millis())]
+    /// The replica rejected the call and asked for a backoff.
+    #[error("replica asked for a backoff of {} ms", backoff.as_millis())]
     Rejected {
-        /// How long.
+        /// Time for which it accepts no calls.
         backoff: Duration,
     },
-    /// It answered with an unexpected status.
-    #[error("replica answered {status}")]
+    /// The replica answered with an unexpected status.
+    #[error("replica answered with status {status}")]
     Status {
         /// The HTTP status.
         status: u16,
     },
-    /// The answer makes no sense.
-    #[error("replica's answer is not understood: {reason}")]
+    /// The answer can't be decoded.
+    #[error("cannot decode the replica's answer: {reason}")]
     Malformed {
-        /// What the codec reported.
+        /// The error of the decoder.
         reason: String,
     },
 }
 
-/// A replica, asked from its own machine.
+/// A replica, as seen from its own machine.
 pub trait Engine {
-    /// Where it takes requests from its own machine.
+    /// The address at which it accepts requests from its own machine.
     fn address(&self) -> SocketAddr;
 
-    /// What an answer of `status` and `headers` tells of what it wants.
+    /// Returns the notice in an answer with this `status` and `headers`.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
 
-    /// How it does.
+    /// Fetches its state.
     fn state(&self) -> LocalBoxFuture<'_, Result<State, Error>>;
 
-    /// A staged chunk, if there is one.
+    /// Fetches a staged chunk, if there is one.
     fn staged<'a>(
         &'a self,
         model: &'a str,
@@ -103,7 +103,7 @@
         bytes: Bytes,
     ) -> LocalBoxFuture<'a, Result<(), Error>>;
 
-    /// Orders it to take what is staged, once it has finished what runs.
+    /// Orders it to load the staged version once running requests have finished.
     fn load<'a>(
         &'a self,
         model: &'a str,
