--- a/src/sidecar/rtt.rs
+++ b/src/sidecar/rtt.rs
@@ -1,50 +1,50 @@
-//! How long exchanges with entries take, as a measure of the box's link.
+//! Estimates the delay of the box's link from the round-trip times of exchanges with entries.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::clock::Time;
 
-/// How long a finished exchange counts.
-const RECENT: Duration = Duration::from_millis(1_500);
+/// Length of the sliding window.
+const LENGTH: Duration = Duration::from_millis(1_500);
 
-/// Exchanges that are remembered.
-const EXCHANGES_MAX: usize = 256;
+/// Maximum number of samples in the window.
+const SAMPLES_MAX: usize = 256;
 
-/// The exchanges of late.
+/// A sliding window over the round-trip times of finished exchanges.
 #[derive(Debug)]
 pub struct Window {
-    finished: VecDeque<(Time, Duration)>,
-    last: Time,
+    samples: VecDeque<(Time, Duration)>,
+    last_sample: Time,
 }
 
 impl Window {
-    /// No exchange yet, as of `now`.
+    /// Creates an empty window at `now`.
     pub fn new(now: Time) -> Self {
         Self {
-            finished: VecDeque::new(),
-            last: now,
+            samples: VecDeque::new(),
+            last_sample: now,
         }
     }
 
-    /// An exchange that took so long has brought its answer.
-    pub fn record(&mut self, took: Duration, now: Time) {
-        self.last = now;
-        self.finished.push_back((now, took));
-        if self.finished.len() > EXCHANGES_MAX {
-            self.finished.pop_front();
+    /// Records that an exchange was answered at `now`, after `rtt`.
+    pub fn record(&mut self, rtt: Duration, now: Time) {
+        self.last_sample = now;
+        self.samples.push_back((now, rtt));
+        if self.samples.len() > SAMPLES_MAX {
+            self.samples.pop_front();
         }
     }
 
-    /// The shortest exchange of late: a link that is held up lengthens all of them, an entry that
-    /// has gone only its own. Without any, the time since the last one.
+    /// Returns the minimum of the window, since a congested link delays all exchanges, but an entry that
+    /// is gone only its own. If the window is empty, returns the time since the last sample.
     pub fn min(&mut self, now: Time) -> Duration {
-        while let Some((at, _)) = self.finished.front()
-            && now.since(*at) > RECENT
+        while let Some((at, _)) = self.samples.front()
+            && now.since(*at) > LENGTH
         {
-            self.finished.pop_front();
+            self.samples.pop_front();
         }
-        let took = self.finished.iter().map(|(_, took)| *took);
-        took.min().unwrap_or_else(|| now.since(self.last))
+        let rtts = self.samples.iter().map(|(_, rtt)| *rtt);
+        rtts.min().unwrap_or_else(|| now.since(self.last_sample))
     }
 }
