--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -1,12 +1,12 @@
-//! The process beside a model replica whose weights it looks after: it takes part in bursts, stages
-//! verified chunks for its replica, orders the change of version when its wave comes, and tells the
-//! entries how the replica does.
+//! Sidecar of a model replica. It participates in bursts, stages verified chunks at its replica,
+//! orders the switch to a new version when the replica's wave starts, and reports the replica's
+//! state to the entries.
 //!
-//! * [`engine`] is what a replica offers to the process beside it.
-//! * [`reconcile`] brings the replica to the wanted version.
-//! * [`observe`] asks the replica how it does, and tells the entries.
-//! * [`carry`] carries callers' requests out at the replica.
-//! * [`rtt`] measures the box's link by that.
+//! * [`engine`] is the interface of a replica towards its sidecar.
+//! * [`reconcile`] brings the replica to the desired version.
+//! * [`observe`] polls the replica's state and reports it to the entries.
+//! * [`executor`] executes callers' requests at the replica.
+//! * [`rtt`] estimates the delay of the box's link from the duration of reports.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -42,90 +42,96 @@
 use crate::weight::{Digest, Store};
 use crate::wire::sync::{Heartbeat, SYNC_PATH};
 
-mod carry;
 pub mod engine;
+mod executor;
 pub mod observe;
 pub mod reconcile;
 pub mod rtt;
 
 use engine::{Engine, State};
 
-/// Part of its machine's memory that a process gives to weights: two versions and what is on its way fit in.
-const MEMORY_PART: u64 = 4;
+/// Divisor of the machine's memory that yields the memory for weights, which holds two versions and
+/// the chunks that are being transferred.
+const MEMORY_DIVISOR: u64 = 4;
 
-/// Bytes of weights that a process may hold on a machine of `machine_bytes`.
+/// Maximum number of bytes of weights that a process may hold on a machine with `machine_bytes` of
+/// memory.
 pub fn memory_for_weights(machine_bytes: u64) -> u64 {
-    machine_bytes / MEMORY_PART
+    machine_bytes / MEMORY_DIVISOR
 }
 
-/// A sidecar's settings.
+/// Settings of a sidecar.
 #[derive(Debug, Clone)]
 pub struct Setting {
-    /// Who the process is, and where it listens.
+    /// Name, hall, and listening address of the process.
     pub identity: Identity,
-    /// Entries to begin with.
+    /// Entries to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Where the replica listens.
+    /// Address on which the replica listens.
     pub replica: SocketAddr,
-    /// Whether the whole system begins now for the first time.
+    /// Whether the whole system is starting for the first time.
     pub first_start: bool,
     /// Settings of the burst.
     pub spread: spread::Setting,
-    /// Settings of the change of versions.
+    /// Settings of the rollout of versions.
     pub rollout: rollout::Setting,
-    /// Bytes of weights that the process may hold.
+    /// Maximum number of bytes of weights that the process may hold.
     pub memory_bytes: u64,
-    /// Megabits that its machine's link carries in a second.
+    /// Bandwidth of the machine's link in megabits per second.
     pub link_mbps: f64,
-    /// Seed of random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The mechanisms of the policy.
+    /// The enabled mechanisms.
     pub policy: Policy,
 }
 
-/// A sidecar. It lives on one thread.
+/// A sidecar. It is confined to one thread.
 pub struct Sidecar {
     /// Settings.
     pub setting: Setting,
-    /// What the process knows.
+    /// Knowledge of the configuration, the replicas, and the entries.
     pub knowledge: Rc<Knowledge>,
-    /// The bursts' side of the process.
+    /// State shared by the bursts of the process.
     pub host: Rc<Host>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Lets requests in.
+    /// Admits requests.
     pub tracker: Rc<Tracker>,
     engine: Rc<dyn Engine>,
     bursts: Manager,
     source: Rc<dyn Source>,
     state: Rc<RefCell<Option<State>>>,
     misses: Cell<u32>,
-    /// The replica's life, as [`State::born`].
+    /// Start time of the replica's current instance, as [`State::born`].
     born: Cell<u64>,
-    /// What it wants in this life.
-    wish: Cell<Suspension>,
-    noticed: Cell<Option<Time>>,
+    /// Whether the current instance is leaving, and until when it accepts no requests.
+    suspension: Cell<Suspension>,
+    /// Since when the switch of the replica has been announced.
+    notice_since: Cell<Option<Time>>,
     staged: RefCell<reconcile::Staged>,
-    /// An older version that the replica takes while the newest cannot be had.
-    stopgap: RefCell<Option<Target>>,
-    /// The version that was complete last, and since when.
+    /// The older version that the replica loads while the newest is not available.
+    fallback: RefCell<Option<Target>>,
+    /// The version that was last found complete, and since when it is.
     complete: Cell<Option<(Digest, Time)>>,
-    roll: RefCell<Option<reconcile::Roll>>,
-    joined_with: RefCell<Option<(Digest, Rc<[Descriptor]>)>>,
+    member_cache: RefCell<Option<reconcile::MemberCache>>,
+    /// The burst that was joined last, and the members that it was joined with.
+    joined_members: RefCell<Option<(Digest, Rc<[Descriptor]>)>>,
     rtt: RefCell<rtt::Window>,
     ledger: RefCell<Ledger>,
-    told: Cell<u64>,
-    turned: Cell<u64>,
-    /// What callers' requests bring.
-    runs: RefCell<Shelf<Rc<carry::Run>>>,
-    /// Exchanges with the replica for callers.
+    /// Number of changes of the replica's state.
+    state_changes: Cell<u64>,
+    /// Number of changes of whether and for which versions the replica accepts requests.
+    availability_changes: Cell<u64>,
+    /// Callers' requests at the replica, with their responses.
+    runs: RefCell<Shelf<Rc<executor::Run>>>,
+    /// Client for callers' requests to the replica.
     client: exchange::Client,
-    began: Time,
-    /// Requests at the replica, whoever sent them.
+    started_at: Time,
+    /// Requests at the replica, from any sender.
     requests: Gauge<u64>,
 }
 
-/// A running sidecar. Dropping it stops its loops.
+/// A running sidecar. Dropping it stops its tasks.
 pub struct Running {
     /// The sidecar.
     pub sidecar: Rc<Sidecar>,
@@ -144,8 +150,9 @@
 }
 
 impl Running {
-    /// Runs until a planned stop, which lasts `grace` at most, is over: what runs at the replica is read to its
-    /// end, and peers get the chunks that are on their way to them. Nobody has to hear of it before.
+    /// Runs until a planned stop, which takes at most `grace`, is over. Responses of requests at the
+    /// replica are read to their end, and transfers of chunks to peers are completed. The stop is not
+    /// announced in advance.
     pub async fn serve_until_stopped(self, grace: Duration) -> Result<(), daemon::Error> {
         let identity = &self.sidecar.setting.identity;
         log::info!(
@@ -164,32 +171,34 @@
     }
 }
 
-/// The sockets that a sidecar listens on.
+/// The sockets on which a sidecar listens.
 #[derive(Debug)]
 pub struct Listeners {
     /// For other processes of the system.
     pub control: TcpListener,
-    /// For those who read metrics.
+    /// For readers of metrics.
     pub metrics: Option<TcpListener>,
 }
 
-/// What a sidecar works with.
+/// Interfaces to the environment of a sidecar.
 pub struct Dependencies {
     /// Its replica.
     pub engine: Rc<dyn Engine>,
-    /// Names the origin of weights.
+    /// Creates the origins of weights.
     pub origins: Rc<dyn Origins>,
-    /// The platform's store, for when no entry answers.
+    /// The platform's store, which is read if no entry answers.
     pub source: Rc<dyn Source>,
-    /// What is known of the process's connections; replica and source share it.
+    /// State of the process's network paths, shared with the replica and the source.
     pub paths: Rc<Paths>,
 }
 
-/// The chunks that lie staged at the replica.
+/// The chunks that are staged at the replica.
 struct StagedChunks {
     engine: Rc<dyn Engine>,
     state: Rc<RefCell<Option<State>>>,
-    first: Cell<bool>,
+    /// Whether staged chunks are returned whichever version the replica has loaded. It is true until
+    /// all chunks of one version have been requested.
+    accepts_any_version: Cell<bool>,
 }
 
 impl LocalChunks for StagedChunks {
@@ -201,22 +210,22 @@
         Box::pin(async move {
             let model = {
                 let state = self.state.borrow();
-                let held = state.as_ref()?.models.first()?.clone();
-                let same = label(&held.model, held.version) == version;
-                // A process that began anew may find what its predecessor had staged.
-                (same || self.first.get()).then_some(held.model)?
+                let loaded = state.as_ref()?.models.first()?.clone();
+                let same = label(&loaded.model, loaded.version) == version;
+                // After a restart, the chunks that the previous process staged may still be there.
+                (same || self.accepts_any_version.get()).then_some(loaded.model)?
             };
             self.engine.staged(&model, chunk).await.ok().flatten()
         })
     }
 
     fn done(&self) {
-        self.first.set(false);
+        self.accepts_any_version.set(false);
     }
 }
 
 impl Sidecar {
-    /// Starts a sidecar on the present thread.
+    /// Starts a sidecar on the current thread.
     pub fn start(
         setting: Setting,
         dependencies: Dependencies,
@@ -236,7 +245,7 @@
         let local = StagedChunks {
             engine: dependencies.engine.clone(),
             state: state.clone(),
-            first: Cell::new(true),
+            accepts_any_version: Cell::new(true),
         };
         let trail = RefCell::new(Trail::default());
         let host = Host {
@@ -270,27 +279,27 @@
             state,
             misses: Cell::new(0),
             born: Cell::new(0),
-            wish: Cell::default(),
-            noticed: Cell::new(None),
+            suspension: Cell::default(),
+            notice_since: Cell::new(None),
             staged: RefCell::default(),
-            stopgap: RefCell::default(),
+            fallback: RefCell::default(),
             complete: Cell::new(None),
-            roll: RefCell::default(),
-            joined_with: RefCell::default(),
+            member_cache: RefCell::default(),
+            joined_members: RefCell::default(),
             rtt: RefCell::new(rtt::Window::new(now)),
             ledger: RefCell::default(),
-            told: Cell::new(0),
-            turned: Cell::new(0),
+            state_changes: Cell::new(0),
+            availability_changes: Cell::new(0),
             runs: RefCell::default(),
             client: exchange::Client::sharing(dependencies.paths.clone()),
-            began: now,
+            started_at: now,
             requests,
             setting,
         });
         let tasks = vec![
-            actix_rt::spawn(observe::observe(sidecar.clone())),
-            actix_rt::spawn(observe::tell(sidecar.clone())),
-            actix_rt::spawn(observe::read_store_when_alone(sidecar.clone())),
+            actix_rt::spawn(observe::poll_replica(sidecar.clone())),
+            actix_rt::spawn(observe::report(sidecar.clone())),
+            actix_rt::spawn(observe::read_store_when_isolated(sidecar.clone())),
             actix_rt::spawn(reconcile::run(sidecar.clone())),
             actix_rt::spawn(traffic::log(sidecar.knowledge.clone())),
             actix_rt::spawn(reconnect_when_silent(
@@ -310,7 +319,7 @@
     fn serve(self: &Rc<Self>, listeners: Listeners) -> (Server, Option<Server>) {
         let sidecar = self.clone();
         let control = Server::start(listeners.control, http::plain(), move |request, _| {
-            answer(sidecar.clone(), request)
+            handle(sidecar.clone(), request)
         });
         let metrics = listeners.metrics.map(|listener| {
             let sidecar = self.clone();
@@ -322,34 +331,37 @@
         (control, metrics)
     }
 
-    /// The version that the replica is to hold, counted from when the oldest was named that it
-    /// lacks; `None` while nothing is known.
+    /// The version that the replica should load, with the publication time of the oldest version that
+    /// it lacks; `None` while no version is known.
     pub fn target(&self) -> Option<Target> {
         let target = manager::newest(&self.knowledge)?;
         let state = self.state.borrow();
-        let held = state.as_ref().and_then(|state| state.loaded(&target.model));
+        let loaded = state.as_ref().and_then(|state| state.loaded(&target.model));
         let catalog = self.knowledge.catalog.borrow();
-        let lacking =
-            held.and_then(|held| first_missing(catalog.desired_versions(&target.model), held));
+        let missing = loaded
+            .and_then(|loaded| first_missing(catalog.desired_versions(&target.model), loaded));
         Some(Target {
-            published: lacking.map_or(target.published, |wanted| wanted.since),
+            published: missing.map_or(target.published, |missing| missing.since),
             ..target
         })
     }
 }
 
-async fn answer(sidecar: Rc<Sidecar>, mut request: Request) -> Answer {
+async fn handle(sidecar: Rc<Sidecar>, mut request: Request) -> Answer {
     let path = request.path().to_owned();
     if let Some(call) = request
         .uri()
         .path_and_query()
         .and_then(|path| Call::of(path.as_str()))
     {
-        return sidecar.answer_run(call, request).await;
+        return sidecar.handle_run(call, request).await;
     }
     if path == SYNC_PATH {
         return match decode::<Heartbeat>(&mut request).await {
-            Ok(sync) => http::pack(StatusCode::OK, &sidecar.knowledge.update_for(&sync, false)),
+            Ok(heartbeat) => http::pack(
+                StatusCode::OK,
+                &sidecar.knowledge.update_for(&heartbeat, false),
+            ),
             Err(answer) => answer,
         };
     }
@@ -359,7 +371,7 @@
             return http::status(StatusCode::SERVICE_UNAVAILABLE);
         }
         let answer = match decode::<lease::Request>(&mut request).await {
-            Ok(ask) => http::pack(StatusCode::OK, &sidecar.place(&ask)),
+            Ok(request) => http::pack(StatusCode::OK, &sidecar.grant_lease(&request)),
             Err(answer) => answer,
         };
         return permit.attach(answer);
--- a/src/sidecar/carry.rs
+++ b/src/sidecar/executor.rs
@@ -1,5 +1,5 @@
-//! Carries requests out at the replica on this machine: sends each on once, keeps what comes, and hands it to
-//! whoever reads it.
+//! Executes callers' requests at the replica on this machine: sends each request once, buffers the
+//! response, and delivers it to the current reader.
 
 use std::cell::RefCell;
 use std::fmt::Display;
@@ -25,42 +25,43 @@
 use crate::run::{Call, Ended, Found, Key, Part, TOLD, Tape, Told, Verdict};
 use crate::stop;
 
-/// Longest body of a request: far more than the longest prompt.
+/// Maximum size of a request's body in bytes, far above that of the longest prompt.
 const BODY_MAX: usize = 16 << 20;
 
-/// Headers that concern one connection only, and that the codec writes anew.
-const HOP: [HeaderName; 3] = [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING];
+/// Hop-by-hop headers, which the codec generates for each connection.
+const HOP_BY_HOP: [HeaderName; 3] = [CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING];
 
-/// What came before a run's body.
+/// The head of a run's response.
 #[derive(Debug, Clone)]
 enum Head {
-    /// The replica's answer began.
+    /// Received from the replica.
     Answer(StatusCode, HeaderMap),
-    /// There is none.
-    None(Told),
+    /// The replica sent none.
+    Missing(Told),
 }
 
-/// A run at the replica.
+/// A run: the execution of a request at the replica.
 #[derive(Debug, Default)]
 pub(super) struct Run {
     tape: Rc<RefCell<Tape>>,
     head: RefCell<Option<Head>>,
-    /// Counts what changes.
+    /// Number of changes of the run, by which its reader and its task are woken.
     changed: watch::Sender<u64>,
     task: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl Run {
-    fn change(&self) {
+    fn notify(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    fn begin(&self, head: Head) {
+    fn set_head(&self, head: Head) {
         self.head.replace(Some(head));
-        self.change();
+        self.notify();
     }
 
-    /// Ends it at the replica, and for whoever reads it: a reader whose connection is silent would wait for ever.
+    /// Aborts the run at the replica and for its reader, which would wait forever if its connection is
+    /// silent.
     fn abort(&self, now: Time) {
         if let Some(task) = self.task.take() {
             task.abort();
@@ -68,12 +69,12 @@
         self.tape.borrow_mut().end(Ended::Broken, now);
         self.head
             .borrow_mut()
-            .get_or_insert(Head::None(Told::Broken));
-        self.change();
+            .get_or_insert(Head::Missing(Told::Broken));
+        self.notify();
     }
 }
 
-/// Who reads a run. Dropped, nobody does.
+/// The reader of a run. Dropping it leaves the run without a reader.
 struct Reader {
     sidecar: Rc<Sidecar>,
     run: Rc<Run>,
@@ -89,11 +90,12 @@
 }
 
 impl Reader {
-    /// Begins to read from the byte `from`, unless that cannot be had.
+    /// Becomes the reader of `run`, starting at the byte `from`. Returns `None` if there is nothing to
+    /// read from there.
     fn open(sidecar: &Rc<Sidecar>, run: Rc<Run>, from: u64) -> Option<Self> {
         let number = run.tape.borrow_mut().open(from)?;
-        // Whoever read it before is done.
-        run.change();
+        // Wakes the previous reader, which ends.
+        run.notify();
         Some(Self {
             sidecar: sidecar.clone(),
             changed: run.changed.subscribe(),
@@ -102,27 +104,27 @@
         })
     }
 
-    /// Waits for a change.
-    async fn change(&mut self) {
-        // The sender lives as long as the run, which is held here.
+    /// Waits for a change of the run.
+    async fn wait(&mut self) {
+        // The sender is not dropped, because `run` owns it.
         let _ = self.changed.changed().await;
     }
 
-    async fn answer(mut self) -> Answer {
+    async fn respond(mut self) -> Answer {
         let head = loop {
             let head = self.run.head.borrow().clone();
             match head {
                 Some(head) => break head,
-                None => self.change().await,
+                None => self.wait().await,
             }
         };
         match head {
-            Head::None(told) => own(told),
+            Head::Missing(told) => error_response(told),
             Head::Answer(status, headers) => {
                 let body = BodyStream::new(Box::pin(self.into_stream()));
                 let mut answer = Answer::with_body(status, body.boxed());
-                pass(&headers, answer.headers_mut());
-                tell(&mut answer, TOLD, Told::Replica);
+                copy_headers(&headers, answer.headers_mut());
+                set_header(&mut answer, TOLD, Told::Replica);
                 answer
             }
         }
@@ -140,13 +142,13 @@
                 match part {
                     Part::Bytes(bytes) => {
                         if was_full {
-                            reader.run.change();
+                            reader.run.notify();
                         }
                         return Some((Ok(bytes), Some(reader)));
                     }
-                    Part::Wait => reader.change().await,
+                    Part::Wait => reader.wait().await,
                     Part::End(Ended::Whole) => return None,
-                    // The connection breaks, so that the reader sees that this is not the whole.
+                    // The connection is aborted, so that the client detects the truncated response.
                     Part::End(Ended::Broken) | Part::Gone => {
                         return Some((Err(io::ErrorKind::ConnectionAborted.into()), None));
                     }
@@ -156,16 +158,17 @@
     }
 }
 
-fn pass(from: &HeaderMap, into: &mut HeaderMap) {
+/// Copies the end-to-end headers.
+fn copy_headers(from: &HeaderMap, into: &mut HeaderMap) {
     let named = http::named_by_connection(from);
     for (name, value) in from.iter() {
-        if !HOP.contains(name) && !named.iter().any(|known| known == name.as_str()) {
+        if !HOP_BY_HOP.contains(name) && !named.iter().any(|known| known == name.as_str()) {
             into.append(name.clone(), value.clone());
         }
     }
 }
 
-fn tell(answer: &mut Answer, name: &'static str, told: impl Display) {
+fn set_header(answer: &mut Answer, name: &'static str, told: impl Display) {
     let value = HeaderValue::from_str(&told.to_string());
     let value = value.unwrap_or(HeaderValue::from_static(""));
     answer
@@ -173,23 +176,23 @@
         .insert(HeaderName::from_static(name), value);
 }
 
-/// An answer of the process's own.
-fn own(told: Told) -> Answer {
+/// Response of this process in place of the replica's.
+fn error_response(told: Told) -> Answer {
     let mut answer = http::status(StatusCode::BAD_GATEWAY);
-    tell(&mut answer, TOLD, told);
+    set_header(&mut answer, TOLD, told);
     answer
 }
 
-/// The answer to a call for a run that is not sent on, because the replica wants nothing now.
-fn turned_away(notice: Notice) -> Answer {
-    let mut answer = own(Told::NotSent);
-    tell(&mut answer, notice::HEADER, notice);
+/// Response to a request that is not forwarded because the replica accepts none at present.
+fn rejection(notice: Notice) -> Answer {
+    let mut answer = error_response(Told::NotSent);
+    set_header(&mut answer, notice::HEADER, notice);
     answer
 }
 
 impl Sidecar {
-    /// Answers a call for a run.
-    pub(super) async fn answer_run(self: Rc<Self>, call: Call, request: Request) -> Answer {
+    /// Handles a call that starts, reads or ends a run.
+    pub(super) async fn handle_run(self: Rc<Self>, call: Call, request: Request) -> Answer {
         match call {
             Call::Start { key, target } => self.start_run(key, &target, request).await,
             Call::Read { key, from } => self.read_run(key, from).await,
@@ -207,31 +210,32 @@
     async fn start_run(self: Rc<Self>, key: Key, target: &str, mut request: Request) -> Answer {
         let permit = self.tracker.admit(stop::Kind::New);
         if permit.is_refused() {
-            return permit.attach(own(Told::NotSent));
+            return permit.attach(error_response(Told::NotSent));
         }
         let body = http::read_request(&mut request, BODY_MAX).await;
-        let Ok((head, body)) = body.and_then(|body| Ok((head(&request, target)?, body))) else {
-            return permit.attach(own(Told::NotSent));
+        let Ok((head, body)) = body.and_then(|body| Ok((replica_head(&request, target)?, body)))
+        else {
+            return permit.attach(error_response(Told::NotSent));
         };
         let now = self.knowledge.now();
-        let wish = self.wish.get();
-        if wish.rejects(now) {
-            return permit.attach(turned_away(wish.notice(now)));
+        let suspension = self.suspension.get();
+        if suspension.rejects(now) {
+            return permit.attach(rejection(suspension.notice(now)));
         }
         let run = Rc::new(Run::default());
         let tape = run.tape.clone();
         let verdict = self.runs.borrow_mut().start(key, tape, run.clone());
         match verdict {
             Verdict::Run => {}
-            Verdict::NotRun => return permit.attach(own(Told::NotSent)),
-            Verdict::Known => return permit.attach(own(Told::Broken)),
+            Verdict::NotRun => return permit.attach(error_response(Told::NotSent)),
+            Verdict::Known => return permit.attach(error_response(Told::Broken)),
         }
         let body = (!body.is_empty()).then_some(body);
-        let carried = actix_rt::spawn(carry(self.clone(), run.clone(), key, head, body));
-        run.task.replace(Some(carried));
+        let task = actix_rt::spawn(execute(self.clone(), run.clone(), key, head, body));
+        run.task.replace(Some(task));
         match Reader::open(&self, run, 0) {
-            Some(reader) => permit.attach(reader.answer().await),
-            None => permit.attach(own(Told::Broken)),
+            Some(reader) => permit.attach(reader.respond().await),
+            None => permit.attach(error_response(Told::Broken)),
         }
     }
 
@@ -241,42 +245,43 @@
         let found = self.runs.borrow_mut().get(key, now);
         let run = match found {
             Found::Kept(run) => run,
-            Found::Over => return permit.attach(own(Told::Broken)),
+            Found::Over => return permit.attach(error_response(Told::Broken)),
             Found::Unknown => {
-                let up = now.since(self.began);
-                return permit.attach(own(Told::Unknown { up }));
+                let up = now.since(self.started_at);
+                return permit.attach(error_response(Told::Unknown { up }));
             }
         };
         match Reader::open(&self, run, from) {
-            Some(reader) if !permit.is_refused() => permit.attach(reader.answer().await),
-            _ => permit.attach(own(Told::Broken)),
+            Some(reader) if !permit.is_refused() => permit.attach(reader.respond().await),
+            _ => permit.attach(error_response(Told::Broken)),
         }
     }
 
-    /// Ends what goes on for nobody.
-    pub(super) fn sweep_runs(&self) {
+    /// Aborts runs without a reader, and closes idle connections to the replica.
+    pub(super) fn remove_expired_runs(&self) {
         let now = self.knowledge.now();
         let abandoned = self.runs.borrow_mut().sweep(now);
         for (key, run) in abandoned {
-            log::info!(run:% = key; "a run that nobody reads any more is ended");
+            log::info!(run:% = key; "aborting a run without a reader");
             run.abort(now);
         }
         self.client.reap(gateway::IDLE_MAX);
     }
 }
 
-/// The head that the replica gets.
-fn head(request: &Request, target: &str) -> Result<RequestHead, http::Error> {
+/// Builds the head of the request to the replica.
+fn replica_head(request: &Request, target: &str) -> Result<RequestHead, http::Error> {
     let mut head = RequestHead::default();
     head.method = request.method().clone();
     head.uri = target.parse().map_err(|_| http::Error::Decode {
-        reason: "the path is none".to_owned(),
+        reason: "the target is not a valid path".to_owned(),
     })?;
-    pass(&request.head().headers, &mut head.headers);
+    copy_headers(&request.head().headers, &mut head.headers);
     Ok(head)
 }
 
-async fn carry(
+/// Sends a request to the replica and buffers the response.
+async fn execute(
     sidecar: Rc<Sidecar>,
     run: Rc<Run>,
     key: Key,
@@ -294,36 +299,36 @@
     let ended = match sidecar.client.exchange(replica, head, body, options).await {
         Ok(mut response) => {
             let headers = std::mem::take(&mut response.headers);
-            sidecar.wants(sidecar.engine.notice(response.status, &headers));
-            run.begin(Head::Answer(response.status, headers));
-            keep(&run, &mut response).await
+            sidecar.apply_notice(sidecar.engine.notice(response.status, &headers));
+            run.set_head(Head::Answer(response.status, headers));
+            buffer_body(&run, &mut response).await
         }
         Err(error) => {
             let told = match error {
                 exchange::Error::NotSent { .. } => Told::NotSent,
                 _ => Told::Broken,
             };
-            run.begin(Head::None(told));
+            run.set_head(Head::Missing(told));
             Err(error)
         }
     };
     if let Err(error) = &ended {
-        log::warn!(run:% = key, replica:% = replica; "a run broke: {error}");
+        log::warn!(run:% = key, replica:% = replica; "run failed: {error}");
     }
     let now = sidecar.knowledge.now();
     let ended = ended.map_or(Ended::Broken, |()| Ended::Whole);
     run.tape.borrow_mut().end(ended, now);
-    run.change();
+    run.notify();
 }
 
-/// Keeps what comes of a run's body.
-async fn keep(run: &Run, response: &mut exchange::Response) -> Result<(), exchange::Error> {
+/// Appends the response body to the run's buffer as it arrives, and pauses while the buffer is full.
+async fn buffer_body(run: &Run, response: &mut exchange::Response) -> Result<(), exchange::Error> {
     let mut changed = run.changed.subscribe();
     while let Some(part) = response.next().await {
         run.tape.borrow_mut().push(&part?);
-        run.change();
+        run.notify();
         while !run.tape.borrow().takes() {
-            // The run, which is borrowed here, has the sender.
+            // The sender is not dropped, because `run` owns it.
             let _ = changed.changed().await;
         }
     }
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -1,4 +1,4 @@
-//! Asks the replica how it does, and tells the entries.
+//! Polls the replica's state and reports it to the entries.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,86 +26,90 @@
 use crate::timeout::{self, Progress};
 use crate::wire::sync::{Heartbeat, REPORT_PATH, Report};
 
-/// How often the replica is asked.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which the replica's state is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Looks between two of which it is written down what the replica has to do.
-const LOOKS_LOGGED: u32 = 10;
+/// Number of polls per log line and metric sample of the requests at the replica.
+const POLLS_PER_LOG: u32 = 10;
 
-/// How often it is asked while it wants rest from questions: only so is it known that it is still there.
-const LOOK_AT_REST: Duration = Duration::from_secs(1);
+/// Longest additional pause between two polls while the replica asks for a backoff. Only polls show
+/// that it is still alive.
+const BACKOFF_POLL_INTERVAL_MAX: Duration = Duration::from_secs(1);
 
-/// How long it may take to answer.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers that may be missing before the replica counts as gone.
+/// Number of consecutive failed polls after which the replica counts as gone.
 pub(super) const MISSES_MAX: u32 = 2;
 
-/// How often it is looked whether an entry is to be told.
-const TELL_LOOK: Duration = Duration::from_millis(50);
+/// Interval at which is checked whether a report to an entry is due.
+const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shortest time between two reports to an entry, unless the replica begins or ends to take
-/// requests: who sends requests here asks before that, and reports only say where to ask.
-const TELL_MIN: Duration = Duration::from_millis(500);
+/// Minimum interval between two reports to an entry, unless the replica's availability changes. Load
+/// may be reported late, since an entry requests a slot lease here before it sends a request, and
+/// uses reports only to select where to ask.
+const REPORT_INTERVAL_MIN: Duration = Duration::from_millis(500);
 
-/// Longest time between two reports.
-const TELL_MAX: Duration = Duration::from_millis(1_000);
+/// Maximum interval between two reports to an entry.
+const REPORT_INTERVAL_MAX: Duration = Duration::from_millis(1_000);
 
-/// Time before an entry is told again that did not answer: it may just be starting.
-const TELL_AGAIN: Duration = Duration::from_millis(200);
+/// Delay before the report to an entry that did not answer is repeated. The entry may just be
+/// starting.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How often an entry is asked for the entries that it knows.
-const ASK: Duration = Duration::from_millis(1_500);
+/// Interval at which an entry is asked for the entries that it knows.
+const PEERS_REQUEST_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// How long no entry answers before the store is read.
-const ALONE: Duration = Duration::from_millis(2_500);
+/// Time without an answer of any entry after which the store is read.
+const STORE_READ_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How long the beginning of the store's answer is waited for then.
-const ALONE_READ: Duration = Duration::from_millis(2_000);
+/// Timeout for the first byte of the store's answer.
+const STORE_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Longest pause between two reads while no entry answers, before jitter: each brings the whole configuration over
-/// the narrow link of a box, and the links between regions to all boxes at once.
-const ALONE_MAX: Duration = Duration::from_secs(20);
+/// Maximum delay between two reads of the store while no entry answers, before jitter. Each read
+/// transfers the whole configuration over the narrow link of a box, and over the links between
+/// regions to all boxes at once.
+const STORE_READ_DELAY_MAX: Duration = Duration::from_secs(20);
 
-/// Asks the replica until dropped.
-pub async fn observe(sidecar: Rc<Sidecar>) {
-    for look in 1_u32.. {
+/// Polls the replica until dropped.
+pub async fn poll_replica(sidecar: Rc<Sidecar>) {
+    for poll in 1_u32.. {
         sidecar.knowledge.traffic.count(Purpose::Probe, 0);
-        let state = timeout(LOOK_TIMEOUT, sidecar.engine.state()).await;
+        let state = timeout(POLL_TIMEOUT, sidecar.engine.state()).await;
         match state {
             Ok(Ok(state)) => {
                 sidecar.misses.set(0);
-                sidecar.take_state(Some(state));
+                sidecar.apply_state(Some(state));
             }
-            // It is there, and wants to be asked less often.
+            // It is alive, but asks to be polled less often.
             Ok(Err(Error::Rejected { backoff })) => {
                 sidecar.misses.set(0);
                 let notice = Notice {
                     backoff: Some(backoff),
                     ..Notice::default()
                 };
-                sidecar.wants(notice);
-                sleep(backoff.min(LOOK_AT_REST)).await;
+                sidecar.apply_notice(notice);
+                sleep(backoff.min(BACKOFF_POLL_INTERVAL_MAX)).await;
             }
             failed => {
                 sidecar.misses.set(sidecar.misses.get() + 1);
                 if sidecar.misses.get() == MISSES_MAX {
                     log::warn!(failed:? = failed.map(|result| result.err()); "replica lost");
-                    sidecar.take_state(None);
+                    sidecar.apply_state(None);
                 }
             }
         }
-        sidecar.sweep_runs();
-        if look.is_multiple_of(LOOKS_LOGGED) {
+        sidecar.remove_expired_runs();
+        if poll.is_multiple_of(POLLS_PER_LOG) {
             sidecar.log_requests();
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 impl Sidecar {
-    /// Writes down what the replica has to do. What all replicas have beyond what all entries have under way is read by
-    /// nobody.
+    /// Logs and records the number of requests at the replica. Requests that all replicas have in excess
+    /// of those in progress at all entries have no reader.
     fn log_requests(&self) {
         let state = self.state.borrow();
         let Some(state) = state.as_ref() else {
@@ -121,94 +125,101 @@
         }
     }
 
-    fn take_state(&self, state: Option<State>) {
+    fn apply_state(&self, state: Option<State>) {
         if let Some(state) = &state {
             if state.born < self.born.get() {
-                // An answer of an earlier life, or one that does not tell.
+                // The answer is from an earlier instance, or lacks the start time.
                 return;
             }
             if self.born.replace(state.born) < state.born {
-                self.begin_life(state.born);
+                self.reset_for_instance(state.born);
             }
         }
         match &state {
-            Some(state) => self.wants(Notice::new(state.leaving, None)),
-            // Without the start of its life, only its absence shows that another may follow.
-            None if self.born.get() == 0 => self.wish.set(Suspension::default()),
+            Some(state) => self.apply_notice(Notice::new(state.leaving, None)),
+            // If start times are not reported, a new instance can only be inferred from an outage.
+            None if self.born.get() == 0 => self.suspension.set(Suspension::default()),
             None => {}
         }
         let before = self.state.replace(state);
-        let now = self.state.borrow();
+        let after = self.state.borrow();
         let mut ledger = self.ledger.borrow_mut();
-        match &*now {
+        match &*after {
             Some(state) => ledger.observe(state.running + state.queued, self.knowledge.now()),
             None => ledger.reset(),
         }
-        let takes = |state: &Option<State>| {
+        let availability = |state: &Option<State>| {
             let state = state.as_ref();
             state.map(|state| (state.busy, state.models.clone()))
         };
-        if takes(&before) != takes(&now) {
-            log::info!(takes:? = takes(&now); "replica holds");
-            self.turned.set(self.turned.get() + 1);
+        if availability(&before) != availability(&after) {
+            log::info!(takes:? = availability(&after); "replica's loaded models or busy state changed");
+            self.availability_changes
+                .set(self.availability_changes.get() + 1);
         }
-        if before != *now {
-            self.told.set(self.told.get() + 1);
+        if before != *after {
+            self.state_changes.set(self.state_changes.get() + 1);
         }
     }
 
-    /// The replica started at `born`, perhaps anew: places, orders and what lay staged belong to an
-    /// earlier life. What lies there all the same is read back before it is used.
-    fn begin_life(&self, born: u64) {
-        log::info!(born; "a life of the replica began");
-        self.wish.set(Suspension::default());
+    /// Discards the state of earlier instances of the replica, because the current one started at
+    /// `born`: slot leases, orders, and the record of staged chunks. Chunks that are staged nevertheless
+    /// are read back before they are used.
+    fn reset_for_instance(&self, born: u64) {
+        log::info!(born; "new instance of the replica");
+        self.suspension.set(Suspension::default());
         self.state.replace(None);
         self.ledger.borrow_mut().reset();
         self.client.forget(self.engine.address());
         self.staged.replace(Staged::default());
-        self.set_noticed(None);
+        self.set_notice_since(None);
     }
 
-    /// The replica told what it wants, which binds this process for all entries.
-    pub(super) fn wants(&self, notice: Notice) {
-        let mut wish = self.wish.get();
-        if wish.apply(notice, self.knowledge.now()) {
-            log::info!(notice:% = notice; "the replica told what it wants");
-            self.wish.set(wish);
-            self.turned.set(self.turned.get() + 1);
+    /// Applies a notice of the replica. It applies to the requests of all entries that pass through this
+    /// process.
+    pub(super) fn apply_notice(&self, notice: Notice) {
+        let mut suspension = self.suspension.get();
+        if suspension.apply(notice, self.knowledge.now()) {
+            log::info!(notice:% = notice; "notice from the replica");
+            self.suspension.set(suspension);
+            self.availability_changes
+                .set(self.availability_changes.get() + 1);
         }
     }
 
-    /// Tells that the replica will change, or that it has.
-    pub(super) fn set_noticed(&self, noticed: Option<Time>) {
-        if self.noticed.replace(noticed) != noticed {
-            self.turned.set(self.turned.get() + 1);
+    /// Sets since when the switch of the replica is announced; `None` once it has switched.
+    pub(super) fn set_notice_since(&self, notice_since: Option<Time>) {
+        if self.notice_since.replace(notice_since) != notice_since {
+            self.availability_changes
+                .set(self.availability_changes.get() + 1);
         }
     }
 
-    /// Answers an entry that asks for a place.
-    pub(super) fn place(&self, ask: &lease::Request) -> lease::Response {
-        let engine = self.knowledge.summary().and_then(|brief| brief.engine);
+    /// Answers an entry that requests a slot lease.
+    pub(super) fn grant_lease(&self, request: &lease::Request) -> lease::Response {
+        let engine = self.knowledge.summary().and_then(|summary| summary.engine);
         let now = self.knowledge.now();
         let load = self.load();
         let mut ledger = self.ledger.borrow_mut();
-        ledger.answer(ask, load, engine.as_ref(), now)
+        ledger.answer(request, load, engine.as_ref(), now)
     }
 
     fn load(&self) -> Load {
-        let notice = self.wish.get().notice(self.knowledge.now());
+        let notice = self.suspension.get().notice(self.knowledge.now());
         Load {
             leaving: notice.leaving,
-            rest_ms: notice.backoff.map_or(0, |rest| rest.as_millis() as u32),
-            ..self.seen()
+            rest_ms: notice
+                .backoff
+                .map_or(0, |backoff| backoff.as_millis() as u32),
+            ..self.observed_load()
         }
     }
 
-    /// What was seen of the replica.
-    fn seen(&self) -> Load {
+    /// The replica's load, without its notices.
+    fn observed_load(&self) -> Load {
         let rtt = self.rtt.borrow_mut().min(self.knowledge.now());
         let round_trip_ms = rtt.as_millis() as u64;
-        let (chunks_held, chunks) = self.arriving();
+        let (chunks_held, chunks) = self.transfer_progress();
         let state = self.state.borrow();
         let Some(state) = state.as_ref() else {
             return Load {
@@ -227,7 +238,7 @@
             queued: state.queued,
             pace: state.pace,
             models: state.models.clone(),
-            switching: state.busy || self.noticed.get().is_some(),
+            switching: state.busy || self.notice_since.get().is_some(),
             alive: true,
             round_trip_ms,
             chunks_held,
@@ -236,29 +247,30 @@
         }
     }
 
-    /// Chunks held of the wanted weights, and all of them, while the replica holds none at all.
-    fn arriving(&self) -> (u32, u32) {
+    /// The number of chunks held of the weights that the replica should load, and their total number.
+    /// Both are 0 if the replica has any model loaded.
+    fn transfer_progress(&self) -> (u32, u32) {
         let state = self.state.borrow();
-        // Mostly it holds some; every report asks.
-        let holds_any = state.as_ref().is_some_and(|state| !state.models.is_empty());
-        if holds_any {
+        // The usual case comes first, since this is called for every report.
+        let any_loaded = state.as_ref().is_some_and(|state| !state.models.is_empty());
+        if any_loaded {
             return (0, 0);
         }
-        let meanwhile = self.stopgap.borrow().clone();
-        let Some(target) = meanwhile.or_else(|| self.target()) else {
+        let fallback = self.fallback.borrow().clone();
+        let Some(target) = fallback.or_else(|| self.target()) else {
             return (0, 0);
         };
-        let (held, all) = self.host.store.borrow().progress(target.label());
-        (held as u32, all as u32)
+        let (held, total) = self.host.store.borrow().progress(target.label());
+        (held as u32, total as u32)
     }
 
-    /// The entries to tell, the first of them first.
-    fn entries(&self, told: &BTreeMap<SocketAddr, Told>) -> Vec<SocketAddr> {
-        let silent = |entry| told.get(&entry).is_some_and(|last| last.failed);
-        let near = self.knowledge.local_peers();
+    /// The entries to report to, in order of their rank.
+    fn report_targets(&self, deliveries: &BTreeMap<SocketAddr, Delivery>) -> Vec<SocketAddr> {
+        let is_silent = |entry| deliveries.get(&entry).is_some_and(|last| last.failed);
+        let local_peers = self.knowledge.local_peers();
         let digests = self.knowledge.policy.digests;
-        let known = if digests && !near.is_empty() {
-            near
+        let known = if digests && !local_peers.is_empty() {
+            local_peers
         } else {
             let peers = self.knowledge.peers.borrow();
             let alive = peers.alive(self.knowledge.now());
@@ -270,123 +282,136 @@
         if !digests {
             return known;
         }
-        // The others of the hall, and those of other halls, hear of it from the first ones.
-        hub::report_targets(&Readers::ranked(&known), silent)
+        // These forward the report to the other entries of the hall and to other halls.
+        hub::report_targets(&Readers::ranked(&known), is_silent)
     }
 }
 
-/// What was told to an entry.
+/// The last report to an entry.
 #[derive(Debug, Clone, Copy)]
-struct Told {
-    at: Time,
-    count: u64,
-    turned: u64,
-    waiting: bool,
+struct Delivery {
+    sent_at: Time,
+    /// [`Sidecar::state_changes`] when it was sent.
+    state_changes: u64,
+    /// [`Sidecar::availability_changes`] when it was sent.
+    availability_changes: u64,
+    /// Whether the answer is outstanding.
+    pending: bool,
+    /// Whether the last completed report failed.
     failed: bool,
-    /// When it was last asked for the entries that it knows.
-    asked: Option<Time>,
+    /// When the entry was last asked for the entries that it knows.
+    peers_requested_at: Option<Time>,
 }
 
-impl Told {
-    /// Whether it is told again when this is the `count` of changes, and that of those of whether
-    /// the replica takes requests.
-    fn due(&self, count: u64, turned: u64, now: Time) -> bool {
-        if self.waiting {
+impl Delivery {
+    /// Whether another report is due, given the current numbers of changes of the replica's state and of
+    /// its availability.
+    fn is_due(&self, state_changes: u64, availability_changes: u64, now: Time) -> bool {
+        if self.pending {
             return false;
         }
-        let since = now.since(self.at);
-        let again = self.failed && since >= TELL_AGAIN;
-        let changed = self.count != count && since >= TELL_MIN;
-        again || changed || self.turned != turned || since >= TELL_MAX
+        let age = now.since(self.sent_at);
+        let retry = self.failed && age >= REPORT_RETRY_DELAY;
+        let changed = self.state_changes != state_changes && age >= REPORT_INTERVAL_MIN;
+        retry
+            || changed
+            || self.availability_changes != availability_changes
+            || age >= REPORT_INTERVAL_MAX
     }
 }
 
-/// Tells the entries until dropped.
-pub async fn tell(sidecar: Rc<Sidecar>) {
-    let told: Rc<RefCell<BTreeMap<SocketAddr, Told>>> = Rc::default();
+/// Reports to the entries until dropped.
+pub async fn report(sidecar: Rc<Sidecar>) {
+    let deliveries: Rc<RefCell<BTreeMap<SocketAddr, Delivery>>> = Rc::default();
     loop {
-        let entries = sidecar.entries(&told.borrow());
-        told.borrow_mut().retain(|entry, _| entries.contains(entry));
-        for (place, entry) in entries.into_iter().enumerate() {
-            tell_if_due(&sidecar, &told, entry, place == 0);
+        let entries = sidecar.report_targets(&deliveries.borrow());
+        deliveries
+            .borrow_mut()
+            .retain(|entry, _| entries.contains(entry));
+        for (rank, entry) in entries.into_iter().enumerate() {
+            report_if_due(&sidecar, &deliveries, entry, rank == 0);
         }
         let now = sidecar.knowledge.now();
         sidecar.knowledge.peers.borrow_mut().remove_expired(now);
-        sleep(TELL_LOOK).await;
+        sleep(REPORT_CHECK_INTERVAL).await;
     }
 }
 
-fn tell_if_due(
+fn report_if_due(
     sidecar: &Rc<Sidecar>,
-    told: &Rc<RefCell<BTreeMap<SocketAddr, Told>>>,
+    deliveries: &Rc<RefCell<BTreeMap<SocketAddr, Delivery>>>,
     entry: SocketAddr,
     first: bool,
 ) {
     let now = sidecar.knowledge.now();
-    let (count, turned) = (sidecar.told.get(), sidecar.turned.get());
-    let last = told.borrow().get(&entry).copied();
-    if last.is_some_and(|last| !last.due(count, turned, now)) {
+    let (state_changes, availability_changes) = (
+        sidecar.state_changes.get(),
+        sidecar.availability_changes.get(),
+    );
+    let last = deliveries.borrow().get(&entry).copied();
+    if last.is_some_and(|last| !last.is_due(state_changes, availability_changes, now)) {
         return;
     }
-    let asked = last.and_then(|last| last.asked);
-    // One that did not answer leaves the question to the next.
-    let asks = (first || last.is_none_or(|last| last.failed))
-        && asked.is_none_or(|asked| now.since(asked) >= ASK);
-    let waiting = Told {
-        at: now,
-        count,
-        turned,
-        waiting: true,
+    let requested_at = last.and_then(|last| last.peers_requested_at);
+    // The first entry is asked for the entries that it knows. So are new targets, which may replace one
+    // that does not answer, and those that failed to answer.
+    let wants_peers = (first || last.is_none_or(|last| last.failed))
+        && requested_at.is_none_or(|at| now.since(at) >= PEERS_REQUEST_INTERVAL);
+    let delivery = Delivery {
+        sent_at: now,
+        state_changes,
+        availability_changes,
+        pending: true,
         failed: last.is_some_and(|last| last.failed),
-        asked: if asks { Some(now) } else { asked },
+        peers_requested_at: if wants_peers { Some(now) } else { requested_at },
     };
-    told.borrow_mut().insert(entry, waiting);
-    let (sidecar, told) = (sidecar.clone(), told.clone());
+    deliveries.borrow_mut().insert(entry, delivery);
+    let (sidecar, deliveries) = (sidecar.clone(), deliveries.clone());
     actix_rt::spawn(async move {
-        let heard = tell_one(&sidecar, entry, asks).await;
-        if let Some(last) = told.borrow_mut().get_mut(&entry) {
-            last.failed = !heard;
-            last.waiting = false;
+        let answered = send_report(&sidecar, entry, wants_peers).await;
+        if let Some(last) = deliveries.borrow_mut().get_mut(&entry) {
+            last.failed = !answered;
+            last.pending = false;
         }
     });
 }
 
-/// Tells one entry. Returns whether it answered.
-async fn tell_one(sidecar: &Sidecar, entry: SocketAddr, asks: bool) -> bool {
+/// Sends a report to an entry. Returns whether it answered.
+async fn send_report(sidecar: &Sidecar, entry: SocketAddr, wants_peers: bool) -> bool {
     let report = Report {
         address: sidecar.setting.replica,
         load: sidecar.load(),
         heartbeat: Heartbeat {
             wants_list: !sidecar.knowledge.catalog.borrow().has_replica_list(),
-            ..sidecar.knowledge.heartbeat(asks)
+            ..sidecar.knowledge.heartbeat(wants_peers)
         },
     };
-    let (began, note) = (sidecar.knowledge.now(), Note::default());
+    let (sent_at, note) = (sidecar.knowledge.now(), Note::default());
     match post_noting(&sidecar.knowledge, entry, REPORT_PATH, &report, &note).await {
-        // The time of one that was sent twice says nothing of the link.
+        // The duration of a report that was sent twice is no measure of the link.
         Ok(()) if note.way() == Some(Way::Renewed) => {}
         Ok(()) => {
             let now = sidecar.knowledge.now();
-            sidecar.rtt.borrow_mut().record(now.since(began), now);
+            sidecar.rtt.borrow_mut().record(now.since(sent_at), now);
         }
         Err(error) => {
-            log::debug!(entry:% = entry; "report: {error}");
+            log::debug!(entry:% = entry; "report failed: {error}");
             return false;
         }
     }
     true
 }
 
-/// Reads the store while no entry answers.
-pub async fn read_store_when_alone(sidecar: Rc<Sidecar>) {
-    let mut backoff = Backoff::new(ALONE, ALONE_MAX);
-    let mut pause = backoff.failed();
+/// Reads the store as long as no entry answers, until dropped.
+pub async fn read_store_when_isolated(sidecar: Rc<Sidecar>) {
+    let mut backoff = Backoff::new(STORE_READ_DELAY, STORE_READ_DELAY_MAX);
+    let mut delay = backoff.failed();
     loop {
-        sleep(pause).await;
+        sleep(delay).await;
         let now = sidecar.knowledge.now();
         if sidecar.knowledge.peers.borrow().alive(now).next().is_some() {
             backoff.succeeded();
-            pause = backoff.failed();
+            delay = backoff.failed();
             continue;
         }
         log::info!("no entry answers; reading the store");
@@ -394,17 +419,17 @@
             read_store(&sidecar, topic).await;
         }
         let jitter = sidecar.knowledge.rng.borrow_mut().random_range(0.7..1.3);
-        pause = backoff.failed().mul_f64(jitter);
+        delay = backoff.failed().mul_f64(jitter);
     }
 }
 
 async fn read_store(sidecar: &Sidecar, topic: Topic) {
     let progress = Progress::default();
     let call = sidecar.source.read(topic, progress.clone());
-    let waits = timeout::Config::with_first_byte(ALONE_READ);
-    match timeout::wait(call, &progress, waits).await {
+    let config = timeout::Config::with_first_byte(STORE_FIRST_BYTE_TIMEOUT);
+    match timeout::wait(call, &progress, config).await {
         Ok(Ok(batch)) => sidecar.knowledge.apply_batch(topic, true, batch),
-        Ok(Err(error)) => log::info!(topic:? = topic; "{error}"),
-        Err(error) => log::info!(topic:? = topic; "store: {error}"),
+        Ok(Err(error)) => log::info!(topic:? = topic; "cannot read the store: {error}"),
+        Err(error) => log::info!(topic:? = topic; "cannot read the store: {error}"),
     }
 }
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -1,5 +1,5 @@
-//! Brings the replica to the wanted version: takes part in its burst, stages what is verified, and
-//! orders the change when the rollout says so.
+//! Brings the replica to the desired version: participates in its burst, stages verified chunks, and
+//! orders the switch when the rollout permits it.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -20,92 +20,97 @@
 use crate::version::rollout::{self, Step};
 use crate::weight::Digest;
 
-/// How often the replica is looked over.
-const LOOK: Duration = Duration::from_millis(50);
+/// Maximum interval between two reconciliations.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long an order may go without an effect before it is given again.
-const ORDER_AGAIN: Duration = Duration::from_millis(1_500);
+/// Delay after which an order that had no effect is repeated.
+const ORDER_RETRY_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Chunks that are staged before anything else is looked at.
-const STAGED_AT_ONCE: usize = 16;
+/// Maximum number of chunks that are staged per reconciliation.
+const STAGE_BATCH: usize = 16;
 
-/// A version that the replica takes for a time is given up if its bound comes sooner: it would hardly serve.
-const SERVES_AFTER: Duration = Duration::from_millis(1_000);
+/// A fallback version is abandoned if its staleness bound ends within this time, since it would serve
+/// for too short.
+const FALLBACK_REMAINING_MIN: Duration = Duration::from_millis(1_000);
 
-/// How long a list of the burst's members is used: an entry counts as gone by its silence alone.
-const ROLL_MAX: Duration = Duration::from_millis(500);
+/// Maximum age of the cached list of the burst's members. Entries disappear from the list without a
+/// change notification, by a timeout.
+const MEMBERS_MAX_AGE: Duration = Duration::from_millis(500);
 
-/// The members of the burst as they were listed.
+/// Cached list of the burst's members.
 #[derive(Debug)]
-pub struct Roll {
+pub struct MemberCache {
+    /// Change counter of the knowledge that the list was derived from.
     changes: u64,
-    at: Time,
+    listed_at: Time,
     members: Rc<[Descriptor]>,
 }
 
-/// What lies staged at the replica, as far as this process put it there.
+/// The chunks that this process has staged at the replica.
 #[derive(Debug, Default)]
 pub struct Staged {
     version: Option<Digest>,
     chunks: BTreeSet<u32>,
-    ordered: Option<Time>,
+    /// When the last order to load the version was sent.
+    ordered_at: Option<Time>,
 }
 
-/// Runs until dropped.
+/// Reconciles the replica until dropped.
 pub async fn run(sidecar: Rc<Sidecar>) {
     let mut changed = sidecar.knowledge.changed.subscribe();
     loop {
         let Some(target) = sidecar.target() else {
-            let _ = timeout(LOOK, changed.changed()).await;
+            let _ = timeout(CHECK_INTERVAL, changed.changed()).await;
             continue;
         };
-        if !sidecar.looked() {
-            sleep(LOOK).await;
+        if !sidecar.is_state_known() {
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
         sidecar.join(&target);
-        let goal = sidecar.stopgap(&target).unwrap_or(target);
-        sidecar.advance(&goal).await;
-        let _ = timeout(LOOK, sidecar.host.wake.notified()).await;
+        let target = sidecar.select_fallback(&target).unwrap_or(target);
+        sidecar.advance(&target).await;
+        let _ = timeout(CHECK_INTERVAL, sidecar.host.wake.notified()).await;
     }
 }
 
 impl Sidecar {
-    /// Whether it is known what the replica lacks. When the whole system begins, replicas hold their
-    /// first version and answer a little later; at any other time one that does not answer will
-    /// come up with nothing.
-    fn looked(&self) -> bool {
-        self.state.borrow().is_some() || self.bursts.any() || self.comes_up_empty()
+    /// Whether the replica's state is known. At the first start of the whole system, replicas have their
+    /// first version loaded and answer shortly after. At any other time, a replica that does not answer
+    /// is assumed to start empty.
+    fn is_state_known(&self) -> bool {
+        self.state.borrow().is_some() || self.bursts.any() || self.starts_empty()
     }
 
-    fn comes_up_empty(&self) -> bool {
+    fn starts_empty(&self) -> bool {
         !self.setting.first_start && self.misses.get() >= MISSES_MAX
     }
 
-    /// Takes part in the burst of the wanted version, and serves older ones on while they are allowed.
+    /// Joins the burst of the desired version. Older versions are still served to peers as long as
+    /// requests may start on them.
     fn join(&self, target: &Target) {
-        let members = self.listed();
+        let members = self.members();
         let label = target.label();
-        let joined = self
-            .joined_with
+        let is_current = self
+            .joined_members
             .borrow()
             .as_ref()
-            .is_some_and(|(known, with)| {
-                *known == label && Rc::ptr_eq(with, &members) && self.bursts.get(label).is_some()
+            .is_some_and(|(known, joined)| {
+                *known == label && Rc::ptr_eq(joined, &members) && self.bursts.get(label).is_some()
             });
-        if joined {
+        if is_current {
             return;
         }
-        let Some(with) = self.topology(&members) else {
+        let Some(topology) = self.topology(&members) else {
             return;
         };
         let oldest = manager::oldest(&self.knowledge, target, self.setting.rollout.bound);
-        self.bursts.join(target, oldest, with);
-        self.joined_with.replace(Some((label, members)));
+        self.bursts.join(target, oldest, topology);
+        self.joined_members.replace(Some((label, members)));
     }
 
     fn topology(&self, members: &[Descriptor]) -> Option<manager::Topology> {
-        let brief = self.knowledge.summary()?;
+        let summary = self.knowledge.summary()?;
         let identity = &self.setting.identity;
         let own = manager::member(
             self.host.name.to_string(),
@@ -114,92 +119,93 @@
             Role::Model,
         );
         Some(manager::Topology {
-            origin: brief.origin?,
-            origin_chunk_time: brief.chunk(),
+            origin: summary.origin?,
+            origin_chunk_time: summary.chunk(),
             members: members.to_vec(),
             own,
         })
     }
 
-    /// The older version that the replica takes while `newest` cannot be had, if it is empty and that
-    /// pays.
-    fn stopgap(&self, newest: &Target) -> Option<Target> {
-        let version = self.stopgap_version(newest);
+    /// Selects the older version that the replica loads while `newest` is not available, and joins its
+    /// burst. Returns `None` if the replica is not empty or if no older version is worthwhile.
+    fn select_fallback(&self, newest: &Target) -> Option<Target> {
+        let version = self.fallback_version(newest);
         let target = version.map(|version| Target {
             version,
             ..newest.clone()
         });
-        if *self.stopgap.borrow() != target {
-            log::info!(version:? = version; "version meanwhile");
-            self.stopgap.replace(target.clone());
+        if *self.fallback.borrow() != target {
+            log::info!(version:? = version; "fallback version changed");
+            self.fallback.replace(target.clone());
         }
         if let Some(target) = &target
-            && let Some(with) = self.topology(&self.listed())
+            && let Some(topology) = self.topology(&self.members())
         {
-            self.bursts.join_older(target, with);
+            self.bursts.join_older(target, topology);
         }
         target
     }
 
-    fn stopgap_version(&self, newest: &Target) -> Option<u64> {
+    fn fallback_version(&self, newest: &Target) -> Option<u64> {
         let empty = match &*self.state.borrow() {
             Some(state) => state.loaded(&newest.model).is_none() && !state.busy,
-            // It comes up, and will hold nothing.
-            None => self.comes_up_empty(),
+            // It is starting, and will have nothing loaded.
+            None => self.starts_empty(),
         };
         let label = newest.label();
         if !empty || self.host.store.borrow().complete(label) {
             return None;
         }
         let now = self.knowledge.now();
-        let outlook = self.bursts.get(label)?.availability(now);
-        let times = self.times()?;
+        let availability = self.bursts.get(label)?.availability(now);
+        let times = self.transfer_times()?;
         let catalog = self.knowledge.catalog.borrow();
-        let named = catalog.desired_versions(&newest.model);
-        let known = self.stopgap.borrow().as_ref().map(|target| target.version);
-        let hold = catalog.loaded_versions(&newest.model);
-        // One that is coming already is not left for another.
-        let chosen = known.filter(|version| {
-            let lacking = first_missing(named, *version);
-            let ends = lacking.map_or(now, |lacking| lacking.since + times.bound);
-            ends > now + SERVES_AFTER
+        let desired = catalog.desired_versions(&newest.model);
+        let current = self.fallback.borrow().as_ref().map(|target| target.version);
+        let loaded = catalog.loaded_versions(&newest.model);
+        // A fallback whose transfer has started is not replaced by another one.
+        let kept = current.filter(|version| {
+            let missing = first_missing(desired, *version);
+            let bound_end = missing.map_or(now, |missing| missing.since + times.bound);
+            bound_end > now + FALLBACK_REMAINING_MIN
         });
-        chosen.or_else(|| fallback::select(named, &hold, outlook, times, now))
+        kept.or_else(|| fallback::select(desired, &loaded, availability, times, now))
     }
 
-    fn times(&self) -> Option<fallback::TransferTimes> {
-        let brief = self.knowledge.summary()?;
-        let bytes = brief.engine.as_ref()?.weight_bytes();
+    fn transfer_times(&self) -> Option<fallback::TransferTimes> {
+        let summary = self.knowledge.summary()?;
+        let bytes = summary.engine.as_ref()?.weight_bytes();
         let rollout = self.setting.rollout;
-        let own = transfer_time(bytes, self.setting.link_mbps);
+        let local_copy = transfer_time(bytes, self.setting.link_mbps);
         Some(fallback::TransferTimes {
-            origin: brief.copy().unwrap_or(own),
-            local: own,
+            origin: summary.copy().unwrap_or(local_copy),
+            local: local_copy,
             bound: rollout.bound.saturating_sub(rollout.margin),
         })
     }
 
-    /// The members of the burst, listed anew when what is known of them changed, and now and then.
-    fn listed(&self) -> Rc<[Descriptor]> {
+    /// The members of the burst. The list is cached until the knowledge changes, and for at most
+    /// [`MEMBERS_MAX_AGE`].
+    fn members(&self) -> Rc<[Descriptor]> {
         let changes = *self.knowledge.changed.borrow();
         let now = self.knowledge.now();
-        if let Some(known) = self.roll.borrow().as_ref()
-            && known.changes == changes
-            && now.since(known.at) < ROLL_MAX
+        if let Some(cache) = self.member_cache.borrow().as_ref()
+            && cache.changes == changes
+            && now.since(cache.listed_at) < MEMBERS_MAX_AGE
         {
-            return known.members.clone();
+            return cache.members.clone();
         }
-        let members: Rc<[Descriptor]> = self.members().into();
-        self.roll.replace(Some(Roll {
+        let members: Rc<[Descriptor]> = self.list_members().into();
+        self.member_cache.replace(Some(MemberCache {
             changes,
-            at: now,
+            listed_at: now,
             members: members.clone(),
         }));
         members
     }
 
-    /// The processes beside the replicas of the own service, and the entries.
-    fn members(&self) -> Vec<Descriptor> {
+    /// Lists the sidecars of the own service's replicas, and the entries.
+    fn list_members(&self) -> Vec<Descriptor> {
         let service = {
             let catalog = self.knowledge.catalog.borrow();
             let mut records = catalog.replicas().values().map(|listed| &listed.record);
@@ -211,17 +217,17 @@
     }
 
     fn wave(&self, label: Digest, waves: u32) -> u32 {
-        let members = self.listed();
+        let members = self.members();
         let hall = &self.host.hall;
-        let fellows: Vec<&str> = members
+        let local_replicas: Vec<&str> = members
             .iter()
             .filter(|member| member.hall == *hall && member.role == Role::Model)
             .map(|member| &*member.name)
             .collect();
-        rollout::wave(label, &self.host.name, &fellows, waves)
+        rollout::wave(label, &self.host.name, &local_replicas, waves)
     }
 
-    /// Since when all chunks of the version `label` are here, if they are.
+    /// Since when all chunks of the version `label` are stored here, if they are.
     fn complete_since(&self, label: Digest) -> Option<Time> {
         if !self.host.store.borrow().complete(label) {
             return None;
@@ -232,25 +238,26 @@
         Some(since)
     }
 
+    /// Stages chunks of `target`, and executes the next step of its rollout.
     async fn advance(&self, target: &Target) {
         let label = target.label();
         let rollout = self.knowledge.rollout(self.setting.rollout);
         let state = {
             let state = self.state.borrow();
-            let Some(known) = state.as_ref() else {
+            let Some(state) = state.as_ref() else {
                 return;
             };
             rollout::State {
                 desired: target.version,
                 published_at: target.published,
-                loaded: known.loaded(&target.model),
-                busy: known.busy,
+                loaded: state.loaded(&target.model),
+                busy: state.busy,
                 complete_since: self.complete_since(label),
                 wave: self.wave(label, rollout.waves),
-                notice_since: self.noticed.get(),
+                notice_since: self.notice_since.get(),
             }
         };
-        // What a replica is taking in is left as it lies.
+        // Staged chunks are left unchanged while the replica is loading them.
         if state.loaded != Some(target.version) && !state.busy {
             self.stage(target, label).await;
         }
@@ -258,17 +265,17 @@
         match rollout::step(state, rollout, now) {
             Step::Idle => {
                 if state.loaded == Some(target.version) {
-                    self.set_noticed(None);
-                    self.staged.borrow_mut().ordered = None;
+                    self.set_notice_since(None);
+                    self.staged.borrow_mut().ordered_at = None;
                 }
             }
             Step::Receive | Step::AwaitWave | Step::AwaitNotice => {}
-            Step::BeginNotice => self.set_noticed(Some(now)),
+            Step::BeginNotice => self.set_notice_since(Some(now)),
             Step::Order => self.order(target, label).await,
         }
     }
 
-    /// Stages chunks that were verified since the last look.
+    /// Stages up to [`STAGE_BATCH`] verified chunks that are not staged yet.
     async fn stage(&self, target: &Target, label: Digest) {
         let chunks = self.host.store.borrow().progress(label).1;
         let missing: Vec<u32> = {
@@ -283,15 +290,16 @@
             (0..chunks as u32)
                 .filter(|chunk| !staged.chunks.contains(chunk))
                 .filter(|chunk| store.get(label, *chunk).is_some())
-                .take(STAGED_AT_ONCE)
+                .take(STAGE_BATCH)
                 .collect()
         };
         for chunk in missing {
-            self.stage_one(target, label, chunk).await;
+            self.stage_chunk(target, label, chunk).await;
         }
     }
 
-    async fn stage_one(&self, target: &Target, label: Digest, chunk: u32) -> bool {
+    /// Stages a chunk. Returns whether it succeeded.
+    async fn stage_chunk(&self, target: &Target, label: Digest, chunk: u32) -> bool {
         let Some(bytes) = self.host.store.borrow().get(label, chunk) else {
             return false;
         };
@@ -301,61 +309,64 @@
                 true
             }
             Err(error) => {
-                log::warn!(chunk; "not staged: {error}");
+                log::warn!(chunk; "cannot stage a chunk: {error}");
                 false
             }
         }
     }
 
-    /// Reads back what is staged, and mends what does not match.
-    async fn verify(&self, target: &Target, label: Digest) -> bool {
+    /// Reads back all staged chunks, and stages those again that are missing or don't match. Returns
+    /// whether all chunks are staged correctly.
+    async fn verify_staged(&self, target: &Target, label: Digest) -> bool {
         let chunks = self.host.store.borrow().progress(label).1 as u32;
         for chunk in 0..chunks {
             let staged = self.engine.staged(&target.model, chunk).await;
             let expected = self.host.store.borrow().get(label, chunk);
-            let good = matches!((&staged, &expected), (Ok(Some(found)), Some(due)) if found == due);
-            if good {
+            let matches =
+                matches!((&staged, &expected), (Ok(Some(found)), Some(due)) if found == due);
+            if matches {
                 continue;
             }
-            log::warn!(chunk, version = target.version; "staged chunk is bad or missing; staged anew");
-            if !self.stage_one(target, label, chunk).await {
+            log::warn!(chunk, version = target.version; "staged chunk is missing or does not match; staging it again");
+            if !self.stage_chunk(target, label, chunk).await {
                 return false;
             }
-            let again = self.engine.staged(&target.model, chunk).await;
-            if !matches!((again, expected), (Ok(Some(found)), Some(due)) if found == due) {
+            let restaged = self.engine.staged(&target.model, chunk).await;
+            if !matches!((restaged, expected), (Ok(Some(found)), Some(due)) if found == due) {
                 return false;
             }
         }
         chunks > 0
     }
 
+    /// Verifies the staged chunks and orders the replica to load them, if `target` is still wanted.
     async fn order(&self, target: &Target, label: Digest) {
         let now = self.knowledge.now();
-        let ordered = self.staged.borrow().ordered;
-        if ordered.is_some_and(|ordered| now.since(ordered) < ORDER_AGAIN) {
+        let ordered_at = self.staged.borrow().ordered_at;
+        if ordered_at.is_some_and(|ordered_at| now.since(ordered_at) < ORDER_RETRY_DELAY) {
             return;
         }
-        if !self.verify(target, label).await {
+        if !self.verify_staged(target, label).await {
             return;
         }
         let Some(newest) = self.target() else {
             return;
         };
-        let meanwhile = self.stopgap.borrow().as_ref().map(Target::label);
-        if newest.label() != label && meanwhile != Some(label) {
+        let fallback = self.fallback.borrow().as_ref().map(Target::label);
+        if newest.label() != label && fallback != Some(label) {
             return;
         }
-        self.staged.borrow_mut().ordered = Some(self.knowledge.now());
+        self.staged.borrow_mut().ordered_at = Some(self.knowledge.now());
         match self.engine.load(&target.model, target.version).await {
             Ok(Outcome::Accepted | Outcome::AlreadyLoaded) => {
                 let version = label.short();
                 self.host.audit(Deed::LoadOrdered { version });
-                log::info!(model = &*target.model, version = target.version; "change ordered");
+                log::info!(model = &*target.model, version = target.version; "switch ordered");
             }
             Ok(Outcome::Conflict) => {
-                log::warn!(version = target.version; "order does not fit the replica's state");
+                log::warn!(version = target.version; "the replica cannot execute the order in its current state");
             }
-            Err(error) => log::warn!(version = target.version; "order: {error}"),
+            Err(error) => log::warn!(version = target.version; "order failed: {error}"),
         }
     }
 }
