--- a/src/agent.rs
+++ b/src/agent.rs
@@ -1,5 +1,5 @@
-//! The agent: one small process in each target box's slot. It receives and relays weights, gives
-//! the engine fenced orders, and is the only door through which requests reach its target.
+//! The agent: one process in the slot of each target box. It receives and relays weights, sends fenced
+//! orders to the engine, and is the only proxy through which requests reach its target.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,45 +36,50 @@
 use crate::burst::host::{Connections, ContentOrigin, Host, Instruments, Origin};
 use crate::burst::{Burst, Holders, Options};
 
-/// Keys for requests that run at most once, kept at a time.
+/// Maximum number of keys for requests that run at most once.
 const KEYS_MAX: usize = 16_384;
 
-/// Longest answer that is kept for a repeat of its request, in bytes.
-const KEPT_ANSWER_MAX: usize = 16 * 1024;
+/// Maximum size of an answer that is stored for repeats of its request, in bytes.
+const STORED_ANSWER_MAX: usize = 16 * 1024;
 
-/// An agent's settings.
+/// Settings of an agent.
 #[derive(Debug, Clone)]
 pub struct Setting {
-    /// What all daemons share.
+    /// Settings common to all daemons.
     pub node: node::Setting,
-    /// The origin of weights.
+    /// URL of the origin of weights.
     pub origin_url: String,
-    /// The engine or service in this box.
+    /// Address of the engine or service in this box.
     pub target_address: SocketAddr,
-    /// Bytes of weights that this process may hold.
+    /// Maximum number of bytes of weights that this process may hold.
     pub memory_bytes: u64,
-    /// The burst.
+    /// Settings of the burst.
     pub spread: spread::Setting,
-    /// Keys of the inner hop.
+    /// Keys that authenticate requests between entries and agents.
     pub keyring: Keyring,
 }
 
-/// What the agent knows of its engine.
+/// The version gate: state of the engine and the versions that may receive requests.
 #[derive(Debug, Default)]
 struct Gate {
+    /// Incarnation of this process in fences; 0 before the engine has answered.
     incarnation: u64,
+    /// The engine's last report.
     engine: EngineState,
+    /// Versions whose load order the engine accepted from this process.
     ordered: BTreeSet<Digest>,
+    /// Versions that may receive requests.
     servable: Vec<Digest>,
+    /// Whether a process with a higher incarnation controls the engine.
     outranked: bool,
 }
 
-/// An agent. It lives on one thread.
+/// An agent. It is confined to one thread.
 #[derive(Debug)]
 pub struct Agent {
     /// Settings.
     pub setting: Setting,
-    /// The shared part.
+    /// State common to all daemons.
     pub node: Rc<Node>,
     host: Rc<Host>,
     origin: Rc<dyn Origin>,
@@ -85,13 +90,16 @@
     in_flight: RefCell<limit::Target>,
     ledger: RefCell<Ledger>,
     keyring: Keyring,
-    resumed: RefCell<BTreeMap<String, u64>>,
+    /// How often each unfinished stream was resumed, by request id.
+    resume_counts: RefCell<BTreeMap<String, u64>>,
+    /// Random identifier of this process.
     boot: u64,
-    reported: watch::Sender<u64>,
+    /// Number of changes of the report to entries.
+    report_changes: watch::Sender<u64>,
     instruments: status::Instruments,
 }
 
-/// A running agent. Dropping it stops its loops.
+/// A running agent. Dropping it stops its tasks.
 #[derive(Debug)]
 pub struct Running {
     /// The agent.
@@ -111,7 +119,7 @@
 }
 
 fn host(setting: &Setting, node: &Rc<Node>) -> Host {
-    let trail = node.clone();
+    let audit_node = node.clone();
     Host {
         name: setting.node.name.clone(),
         hall: setting.node.hall.clone(),
@@ -122,13 +130,13 @@
         instruments: Instruments::new(&node.metrics.meter()),
         bytes_sent: Cell::new(0),
         wake: tokio::sync::Notify::new(),
-        trail: Rc::new(move |deed| trail.audit(deed)),
+        trail: Rc::new(move |deed| audit_node.audit(deed)),
         local_chunks: None,
     }
 }
 
 impl Agent {
-    /// Starts an agent on the present thread.
+    /// Starts an agent on the current thread.
     pub fn start(
         setting: Setting,
         listener: TcpListener,
@@ -148,11 +156,11 @@
             leaving: Cell::new(false),
             tracker: Tracker::new(node.clock, &node.metrics.meter()),
             in_flight: RefCell::default(),
-            ledger: RefCell::new(Ledger::new(boot, KEYS_MAX, KEPT_ANSWER_MAX)),
+            ledger: RefCell::new(Ledger::new(boot, KEYS_MAX, STORED_ANSWER_MAX)),
             keyring: setting.keyring.clone(),
-            resumed: RefCell::default(),
+            resume_counts: RefCell::default(),
             boot,
-            reported: watch::Sender::new(0),
+            report_changes: watch::Sender::new(0),
             instruments: status::Instruments::new(&node.metrics.meter()),
             setting,
         });
@@ -167,25 +175,25 @@
         })
     }
 
-    /// Announces that the box leaves: it finishes its work and takes no more.
+    /// Announces that the box is leaving. Requests in progress are completed; no new ones are accepted.
     pub fn drain(&self) {
         if !self.leaving.replace(true) {
             self.node.audit(Deed::Draining);
-            self.report();
+            self.notify_report();
         }
     }
 
-    /// Bytes of chunks that were sent to other boxes.
+    /// Bytes of chunks sent to other boxes.
     pub fn chunk_bytes_sent(&self) -> u64 {
         self.host.bytes_sent.get()
     }
 
-    /// Versions that may take requests here.
+    /// Versions that may receive requests here.
     pub fn servable(&self) -> Vec<Digest> {
         self.gate.borrow().servable.clone()
     }
 
-    /// How fetches of chunks ended, over all versions.
+    /// Outcomes of chunk fetches, over all versions.
     pub fn tally(&self) -> Tally {
         let mut sum = Tally::default();
         for burst in self.bursts.borrow().values() {
@@ -194,14 +202,14 @@
         sum
     }
 
-    /// Counts the changes of what entries are told.
+    /// Subscribes to the number of changes of the report to entries.
     pub fn reports(&self) -> watch::Receiver<u64> {
-        self.reported.subscribe()
+        self.report_changes.subscribe()
     }
 
-    /// Tells those who listen that the report changed.
-    fn report(&self) {
-        self.reported.send_modify(|count| *count += 1);
+    /// Notifies subscribers that the report has changed.
+    fn notify_report(&self) {
+        self.report_changes.send_modify(|count| *count += 1);
     }
 
     async fn follow_changes(self: Rc<Self>) {
@@ -214,11 +222,11 @@
         }
     }
 
-    /// Brings the bursts to what configuration and boxes ask for.
+    /// Starts and updates bursts according to the configuration and the list of boxes.
     fn reconcile(self: &Rc<Self>) {
         let view = self.node.view.borrow();
         if view.get(&self.node.setting.name).is_none() {
-            // Until the list shows this box, what it should carry is unknown; let nothing go.
+            // Until this box is listed, its assignment is unknown, so no version is released.
             return;
         }
         let demands = placement::demands(&self.node.book.borrow());
@@ -234,35 +242,35 @@
         lookup: impl Fn(&str) -> Option<Descriptor>,
     ) {
         let own = &self.node.setting.name;
-        let carried = assignment
+        let assigned = assignment
             .boxes
             .get(own)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        for carry in carried {
+        for artifact in assigned {
             let options = Options {
                 peers_only: false,
                 origin_chunk_time: None,
-                favour: carry.favour,
+                favour: artifact.favour,
                 holders: Holders::Nobody,
             };
             let members: Vec<Descriptor> = assignment
-                .holders(carry.digest)
+                .holders(artifact.digest)
                 .filter_map(|name| lookup(name))
                 .collect();
             let burst = self
                 .bursts
                 .borrow_mut()
-                .entry(carry.digest)
+                .entry(artifact.digest)
                 .or_insert_with(|| {
-                    Burst::start(&self.host, self.origin.clone(), carry.digest, options)
+                    Burst::start(&self.host, self.origin.clone(), artifact.digest, options)
                 })
                 .clone();
             burst.set_wanted(true);
             burst.set_members(&self.host, members);
         }
         for (digest, burst) in self.bursts.borrow().iter() {
-            if !carried.iter().any(|carry| carry.digest == *digest) {
+            if !assigned.iter().any(|artifact| artifact.digest == *digest) {
                 burst.set_wanted(false);
             }
         }
--- a/src/agent/daemon.rs
+++ b/src/agent/daemon.rs
@@ -1,4 +1,4 @@
-//! `pumicelatch-agent`: an agent as a process of its own.
+//! The program `pumicelatch-agent`, which runs an agent.
 
 use super::{Agent, Setting};
 use crate::daemon::{self, Error, SPECS};
@@ -8,11 +8,11 @@
 use crate::spread;
 use crate::stop::{self, ANNOUNCE_PERIOD};
 
-/// The program's name.
+/// Name of the program.
 pub const PROGRAM: &str = "pumicelatch-agent";
 
 const SUMMARY: &str =
-    "Receives and relays model weights, orders the engine in its box, and is the door
+    "Receives and relays model weights, sends orders to the engine in its box, and is the proxy
 through which requests reach it.";
 
 const OWN_SPECS: [Spec; 5] = [
@@ -64,7 +64,7 @@
     Ok((setting, common))
 }
 
-/// Runs until a planned stop is over.
+/// Runs the agent until a planned stop is over.
 pub async fn run() -> Result<(), Error> {
     let specs: Vec<Spec> = SPECS.iter().chain(&OWN_SPECS).copied().collect();
     let Some(values) = daemon::values(PROGRAM, SUMMARY, &specs)? else {
@@ -79,9 +79,9 @@
     log::info!(address:% = setting.node.listen, version = env!("CARGO_PKG_VERSION"); "listening");
     let running = Agent::start(setting, http::adopt(listener)?, http::plain())?;
     daemon::stop_signal().await?;
-    log::info!("planned stop");
+    log::info!("planned stop begins");
     running.agent.drain();
-    // Entries take up and cancel here what this agent has under way.
+    // Connections are still accepted because entries resume and cancel requests in progress over them.
     let setting = stop::Setting {
         time_limit: ANNOUNCE_PERIOD + common.drain,
         reachable: true,
--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -1,4 +1,4 @@
-//! Brings the engine to what is wanted, under the present fence, and keeps the version gate.
+//! Brings the engine to the desired state under the current fence, and maintains the version gate.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,78 +11,83 @@
 use crate::version::{self, Command, EngineState, Fence, LoadState, LocalState, Order, OrderKind};
 use crate::weight::Digest;
 
-/// How often the engine is asked for its state.
-const POLL: Duration = Duration::from_millis(250);
+/// Interval at which the engine's state is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often while it loads something.
-const POLL_LOADING: Duration = Duration::from_millis(30);
+/// Interval at which the engine's state is polled while it is loading a version.
+const POLL_INTERVAL_LOADING: Duration = Duration::from_millis(30);
 
-/// How long the engine may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a request to the engine.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest answer of the engine.
+/// Maximum size of an answer of the engine, in bytes.
 const ANSWER_MAX: usize = 1 << 20;
 
-/// A loop that comes round this late was paused, and what it believes may be old.
-const PAUSED: Duration = Duration::from_secs(2);
+/// Time between two polls after which the process is assumed to have been paused, so that its
+/// configuration may be outdated.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// How long a process that was paused waits for fresh configuration before it goes on with what it
-/// has: a hall that is cut off must go on.
-const LOOK_AGAIN: Duration = Duration::from_secs(3);
+/// How long a process that was paused waits for a current configuration. It then continues with the
+/// one that it has, because a disconnected hall must keep working.
+const CONFIG_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Runs until dropped.
+/// Polls and commands the engine until dropped.
 pub async fn run(agent: Rc<Agent>) {
-    let mut last_pass = agent.node.clock.now();
+    let mut last_poll = agent.node.clock.now();
     loop {
-        let pause = if agent.loading() { POLL_LOADING } else { POLL };
-        let _ = actix_rt::time::timeout(pause, agent.host.wake.notified()).await;
-        look_again_after_pause(&agent, last_pass).await;
-        last_pass = agent.node.clock.now();
+        let interval = if agent.loading() {
+            POLL_INTERVAL_LOADING
+        } else {
+            POLL_INTERVAL
+        };
+        let _ = actix_rt::time::timeout(interval, agent.host.wake.notified()).await;
+        refresh_after_pause(&agent, last_poll).await;
+        last_poll = agent.node.clock.now();
         if agent.setting.node.role == crate::member::Role::Model {
-            pass(&agent).await;
+            poll(&agent).await;
         }
     }
 }
 
-/// A process that was paused looks at the configuration again before it gives orders.
-async fn look_again_after_pause(agent: &Agent, last_pass: Time) {
-    if agent.node.clock.now().since(last_pass) < PAUSED {
+/// If the process was paused, waits for a current configuration before orders are sent.
+async fn refresh_after_pause(agent: &Agent, last_poll: Time) {
+    if agent.node.clock.now().since(last_poll) < PAUSE_THRESHOLD {
         return;
     }
-    log::warn!("this process was paused; looking again before giving orders");
+    log::warn!("process was paused; waiting for a current configuration before sending orders");
     agent.node.ready.send_replace(false);
     let mut ready = agent.node.ready.subscribe();
-    let _ = actix_rt::time::timeout(LOOK_AGAIN, ready.wait_for(|ready| *ready)).await;
+    let _ = actix_rt::time::timeout(CONFIG_TIMEOUT, ready.wait_for(|ready| *ready)).await;
     agent.node.ready.send_replace(true);
 }
 
-async fn pass(agent: &Rc<Agent>) {
-    let Ok(state) = engine_state(agent).await else {
-        // An engine that does not answer serves nothing.
-        agent.take_engine_state(EngineState::default());
+async fn poll(agent: &Rc<Agent>) {
+    let Ok(state) = fetch_state(agent).await else {
+        // No version is servable at an engine that does not answer.
+        agent.apply_engine_state(EngineState::default());
         return;
     };
-    if !agent.take_charge(&state) {
-        agent.take_engine_state(EngineState::default());
+    if !agent.acquire_control(&state) {
+        agent.apply_engine_state(EngineState::default());
         return;
     }
-    agent.take_engine_state(state);
-    if !*agent.node.ready.borrow() || agent.bursts_unknown() {
+    agent.apply_engine_state(state);
+    if !*agent.node.ready.borrow() || agent.is_assignment_unknown() {
         return;
     }
-    for step in agent.steps() {
-        order(agent, step).await;
+    for command in agent.commands() {
+        send_order(agent, command).await;
     }
-    agent.release();
+    agent.release_unused();
 }
 
-async fn engine_state(agent: &Agent) -> Result<EngineState, Error> {
+async fn fetch_state(agent: &Agent) -> Result<EngineState, Error> {
     let url = format!("http://{}/v1/state", agent.setting.target_address);
-    http::get_json(&agent.node.client.0, &url, ANSWER_MAX, TIMEOUT).await
+    http::get_json(&agent.node.client.0, &url, ANSWER_MAX, ANSWER_TIMEOUT).await
 }
 
-async fn order(agent: &Agent, step: Command) {
-    let kind = match step {
+async fn send_order(agent: &Agent, command: Command) {
+    let kind = match command {
         Command::Unload(digest) => OrderKind::Unload { digest },
         Command::Load(digest) => OrderKind::Load {
             digest,
@@ -100,9 +105,9 @@
         kind,
     };
     let url = format!("http://{}/v1/orders", agent.setting.target_address);
-    let taken: Result<Fence, Error> =
-        http::post_json(&agent.node.client.0, &url, &order, TIMEOUT).await;
-    match (taken, step) {
+    let accepted: Result<Fence, Error> =
+        http::post_json(&agent.node.client.0, &url, &order, ANSWER_TIMEOUT).await;
+    match (accepted, command) {
         (Ok(_), Command::Load(digest)) => {
             agent.gate.borrow_mut().ordered.insert(digest);
             agent.node.audit(Deed::LoadOrdered {
@@ -112,7 +117,7 @@
         (Ok(_), Command::Unload(digest)) => {
             agent.gate.borrow_mut().ordered.remove(&digest);
         }
-        (Err(error), _) => log::warn!("order refused: {error}"),
+        (Err(error), _) => log::warn!("order to the engine failed: {error}"),
     }
 }
 
@@ -122,54 +127,54 @@
         gate.engine
             .versions
             .values()
-            .any(|residence| *residence == LoadState::Loading)
+            .any(|load_state| *load_state == LoadState::Loading)
     }
 
-    /// Whether it is still unknown what this box should carry.
-    fn bursts_unknown(&self) -> bool {
+    /// Whether the assignment of weights to this box is still unknown.
+    fn is_assignment_unknown(&self) -> bool {
         let view = self.node.view.borrow();
         view.get(&self.node.setting.name).is_none()
     }
 
-    /// Takes the engine under this process's incarnation. Returns whether it is in charge: once
-    /// another process has outranked it, it never is again.
-    fn take_charge(&self, state: &EngineState) -> bool {
+    /// Acquires control of the engine under this process's incarnation. Returns whether the process is in
+    /// control. It never is again after another process has outranked it.
+    fn acquire_control(&self, state: &EngineState) -> bool {
         let mut gate = self.gate.borrow_mut();
         if gate.incarnation == 0 {
             gate.incarnation = Fence::next_incarnation(state.highest_fence, unix_millis());
         }
-        let in_charge = state.highest_fence.incarnation <= gate.incarnation;
-        if !in_charge && !gate.outranked {
+        let in_control = state.highest_fence.incarnation <= gate.incarnation;
+        if !in_control && !gate.outranked {
             gate.outranked = true;
             drop(gate);
             self.node.audit(Deed::Outranked);
         }
-        in_charge
+        in_control
     }
 
-    /// Takes the engine's report, and opens or closes the gate of each version.
-    fn take_engine_state(&self, state: EngineState) {
+    /// Applies the engine's report, and updates which versions are servable.
+    fn apply_engine_state(&self, state: EngineState) {
         let mut gate = self.gate.borrow_mut();
-        // A version that the engine lost, with a restart perhaps, has to be ordered anew.
+        // A version that the engine has lost, for example in a restart, has to be ordered again.
         gate.ordered
             .retain(|digest| state.versions.contains_key(digest));
-        let load_changed = gate.engine.capacity != state.capacity;
+        let capacity_changed = gate.engine.capacity != state.capacity;
         self.in_flight.borrow_mut().set_capacity(state.capacity);
         gate.engine = state;
         drop(gate);
         let servable: Vec<Digest> = self
-            .locals()
+            .local_states()
             .into_iter()
             .filter(|(digest, local)| {
-                let residence = self.gate.borrow().engine.versions.get(digest).copied();
-                version::servable(*local, residence)
+                let load_state = self.gate.borrow().engine.versions.get(digest).copied();
+                version::servable(*local, load_state)
             })
             .map(|(digest, _)| digest)
             .collect();
-        self.set_servable(servable, load_changed);
+        self.set_servable(servable, capacity_changed);
     }
 
-    fn set_servable(&self, servable: Vec<Digest>, load_changed: bool) {
+    fn set_servable(&self, servable: Vec<Digest>, capacity_changed: bool) {
         let before = std::mem::replace(&mut self.gate.borrow_mut().servable, servable.clone());
         for digest in servable.iter().filter(|digest| !before.contains(digest)) {
             self.node.audit(Deed::Servable {
@@ -181,12 +186,12 @@
                 version: digest.short(),
             });
         }
-        if before != servable || load_changed {
-            self.report();
+        if before != servable || capacity_changed {
+            self.notify_report();
         }
     }
 
-    fn locals(&self) -> BTreeMap<Digest, LocalState> {
+    fn local_states(&self) -> BTreeMap<Digest, LocalState> {
         let store = self.host.store.borrow();
         let gate = self.gate.borrow();
         let in_flight = self.in_flight.borrow();
@@ -205,21 +210,21 @@
             .collect()
     }
 
-    fn steps(&self) -> Vec<Command> {
-        version::plan(&self.locals(), &self.gate.borrow().engine)
+    fn commands(&self) -> Vec<Command> {
+        version::plan(&self.local_states(), &self.gate.borrow().engine)
     }
 
-    /// Lets go of versions that no configuration, request, peer or engine needs.
-    fn release(&self) {
+    /// Releases versions that no configuration, request, peer or engine needs.
+    fn release_unused(&self) {
         let now = self.node.clock.now();
         let released: Vec<Digest> = self
             .bursts
             .borrow()
             .iter()
             .filter(|(digest, burst)| {
-                let held = self.gate.borrow().engine.versions.contains_key(digest);
+                let at_engine = self.gate.borrow().engine.versions.contains_key(digest);
                 let used = self.in_flight.borrow().on_version(**digest) > 0;
-                burst.releasable(now) && !held && !used
+                burst.releasable(now) && !at_engine && !used
             })
             .map(|(digest, _)| *digest)
             .collect();
--- a/src/agent/proxy.rs
+++ b/src/agent/proxy.rs
@@ -1,5 +1,5 @@
-//! The door to the target: admits requests from entries, hands them over, and is truthful about
-//! whether they ran.
+//! Proxy to the target: admits requests from entries, forwards them, and states in each response
+//! whether the request was executed, as far as that is known.
 
 use std::io;
 use std::pin::Pin;
@@ -25,83 +25,83 @@
 use crate::weight::Digest;
 use crate::wire::header;
 
-/// Longest body of a request.
+/// Maximum size of a request's body, in bytes.
 pub const BODY_MAX: usize = 4 << 20;
 
-/// Longest answer of a keyed request, which is gathered before it is sent on.
-const GATHERED_MAX: usize = 16 << 20;
+/// Maximum size of an answer that is buffered before it is forwarded, in bytes.
+const BUFFERED_ANSWER_MAX: usize = 16 << 20;
 
-/// Longest answer of a plain service that is passed on in one piece.
-const SHORT_ANSWER: usize = 64 << 10;
+/// Maximum size of a plain service's answer that is forwarded in one piece, in bytes.
+const SHORT_ANSWER_MAX: usize = 64 << 10;
 
-/// How long a broken stream may be taken up again before the engine is told to stop.
+/// How long a broken stream may be resumed before its request is cancelled at the engine.
 const RESUME_GRACE: Duration = Duration::from_secs(2);
 
-/// How long the target may take to answer a cancellation.
+/// Timeout of a cancellation at the target.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a request was not admitted, or what became of one that was.
+/// Reason for a response that is not the target's own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The caller of this door has no valid proof.
+    /// The sender has no valid proof.
     Forbidden,
-    /// A header is missing or wrong.
+    /// A header is missing or invalid, or the body can't be read.
     Malformed,
-    /// The target takes no more work.
+    /// The target is leaving and accepts no new requests.
     Leaving,
     /// The target does not serve the version or service.
     NotServable,
-    /// Its queue is full.
+    /// The target's queue is full, or no more keys can be issued.
     Full,
     /// The deadline cannot be met.
     Deadline,
     /// The target could not be reached.
     TargetDown,
-    /// The key's request is running.
+    /// The request with this key is running.
     InProgress,
-    /// The key is unknown here: whether its request ran is not known.
+    /// The key is unknown here, so it is not known whether its request was executed.
     NoSuchKey,
-    /// The target was handed the request, and how that ended is not known.
+    /// The request was sent to the target, and its outcome is not known.
     Lost,
-    /// The request ran, and its answer was too long to keep.
+    /// The request was executed, but its answer was too large to be stored.
     AnswerNotKept,
     /// The engine does not know the stream that was to be resumed.
     NoSuchStream,
 }
 
-/// An answer that is not the target's own.
+/// Body of a response that is not the target's own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Error {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When to come back, in milliseconds; 0 when that is not known.
+    /// Milliseconds after which to retry; 0 if not known.
     pub retry_after_ms: u64,
 }
 
-/// What a request is for.
+/// What a request is addressed to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Wanted {
+enum Resource {
     Version(Digest),
     Service,
 }
 
-/// A request at the door.
+/// A request from an entry.
 #[derive(Debug, Clone)]
 struct Job {
     id: String,
-    wanted: Wanted,
+    resource: Resource,
     path: String,
     repeatable: bool,
     customer: String,
     priority: Priority,
     deadline: Duration,
     key: Option<Key>,
-    /// The token at which a broken answer is to be taken up; `None` for a new request.
+    /// The token from which a broken answer is resumed; `None` for a new request.
     resume_at: Option<u32>,
 }
 
-/// The headers that a proof covers, in order.
+/// The headers that a proof covers, in this order.
 pub const SIGNED_HEADERS: [&str; 9] = [
     header::REQUEST,
     header::VERSION,
@@ -114,19 +114,20 @@
     header::REPEATABLE,
 ];
 
-fn text<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
+fn header_text<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-fn proven(agent: &Agent, request: &Request) -> bool {
+/// Whether a request has a valid proof.
+fn is_authentic(agent: &Agent, request: &Request) -> bool {
     let parts: Vec<&str> = std::iter::once(request.path())
-        .chain(SIGNED_HEADERS.map(|name| text(request, name).unwrap_or_default()))
+        .chain(SIGNED_HEADERS.map(|name| header_text(request, name).unwrap_or_default()))
         .collect();
-    let verdict = agent
+    let result = agent
         .keyring
-        .verify(text(request, header::PROOF), unix_millis(), &parts);
-    if let Err(refusal) = verdict {
-        log::warn!("request at the door refused: {refusal}");
+        .verify(header_text(request, header::PROOF), unix_millis(), &parts);
+    if let Err(refusal) = result {
+        log::warn!("request without a valid proof refused: {refusal}");
         return false;
     }
     true
@@ -134,36 +135,36 @@
 
 impl Job {
     fn read(agent: &Agent, request: &Request) -> Option<Self> {
-        let wanted = match (
-            text(request, header::VERSION),
-            text(request, header::SERVICE),
+        let resource = match (
+            header_text(request, header::VERSION),
+            header_text(request, header::SERVICE),
         ) {
-            (Some(digest), None) => Wanted::Version(digest.parse().ok()?),
+            (Some(digest), None) => Resource::Version(digest.parse().ok()?),
             (None, Some(name)) if agent.node.setting.role == Role::Service(name.to_owned()) => {
-                Wanted::Service
+                Resource::Service
             }
             _ => return None,
         };
-        let key = match text(request, header::KEY) {
+        let key = match header_text(request, header::KEY) {
             Some(key) => Some(key.parse().ok()?),
             None => None,
         };
-        let resume_at = match text(request, header::FROM) {
+        let resume_at = match header_text(request, header::FROM) {
             Some(token) => Some(token.parse().ok()?),
             None => None,
         };
-        let millis: u64 = text(request, header::DEADLINE)?.parse().ok()?;
-        let priority = match text(request, header::PRIORITY) {
+        let millis: u64 = header_text(request, header::DEADLINE)?.parse().ok()?;
+        let priority = match header_text(request, header::PRIORITY) {
             Some("low") => Priority::Low,
             Some("high") => Priority::High,
             _ => Priority::Normal,
         };
         Some(Self {
-            id: text(request, header::REQUEST)?.to_owned(),
-            wanted,
-            path: text(request, header::PATH).unwrap_or("/").to_owned(),
-            repeatable: text(request, header::REPEATABLE) == Some("yes"),
-            customer: text(request, header::CUSTOMER)?.to_owned(),
+            id: header_text(request, header::REQUEST)?.to_owned(),
+            resource,
+            path: header_text(request, header::PATH).unwrap_or("/").to_owned(),
+            repeatable: header_text(request, header::REPEATABLE) == Some("yes"),
+            customer: header_text(request, header::CUSTOMER)?.to_owned(),
             priority,
             deadline: Duration::from_millis(millis),
             key,
@@ -172,25 +173,30 @@
     }
 
     fn version(&self) -> Option<Digest> {
-        match self.wanted {
-            Wanted::Version(digest) => Some(digest),
-            Wanted::Service => None,
+        match self.resource {
+            Resource::Version(digest) => Some(digest),
+            Resource::Service => None,
         }
     }
 }
 
-fn turned(code: StatusCode, admitted: &'static str, reason: Reason, after: Duration) -> Answer {
+fn error_response(
+    code: StatusCode,
+    admitted: &'static str,
+    reason: Reason,
+    retry_after: Duration,
+) -> Answer {
     let body = Error {
         reason,
-        retry_after_ms: after.as_millis() as u64,
+        retry_after_ms: retry_after.as_millis() as u64,
     };
     let mut answer = http::json(code, &body);
-    set(&mut answer, header::ADMITTED, admitted);
+    set_header(&mut answer, header::ADMITTED, admitted);
     answer
 }
 
 pub(super) fn not_admitted(reason: Reason) -> Answer {
-    turned(
+    error_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "no",
         reason,
@@ -199,10 +205,10 @@
 }
 
 fn unknown(reason: Reason) -> Answer {
-    turned(StatusCode::BAD_GATEWAY, "unknown", reason, Duration::ZERO)
+    error_response(StatusCode::BAD_GATEWAY, "unknown", reason, Duration::ZERO)
 }
 
-fn set(answer: &mut Answer, name: &'static str, value: &str) {
+fn set_header(answer: &mut Answer, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         answer
             .headers_mut()
@@ -212,8 +218,8 @@
 
 /// Issues a key for a request that must run at most once.
 pub fn issue_key(agent: &Agent, request: &Request) -> Answer {
-    if !proven(agent, request) {
-        return turned(
+    if !is_authentic(agent, request) {
+        return error_response(
             StatusCode::FORBIDDEN,
             "no",
             Reason::Forbidden,
@@ -223,7 +229,7 @@
     if agent.leaving.get() {
         return not_admitted(Reason::Leaving);
     }
-    let Some(customer) = text(request, header::CUSTOMER) else {
+    let Some(customer) = header_text(request, header::CUSTOMER) else {
         return not_admitted(Reason::Malformed);
     };
     let secret = rand::rng().random();
@@ -237,10 +243,10 @@
     }
 }
 
-/// Tells the engine to stop working on a request whose caller went away.
+/// Cancels a request at the engine because its caller has disconnected.
 pub async fn cancel(agent: &Rc<Agent>, request: &Request, id: &str) -> Answer {
-    if !proven(agent, request) {
-        return turned(
+    if !is_authentic(agent, request) {
+        return error_response(
             StatusCode::FORBIDDEN,
             "no",
             Reason::Forbidden,
@@ -257,10 +263,10 @@
     let _ = actix_rt::time::timeout(CANCEL_TIMEOUT, request).await;
 }
 
-/// Takes a request to the target.
+/// Runs a request at the target.
 pub async fn run(agent: Rc<Agent>, mut request: Request) -> Answer {
-    if !proven(&agent, &request) {
-        return turned(
+    if !is_authentic(&agent, &request) {
+        return error_response(
             StatusCode::FORBIDDEN,
             "no",
             Reason::Forbidden,
@@ -276,14 +282,14 @@
     };
     let answer = match &job.key {
         Some(key) => run_keyed(agent.clone(), job.clone(), key.clone(), body, arrived).await,
-        None => run_once(&agent, &job, body, arrived).await,
+        None => run_unkeyed(&agent, &job, body, arrived).await,
     };
-    agent.instruments.request(admitted_name(&answer));
+    agent.instruments.request(admitted_label(&answer));
     answer
 }
 
-/// What the answer says of whether its request was admitted.
-fn admitted_name(answer: &Answer) -> &'static str {
+/// The label of an answer's request in metrics: whether it was admitted.
+fn admitted_label(answer: &Answer) -> &'static str {
     match answer.headers().get(header::ADMITTED) {
         Some(value) if value == "yes" => "yes",
         Some(value) if value == "no" => "no",
@@ -291,78 +297,81 @@
     }
 }
 
-/// Whether the target may take the job now.
+/// Checks whether the target may execute the job now. Otherwise returns the response to send.
 fn admit(agent: &Agent, job: &Job, arrived: Time) -> Result<(), Answer> {
     if agent.leaving.get() && job.resume_at.is_none() {
         return Err(not_admitted(Reason::Leaving));
     }
-    if let Wanted::Version(digest) = job.wanted
+    if let Resource::Version(digest) = job.resource
         && !agent.gate.borrow().servable.contains(&digest)
     {
         return Err(not_admitted(Reason::NotServable));
     }
-    let spent = agent.node.clock.now().since(arrived);
-    let remaining = job.deadline.saturating_sub(spent);
-    let verdict = agent.in_flight.borrow().check(job.priority, remaining);
-    verdict.map_err(|refusal| {
-        let (reason, after) = match refusal {
+    let elapsed = agent.node.clock.now().since(arrived);
+    let remaining = job.deadline.saturating_sub(elapsed);
+    let decision = agent.in_flight.borrow().check(job.priority, remaining);
+    decision.map_err(|refusal| {
+        let (reason, retry_after) = match refusal {
             Refusal::Full { retry_after } => (Reason::Full, retry_after),
             Refusal::Deadline { retry_after } => (Reason::Deadline, retry_after),
             Refusal::Customer { .. } => (Reason::Full, Duration::ZERO),
         };
-        turned(StatusCode::SERVICE_UNAVAILABLE, "no", reason, after)
+        error_response(StatusCode::SERVICE_UNAVAILABLE, "no", reason, retry_after)
     })
 }
 
-/// Counts a request at the target for as long as it lives.
-struct Flight {
+/// Counts a request as in flight at the target until dropped.
+struct Guard {
     agent: Rc<Agent>,
     version: Option<Digest>,
-    began: Time,
-    whole: bool,
+    started_at: Time,
+    completed: bool,
 }
 
-impl Flight {
+impl Guard {
     fn new(agent: &Rc<Agent>, version: Option<Digest>) -> Self {
         agent.in_flight.borrow_mut().begin(version);
         Self {
             agent: agent.clone(),
             version,
-            began: agent.node.clock.now(),
-            whole: false,
+            started_at: agent.node.clock.now(),
+            completed: false,
         }
     }
 }
 
-impl Drop for Flight {
+impl Drop for Guard {
     fn drop(&mut self) {
-        let took = self.agent.node.clock.now().since(self.began);
-        let took = self.whole.then_some(took);
-        self.agent.in_flight.borrow_mut().end(self.version, took);
+        let duration = self.agent.node.clock.now().since(self.started_at);
+        let duration = self.completed.then_some(duration);
+        self.agent
+            .in_flight
+            .borrow_mut()
+            .end(self.version, duration);
     }
 }
 
-/// How handing a job to the target failed.
+/// Failure to send a job to the target.
 enum Failure {
-    /// The target surely did not take it.
+    /// The target did not execute it.
     NotRun(Reason),
-    /// It may have.
+    /// The target may have executed it.
     Unknown,
 }
 
-async fn hand_over(agent: &Agent, job: &Job, body: Bytes) -> Result<Response, Failure> {
-    let mut request = match job.wanted {
-        Wanted::Version(_) if job.resume_at.is_some() => {
+async fn send_to_target(agent: &Agent, job: &Job, body: Bytes) -> Result<Response, Failure> {
+    let mut request = match job.resource {
+        Resource::Version(_) if job.resume_at.is_some() => {
             exchange::Request::new(Method::GET, format!("/v1/streams/{}", job.id))
         }
-        Wanted::Version(_) => exchange::Request::new(Method::POST, "/v1/generate"),
-        Wanted::Service => exchange::Request::new(Method::POST, job.path.as_str()),
+        Resource::Version(_) => exchange::Request::new(Method::POST, "/v1/generate"),
+        Resource::Service => exchange::Request::new(Method::POST, job.path.as_str()),
     };
     request.headers.push((header::REQUEST, job.id.clone()));
     if let Some(token) = job.resume_at {
         request.headers.push((header::FROM, token.to_string()));
     }
-    if let Wanted::Version(digest) = job.wanted {
+    if let Resource::Version(digest) = job.resource {
         request.headers.push((header::VERSION, digest.to_string()));
     }
     request.body = body;
@@ -380,10 +389,11 @@
     })
 }
 
-/// A model engine says by its status that it did not take a request.
-fn refused(job: &Job, status: StatusCode) -> Option<Reason> {
-    match (&job.wanted, status) {
-        (Wanted::Service, _) | (_, StatusCode::OK) => None,
+/// The reason for which a model engine rejected a request, according to its status; `None` if it accepted
+/// the request.
+fn rejection_reason(job: &Job, status: StatusCode) -> Option<Reason> {
+    match (&job.resource, status) {
+        (Resource::Service, _) | (_, StatusCode::OK) => None,
         (_, StatusCode::CONFLICT) => Some(Reason::NotServable),
         (_, StatusCode::NOT_FOUND) => Some(Reason::NoSuchStream),
         (_, status) if status.is_client_error() => Some(Reason::Malformed),
@@ -391,48 +401,48 @@
     }
 }
 
-async fn run_once(agent: &Rc<Agent>, job: &Job, body: Bytes, arrived: Time) -> Answer {
+async fn run_unkeyed(agent: &Rc<Agent>, job: &Job, body: Bytes, arrived: Time) -> Answer {
     if let Err(answer) = admit(agent, job, arrived) {
         return answer;
     }
-    let flight = Flight::new(agent, job.version());
+    let guard = Guard::new(agent, job.version());
     if job.resume_at.is_some() {
-        let mut resumed = agent.resumed.borrow_mut();
+        let mut resumed = agent.resume_counts.borrow_mut();
         *resumed.entry(job.id.clone()).or_default() += 1;
     }
-    let response = match hand_over(agent, job, body).await {
+    let response = match send_to_target(agent, job, body).await {
         Ok(response) => response,
         Err(Failure::NotRun(reason)) => return not_admitted(reason),
         Err(Failure::Unknown) => return unknown(Reason::Lost),
     };
-    if let Some(reason) = refused(job, response.status) {
+    if let Some(reason) = rejection_reason(job, response.status) {
         return not_admitted(reason);
     }
-    if job.wanted == Wanted::Service && is_short(&response) {
-        return forward_short(response, flight).await;
+    if job.resource == Resource::Service && is_short(&response) {
+        return forward_short(response, guard).await;
     }
-    forward(job, response, flight)
+    forward(job, response, guard)
 }
 
-/// Whether an answer says that it is short enough to be passed on in one piece.
+/// Whether an answer is short enough to be forwarded in one piece, according to its Content-Length.
 fn is_short(response: &Response) -> bool {
     let length = response.header("content-length").parse::<usize>();
-    length.is_ok_and(|length| length <= SHORT_ANSWER)
+    length.is_ok_and(|length| length <= SHORT_ANSWER_MAX)
 }
 
-/// Passes on a short answer in one piece, which spares both sides several wakeups.
-async fn forward_short(response: Response, mut flight: Flight) -> Answer {
-    match gather_answer(response).await {
+/// Forwards a short answer in one piece, which saves wakeups on both sides.
+async fn forward_short(response: Response, mut guard: Guard) -> Answer {
+    match buffer_answer(response).await {
         Some(answer) => {
-            flight.whole = true;
-            stored(answer)
+            guard.completed = true;
+            buffered_response(answer)
         }
         None => unknown(Reason::Lost),
     }
 }
 
-/// Passes the target's answer on as it comes.
-fn forward(job: &Job, response: Response, flight: Flight) -> Answer {
+/// Forwards the target's answer as it arrives.
+fn forward(job: &Job, response: Response, guard: Guard) -> Answer {
     let status = response.status;
     let copied: Vec<(HeaderName, HeaderValue)> = ["content-type", header::VERSION]
         .into_iter()
@@ -444,23 +454,23 @@
     let relay = Relay {
         response,
         id: job.id.clone(),
-        cancels: matches!(job.wanted, Wanted::Version(_)),
-        flight,
+        cancellable: matches!(job.resource, Resource::Version(_)),
+        guard,
     };
     let mut answer = http::stream(status, "application/octet-stream", relay);
     for (name, value) in copied {
         answer.headers_mut().insert(name, value);
     }
-    set(&mut answer, header::ADMITTED, "yes");
+    set_header(&mut answer, header::ADMITTED, "yes");
     answer
 }
 
-/// An answer on its way from the target to the entry.
+/// Body of an answer that is streamed from the target to the entry.
 struct Relay {
     response: Response,
     id: String,
-    cancels: bool,
-    flight: Flight,
+    cancellable: bool,
+    guard: Guard,
 }
 
 impl Stream for Relay {
@@ -469,45 +479,45 @@
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         let part = std::task::ready!(self.response.poll_next_unpin(cx));
         if part.is_none() {
-            self.flight.whole = true;
-            // Nobody takes up an answer that is whole, so its count need not be kept.
-            let agent = self.flight.agent.clone();
-            agent.resumed.borrow_mut().remove(&self.id);
+            self.guard.completed = true;
+            // A complete answer is never resumed, so its count is no longer needed.
+            let agent = self.guard.agent.clone();
+            agent.resume_counts.borrow_mut().remove(&self.id);
         }
         Poll::Ready(part.map(|part| part.map_err(io::Error::other)))
     }
 }
 
 impl Drop for Relay {
-    /// A stream that was cut off on its way may be taken up again; if nobody comes, the engine is
-    /// told to stop.
+    /// Cancels the request of a broken stream at the engine unless the stream is resumed within
+    /// [`RESUME_GRACE`].
     fn drop(&mut self) {
-        if self.flight.whole || !self.cancels {
+        if self.guard.completed || !self.cancellable {
             return;
         }
-        let agent = self.flight.agent.clone();
+        let agent = self.guard.agent.clone();
         let id = std::mem::take(&mut self.id);
-        let before = agent.resumed.borrow().get(&id).copied();
+        let count_before = agent.resume_counts.borrow().get(&id).copied();
         actix_rt::spawn(async move {
             actix_rt::time::sleep(RESUME_GRACE).await;
-            let after = agent.resumed.borrow().get(&id).copied();
-            if before == after {
-                agent.resumed.borrow_mut().remove(&id);
+            let count_after = agent.resume_counts.borrow().get(&id).copied();
+            if count_before == count_after {
+                agent.resume_counts.borrow_mut().remove(&id);
                 cancel_at_engine(&agent, &id).await;
             }
         });
     }
 }
 
-/// Runs a request that has a key: at most once, to its end even when the entry goes away, and with
-/// an answer that a repeat gets again.
+/// Runs a request with a key: at most once, to its end even if the entry disconnects, and with an answer
+/// that is stored for repeats.
 async fn run_keyed(agent: Rc<Agent>, job: Job, key: Key, body: Bytes, arrived: Time) -> Answer {
     let admission = agent.ledger.borrow_mut().admit(&key, &job.customer);
     match admission {
         Admission::Run => {}
-        Admission::Done(Some(answer)) => return stored(answer),
+        Admission::Done(Some(answer)) => return buffered_response(answer),
         Admission::Done(None) => {
-            return turned(
+            return error_response(
                 StatusCode::GONE,
                 "yes",
                 Reason::AnswerNotKept,
@@ -522,14 +532,14 @@
         agent.ledger.borrow_mut().not_run(&key);
         return answer;
     }
-    // Runs in a task of its own: this handler is dropped when the entry's connection ends.
-    let task = actix_rt::spawn(async move { gather(&agent, &job, &key, body).await });
+    // Runs in a separate task, because this handler is dropped when the entry's connection is closed.
+    let task = actix_rt::spawn(async move { run_to_end(&agent, &job, &key, body).await });
     task.await.unwrap_or_else(|_| unknown(Reason::Lost))
 }
 
-async fn gather(agent: &Rc<Agent>, job: &Job, key: &Key, body: Bytes) -> Answer {
-    let mut flight = Flight::new(agent, job.version());
-    let response = match hand_over(agent, job, body).await {
+async fn run_to_end(agent: &Rc<Agent>, job: &Job, key: &Key, body: Bytes) -> Answer {
+    let mut guard = Guard::new(agent, job.version());
+    let response = match send_to_target(agent, job, body).await {
         Ok(response) => response,
         Err(Failure::NotRun(reason)) => {
             agent.ledger.borrow_mut().not_run(key);
@@ -540,15 +550,15 @@
             return unknown(Reason::Lost);
         }
     };
-    if let Some(reason) = refused(job, response.status) {
+    if let Some(reason) = rejection_reason(job, response.status) {
         agent.ledger.borrow_mut().not_run(key);
         return not_admitted(reason);
     }
-    match gather_answer(response).await {
+    match buffer_answer(response).await {
         Some(answer) => {
-            flight.whole = true;
+            guard.completed = true;
             agent.ledger.borrow_mut().done(key, answer.clone());
-            stored(answer)
+            buffered_response(answer)
         }
         None => {
             agent.ledger.borrow_mut().lost(key);
@@ -557,8 +567,8 @@
     }
 }
 
-async fn gather_answer(mut response: Response) -> Option<request::Answer> {
-    let body = response.read(GATHERED_MAX).await.ok()?;
+async fn buffer_answer(mut response: Response) -> Option<request::Answer> {
+    let body = response.read(BUFFERED_ANSWER_MAX).await.ok()?;
     Some(request::Answer {
         status: response.status.as_u16(),
         content_type: match response.header("content-type") {
@@ -569,10 +579,10 @@
     })
 }
 
-fn stored(answer: request::Answer) -> Answer {
+fn buffered_response(answer: request::Answer) -> Answer {
     let code = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let mut out = http::body(code, "application/octet-stream", answer.body);
-    set(&mut out, "content-type", &answer.content_type);
-    set(&mut out, header::ADMITTED, "yes");
+    set_header(&mut out, "content-type", &answer.content_type);
+    set_header(&mut out, header::ADMITTED, "yes");
     out
 }
--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -1,4 +1,4 @@
-//! The agent's HTTP server: peers, its engine, entries and operators.
+//! The agent's HTTP server for peers, the engine in its box, entries and operators.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -15,18 +15,18 @@
 use crate::weight::Digest;
 use crate::wire::{self, Report, header};
 
-/// How often a report is sent without a change.
-const REPORT_EVERY: std::time::Duration = std::time::Duration::from_secs(1);
+/// Maximum interval between two reports on a stream.
+const REPORT_INTERVAL_MAX: std::time::Duration = std::time::Duration::from_secs(1);
 
 /// Starts the server.
 pub fn start(agent: &Rc<Agent>, listener: TcpListener, wrap: Wrap) -> Server {
     let agent = agent.clone();
     Server::start(listener, wrap, move |request, peer| {
-        answer(agent.clone(), request, peer)
+        handle(agent.clone(), request, peer)
     })
 }
 
-async fn answer(agent: Rc<Agent>, request: Request, peer: SocketAddr) -> Answer {
+async fn handle(agent: Rc<Agent>, request: Request, peer: SocketAddr) -> Answer {
     let path = request.path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (request.method().as_str(), parts.as_slice()) {
@@ -38,7 +38,7 @@
             "application/octet-stream",
             report_stream(&agent),
         ),
-        ("POST", ["v1", "run" | "keys"]) => take(agent, request).await,
+        ("POST", ["v1", "run" | "keys"]) => admit(agent, request).await,
         ("POST", ["v1", "cancel", id]) => proxy::cancel(&agent, &request, id).await,
         ("GET", ["health", "live"]) => http::status(StatusCode::OK),
         ("GET", ["health", "ready"]) => ready(&agent),
@@ -49,10 +49,10 @@
     }
 }
 
-/// Takes an entry's request, unless the agent stops.
-async fn take(agent: Rc<Agent>, request: Request) -> Answer {
-    let begun = request.headers().contains_key(header::FROM);
-    let permit = agent.tracker.admit(match begun {
+/// Handles an entry's request, or refuses it if the agent is stopping.
+async fn admit(agent: Rc<Agent>, request: Request) -> Answer {
+    let resumes = request.headers().contains_key(header::FROM);
+    let permit = agent.tracker.admit(match resumes {
         true => Kind::Continued,
         false => Kind::New,
     });
@@ -85,7 +85,7 @@
     }
 }
 
-/// All bytes of a complete version, for the engine in this box and for nobody else.
+/// Streams all bytes of a complete version. Only the engine in this box may fetch them.
 fn weights(agent: &Rc<Agent>, digest: &str, peer: IpAddr) -> Answer {
     let own = agent.node.setting.listen.ip();
     if peer != own && (own.is_loopback() || !peer.is_loopback()) {
@@ -122,17 +122,17 @@
     }
 }
 
-/// Reports on change and at least every [`REPORT_EVERY`].
+/// Streams a report on every change and at least every [`REPORT_INTERVAL_MAX`].
 fn report_stream(agent: &Rc<Agent>) -> impl Stream<Item = Result<Bytes, std::io::Error>> + 'static {
-    let reported = agent.reported.subscribe();
+    let changes = agent.report_changes.subscribe();
     let agent = Rc::downgrade(agent);
-    stream::unfold((agent, reported, true), |state| async move {
-        let (agent, mut reported, first) = state;
+    stream::unfold((agent, changes, true), |state| async move {
+        let (agent, mut changes, first) = state;
         if !first {
-            let _ = actix_rt::time::timeout(REPORT_EVERY, reported.changed()).await;
+            let _ = actix_rt::time::timeout(REPORT_INTERVAL_MAX, changes.changed()).await;
         }
-        reported.mark_unchanged();
+        changes.mark_unchanged();
         let frame = wire::encode(&report(&*agent.upgrade()?)).map_err(std::io::Error::other);
-        Some((frame, (agent, reported, false)))
+        Some((frame, (agent, changes, false)))
     })
 }
--- a/src/agent/status.rs
+++ b/src/agent/status.rs
@@ -1,4 +1,4 @@
-//! What an agent shows operators.
+//! Status and metrics of an agent for operators.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Meter};
@@ -16,7 +16,7 @@
 }
 
 impl Instruments {
-    /// Registers them.
+    /// Registers the instruments with `meter`.
     pub fn new(meter: &Meter) -> Self {
         Self {
             requests: meter
@@ -26,55 +26,55 @@
         }
     }
 
-    /// A request came to the door.
+    /// Counts a request by whether it was admitted (`yes`, `no`, or `unknown`).
     pub fn request(&self, admitted: &'static str) {
         self.requests.add(1, &[KeyValue::new("admitted", admitted)]);
     }
 }
 
-/// One version at a box.
+/// Status of a version at a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionStatus {
-    /// The version.
+    /// Digest of the version.
     pub digest: Digest,
-    /// Whether the configuration wants it here.
+    /// Whether the configuration assigns it to this box.
     pub wanted: bool,
-    /// Chunks held and verified.
+    /// Number of chunks that are stored and verified.
     pub chunks_held: usize,
-    /// Chunks in all; 0 while the manifest is not known.
+    /// Total number of chunks; 0 while the manifest is unknown.
     pub chunks: usize,
-    /// Whether it may take requests here.
+    /// Whether it may receive requests here.
     pub servable: bool,
-    /// How fetches of its chunks ended.
+    /// Outcomes of fetches of its chunks.
     pub fetches: Tally,
 }
 
-/// A box.
+/// Status of a box.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Its name.
+    /// Name of the box.
     pub name: String,
-    /// Its data hall.
+    /// Data hall of the box.
     pub hall: String,
-    /// The configuration revision in force.
+    /// Revision of the active configuration.
     pub revision: u64,
-    /// Whether it has a configuration from the service or a peer.
+    /// Whether it has received a configuration from the service or a peer.
     pub ready: bool,
-    /// Whether it takes no more work.
+    /// Whether it is leaving and accepts no new requests.
     pub leaving: bool,
-    /// The incarnation under which it gives orders; 0 before the engine has answered.
+    /// The incarnation in the fence of its orders; 0 before the engine has answered.
     pub incarnation: u64,
     /// Requests in progress.
     pub in_flight: u32,
-    /// Bytes of weights that are reserved in memory, and the bound.
+    /// Bytes of memory reserved for weights, and their maximum.
     pub memory_bytes: (u64, u64),
-    /// Its versions.
+    /// Status of its versions.
     pub versions: Vec<VersionStatus>,
     /// Customers whose newest configuration is invalid.
     pub rejected: Vec<(String, Rejected)>,
 }
 
-/// The present status of `agent`.
+/// Returns the current status of `agent`.
 pub fn status(agent: &Agent) -> Status {
     let node = &agent.node;
     let gate = agent.gate.borrow();
