--- a/tests/promise_gate.rs
+++ b/tests/promise_gate.rs
@@ -1,5 +1,6 @@
-//! No box serves partial or mixed weights; orders obey the newest fence; leaving targets get no
-//! new work; a planned stop cuts nothing off; a hall that is cut off goes on.
+//! Tests of the version gate: no box serves partial or mixed weights, engines obey only the newest
+//! fence, leaving targets receive no new requests, requests in progress are completed during a planned
+//! stop, and a disconnected hall keeps working.
 
 mod common;
 
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn spoilt_chunks_from_peers_and_origin_never_reach_an_engine() {
+fn corrupt_chunks_from_peers_and_origin_never_reach_an_engine() {
     run(async {
         let fleet = start(&Shape {
             boxes: 8,
@@ -34,12 +35,12 @@
         fleet.origin_link.set_corrupt(0.3);
         publish(&fleet, version);
         until("all boxes serve", || all_serve(&fleet, version)).await;
-        let spoilt: u64 = fleet
+        let corrupt: u64 = fleet
             .boxes
             .iter()
             .map(|member| member.probe().tally.corrupt)
             .sum();
-        assert!(spoilt > 0, "the fault happened");
+        assert!(corrupt > 0, "corrupt chunks were received");
         for member in &fleet.boxes {
             assert_eq!(member.engine.loaded(), vec![(version, content)]);
         }
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_version_replaced_in_mid_transfer_does_not_mix() {
+fn a_version_replaced_during_its_transfer_is_not_mixed_with_the_new_one() {
     run(async {
         let setting = pumicelatch::standin::fleet::Setting {
             box_rate: 200_000.0,
@@ -62,7 +63,7 @@
         let (old, _) = add_model(&fleet, 1);
         let (new, content) = add_model(&fleet, 2);
         publish(&fleet, old);
-        until("some chunks came", || {
+        until("a box has stored some chunks", || {
             fleet
                 .boxes
                 .iter()
@@ -74,7 +75,7 @@
         for member in &fleet.boxes {
             assert!(member.engine.loaded().contains(&(new, content)));
         }
-        until("the old version is let go", || {
+        until("the old version is unloaded", || {
             fleet
                 .boxes
                 .iter()
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn an_engine_that_was_restarted_serves_nothing_until_it_is_loaded_again() {
+fn a_restarted_engine_serves_nothing_until_it_is_loaded_again() {
     run(async {
         let served = Served::start(Shape {
             boxes: 1,
@@ -95,14 +96,14 @@
         served.fleet.boxes[0].engine.restart();
         let seen = served.complete(&Ask::default()).await;
         assert!(seen.told == Told::Whole || seen.tokens.is_empty());
-        until("loaded again", || {
+        until("the version is loaded again", || {
             served.fleet.boxes[0].engine.loaded() == vec![(served.version, served.content)]
         })
         .await;
     });
 }
 
-/// Gives an engine an order as another agent would.
+/// Sends an order to an engine in place of another agent.
 async fn order(url: &str, fence: Fence, kind: OrderKind) -> Result<Fence, http::Error> {
     let client = http::client(ClientSetting::default());
     let url = format!("{url}/v1/orders");
@@ -116,8 +117,8 @@
 }
 
 #[test]
-fn an_outranked_agent_closes_its_gate_and_orders_nothing_more() {
-    // An engine that checks no fence has nothing but the agent's own look at who is in charge.
+fn an_outranked_agent_serves_nothing_and_sends_no_more_orders() {
+    // If the engine does not check fences, only the agent's own check prevents orders.
     for checks_fence in [true, false] {
         run(outrank(checks_fence));
     }
@@ -147,10 +148,10 @@
         let refused = order(&url, stale, unload.clone()).await;
         assert!(
             refused.is_err(),
-            "an older incarnation, whatever its revision"
+            "an older incarnation is refused even with a newer revision"
         );
     }
-    // A newer process takes the engine as it is: the version stays loaded.
+    // A newer process takes control of the engine, and the version stays loaded.
     let newer = Fence {
         incarnation: u64::MAX / 2,
         revision: 0,
@@ -161,7 +162,7 @@
         bytes: 0,
     };
     order(&url, newer, keep).await.unwrap();
-    until("the outranked agent closes its gate", || {
+    until("no version is servable at the outranked agent", || {
         member.probe().servable.is_empty()
     })
     .await;
@@ -171,12 +172,12 @@
     actix_rt::time::sleep(Duration::from_secs(1)).await;
     assert!(
         member.engine.loaded().is_empty(),
-        "it did not load behind the newer one's back"
+        "the outranked agent ordered a load"
     );
 }
 
 #[test]
-fn a_leaving_target_gets_no_new_work_and_finishes_what_it_has() {
+fn a_leaving_target_receives_no_new_requests_and_completes_those_in_progress() {
     run(async {
         let served = Served::start(Shape {
             boxes: 2,
@@ -200,7 +201,7 @@
                 .iter()
                 .position(|member| member.engine.in_flight() > 0)
         };
-        until("a box works", || busy().is_some()).await;
+        until("a request is in progress", || busy().is_some()).await;
         let leaving = busy().unwrap();
         let name = served.fleet.boxes[leaving].name.clone();
         served.fleet.boxes[leaving].drain();
@@ -209,20 +210,24 @@
         while announced.elapsed() < Duration::from_millis(4_000) {
             let began = announced.elapsed();
             let seen = served.complete(&Ask::default()).await;
-            assert_eq!(seen.told, Told::Whole, "the other box takes it");
+            assert_eq!(seen.told, Told::Whole, "the other box serves the request");
             let settled = began > Duration::from_secs(3);
             late += usize::from(settled && seen.served_by == *name);
         }
         assert_eq!(late, 0);
         let seen = call.await.unwrap();
-        assert_eq!(seen.told, Told::Whole, "what it had was not cut off");
+        assert_eq!(
+            seen.told,
+            Told::Whole,
+            "the request in progress was not aborted"
+        );
         assert_eq!(seen.tokens.len(), 100);
         assert_eq!(seen.served_by, *name);
     });
 }
 
 #[test]
-fn the_list_announces_a_leaving_target_too() {
+fn a_target_that_is_listed_as_leaving_receives_no_new_requests() {
     run(async {
         let served = Served::start(Shape {
             boxes: 2,
@@ -251,7 +256,7 @@
 }
 
 #[test]
-fn a_hall_that_is_cut_off_goes_on_serving() {
+fn a_disconnected_hall_keeps_serving() {
     run(async {
         let served = Served::start(Shape {
             boxes: 6,
@@ -262,20 +267,20 @@
         .await;
         served.fleet.net.set_cut("hall-0", true);
         for (entry, hall) in [(0, "hall-0"), (1, "hall-1")] {
-            let mut whole = 0;
+            let mut complete = 0;
             let deadline = Instant::now() + common::PATIENCE;
-            while whole < 20 {
+            while complete < 20 {
                 let headers = vec![("x-deadline-ms", "1000".to_owned())];
                 let ask = Ask {
                     headers,
-                    prompt: format!("cut {whole}"),
+                    prompt: format!("cut {complete}"),
                     ..Ask::default()
                 };
                 let seen = served.caller.complete(&served.entry(entry), &ask).await;
-                assert!(Instant::now() < deadline, "{hall} does not go on");
+                assert!(Instant::now() < deadline, "{hall} stopped serving");
                 assert!(seen.unmixed(&ask.prompt));
                 if seen.told == Told::Whole && seen.served_by.starts_with(hall) {
-                    whole += 1;
+                    complete += 1;
                 }
             }
         }
@@ -283,7 +288,7 @@
 }
 
 #[test]
-fn a_cut_off_hall_finishes_from_what_its_boxes_hold_and_the_rest_after_the_cut() {
+fn a_disconnected_hall_receives_the_version_once_it_is_reconnected() {
     run(async {
         let fleet = start(&Shape {
             boxes: 8,
@@ -305,9 +310,13 @@
             in_hall("hall-1") == 4
         })
         .await;
-        assert_eq!(in_hall("hall-0"), 0, "it cannot have heard of the version");
+        assert_eq!(
+            in_hall("hall-0"),
+            0,
+            "the hall cannot have learned of the version"
+        );
         fleet.net.set_cut("hall-0", false);
-        until("the healed hall serves", || in_hall("hall-0") == 4).await;
+        until("the reconnected hall serves", || in_hall("hall-0") == 4).await;
         for member in &fleet.boxes {
             assert_eq!(member.engine.loaded(), vec![(version, content)]);
         }
