--- a/tests/promise_once.rs
+++ b/tests/promise_once.rs
@@ -1,4 +1,5 @@
-//! "Not run" is true, and what is not repeatable runs at most once.
+//! Tests of execution guarantees: a request that is reported as not run was not executed, and a
+//! non-repeatable request is executed at most once.
 
 mod common;
 
@@ -39,13 +40,13 @@
     found.expect("the key names a box")
 }
 
-/// Runs of all calls at the plain services so far.
+/// Number of executions at the plain services so far.
 fn service_runs(served: &Served) -> u32 {
     served.fleet.runs.total()
 }
 
 #[test]
-fn a_repeat_under_its_key_through_another_entry_gets_the_first_answer() {
+fn a_repeat_with_the_same_key_through_another_entry_receives_the_first_answer() {
     run(async {
         let served = Served::start(with_services(2)).await;
         let key = served.caller.key(&served.entry(0)).await.unwrap();
@@ -54,19 +55,19 @@
             .caller
             .call(&served.entry(0), "boat 1", &headers)
             .await;
-        let again = served
+        let repeat = served
             .caller
             .call(&served.entry(1), "boat 1", &headers)
             .await;
         assert_eq!(first.told, Told::Whole);
-        assert_eq!(again.told, Told::Whole);
-        assert_eq!(first.run, again.run, "the answer of the first run");
+        assert_eq!(repeat.told, Told::Whole);
+        assert_eq!(first.run, repeat.run, "the answer of the first execution");
         assert_eq!(service_runs(&served), 1);
     });
 }
 
 #[test]
-fn the_same_key_through_two_entries_at_once_runs_once() {
+fn concurrent_requests_with_the_same_key_through_two_entries_are_executed_once() {
     run(async {
         let served = Served::start(with_services(2)).await;
         let key = served.caller.key(&served.entry(0)).await.unwrap();
@@ -78,8 +79,8 @@
         });
         let all = futures_util::future::join_all(calls).await;
         assert_eq!(service_runs(&served), 1);
-        let whole = all.iter().filter(|seen| seen.told == Told::Whole).count();
-        assert_eq!(whole, 1);
+        let complete = all.iter().filter(|seen| seen.told == Told::Whole).count();
+        assert_eq!(complete, 1);
         for seen in all.iter().filter(|seen| seen.told != Told::Whole) {
             assert_eq!(code(seen), Some(Code::KeyInProgress));
             assert_eq!(seen.outcome(), Outcome::Unknown);
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn a_box_restarted_empty_does_not_run_a_key_again() {
+fn a_box_that_lost_its_keys_in_a_restart_does_not_execute_a_request_again() {
     run(async {
         let mut served = Served::start(with_services(1)).await;
         let key = served.caller.key(&served.entry(0)).await.unwrap();
@@ -102,13 +103,13 @@
         served.fleet.restart_box(index).unwrap();
         let deadline = std::time::Instant::now() + common::PATIENCE;
         loop {
-            let again = served
+            let repeat = served
                 .caller
                 .call(&served.entry(0), "boat 3", &headers)
                 .await;
-            assert_eq!(again.outcome(), Outcome::Unknown);
+            assert_eq!(repeat.outcome(), Outcome::Unknown);
             assert_eq!(service_runs(&served), 1);
-            let reached = code(&again) == Some(Code::KeyLost);
+            let reached = code(&repeat) == Some(Code::KeyLost);
             if reached && served.fleet.boxes[index].probe().ready {
                 return;
             }
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_box_that_froze_and_woke_runs_its_key_once() {
+fn a_box_that_was_paused_executes_a_keyed_request_once() {
     run(async {
         let served = Served::start(with_services(2)).await;
         let key = served.caller.key(&served.entry(0)).await.unwrap();
@@ -133,17 +134,17 @@
         assert_eq!(
             first.outcome(),
             Outcome::Unknown,
-            "the frozen box may yet run it"
+            "the paused box may still execute it"
         );
         let headers = Caller::keyed(&key);
         let deadline = std::time::Instant::now() + common::PATIENCE;
         loop {
-            let again = served
+            let repeat = served
                 .caller
                 .call(&served.entry(1), "boat 4", &headers)
                 .await;
             assert!(service_runs(&served) <= 1);
-            if again.told == Told::Whole {
+            if repeat.told == Told::Whole {
                 break;
             }
             assert!(std::time::Instant::now() < deadline);
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn another_customers_key_does_not_run() {
+fn a_request_with_the_key_of_another_customer_is_not_executed() {
     run(async {
         let served = Served::start(with_services(1)).await;
         let key = served.caller.key(&served.entry(0)).await.unwrap();
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_be_repeated_is_not_sent_twice_when_its_box_dies() {
+fn a_non_repeatable_request_is_not_sent_twice_when_its_box_is_killed() {
     run(async {
         let mut served = Served::start(with_services(1)).await;
         let entry = served.entry(0);
@@ -188,7 +189,10 @@
             actix_rt::spawn(
                 async move { Caller::default().call(&entry, "curtailment 5", &[]).await },
             );
-        until("a service runs it", || service_runs(&served) == 1).await;
+        until("a service executes the request", || {
+            service_runs(&served) == 1
+        })
+        .await;
         let busy = |member: &&mut pumicelatch::standin::fleet::Box| {
             member
                 .service
@@ -200,7 +204,7 @@
             .boxes
             .iter_mut()
             .find(busy)
-            .expect("one is busy")
+            .expect("a box with a request in progress")
             .kill();
         let seen = call.await.unwrap();
         assert_eq!(seen.outcome(), Outcome::Unknown);
@@ -209,7 +213,7 @@
 }
 
 #[test]
-fn a_dead_box_is_passed_over_and_what_is_called_not_run_did_not_run() {
+fn a_killed_box_is_skipped_and_requests_reported_as_not_run_were_not_executed() {
     run(async {
         let mut served = Served::start(with_services(1)).await;
         served.fleet.boxes[1].kill();
@@ -224,19 +228,19 @@
                     assert_eq!(ran, 1);
                     answered += 1;
                 }
-                Outcome::NotRun => assert_eq!(ran, 0, "called not run, but it ran"),
+                Outcome::NotRun => assert_eq!(ran, 0, "reported as not run, but executed"),
                 Outcome::Unknown => assert!(ran <= 1),
             }
         }
         assert!(
             answered >= 10,
-            "a refused connection is a sure not run: another box takes it"
+            "a request is retried at another box after a refused connection, since it was not executed"
         );
     });
 }
 
 #[test]
-fn overload_is_refused_at_once_as_not_run_with_a_time_to_come_back() {
+fn overload_is_refused_as_not_run_with_a_retry_delay() {
     run(async {
         let engine = engine::Setting {
             capacity: 1,
@@ -260,21 +264,21 @@
         let refused: Vec<&Seen> = all.iter().filter(|seen| seen.told != Told::Whole).collect();
         assert!(
             !refused.is_empty(),
-            "30 at once are too many for a capacity of 1"
+            "30 concurrent requests exceed a capacity of 1"
         );
         for seen in &refused {
             assert_eq!(seen.outcome(), Outcome::NotRun);
             let Told::Refused(failure) = &seen.told else {
-                panic!("no reason given")
+                panic!("the response contains no reason")
             };
-            assert!(failure.retry_after_ms.is_some(), "told when to come back");
+            assert!(failure.retry_after_ms.is_some(), "contains a retry delay");
         }
-        let whole = all.len() - refused.len();
+        let complete = all.len() - refused.len();
         assert_eq!(
             served.fleet.runs.total() as usize,
-            whole,
-            "refused requests did not run"
+            complete,
+            "refused requests were not executed"
         );
-        assert!(whole >= 1);
+        assert!(complete >= 1);
     });
 }
