--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -42,7 +42,7 @@
 /// Number of consecutive failed polls after which the replica counts as gone.
 pub(super) const MISSES_MAX: u32 = 2;
 
-/// Interval at which is checked whether a report to an entry is due.
+/// Interval at which it is checked whether a report to an entry is due.
 const REPORT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Minimum interval between two reports to an entry, unless the replica's availability changes. Load
