--- a/src/agent.rs
+++ b/src/agent.rs
@@ -12,7 +12,7 @@
 
 use rand::RngExt;
 
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::auth::Keyring;
 use crate::http::{Server, Wrap};
 use crate::limit;
@@ -122,7 +122,7 @@
         instruments: Instruments::new(&node.metrics.meter()),
         bytes_sent: Cell::new(0),
         wake: tokio::sync::Notify::new(),
-        trail: Rc::new(move |deed| trail.audit(deed)),
+        trail: Rc::new(move |event| trail.audit(event)),
         local_chunks: None,
     }
 }
@@ -170,7 +170,7 @@
     /// Announces that the box leaves: it finishes its work and takes no more.
     pub fn drain(&self) {
         if !self.leaving.replace(true) {
-            self.node.audit(Deed::Draining);
+            self.node.audit(Event::Draining);
             self.report();
         }
     }
--- a/src/agent/engine.rs
+++ b/src/agent/engine.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Agent;
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::clock::{Time, unix_millis};
 use crate::http::{self, Error};
 use crate::version::{self, Command, EngineState, Fence, LoadState, LocalState, Order, OrderKind};
@@ -105,7 +105,7 @@
     match (taken, step) {
         (Ok(_), Command::Load(digest)) => {
             agent.gate.borrow_mut().ordered.insert(digest);
-            agent.node.audit(Deed::LoadOrdered {
+            agent.node.audit(Event::LoadOrdered {
                 version: digest.short(),
             });
         }
@@ -142,7 +142,7 @@
         if !in_charge && !gate.outranked {
             gate.outranked = true;
             drop(gate);
-            self.node.audit(Deed::Outranked);
+            self.node.audit(Event::Outranked);
         }
         in_charge
     }
@@ -172,12 +172,12 @@
     fn set_servable(&self, servable: Vec<Digest>, load_changed: bool) {
         let before = std::mem::replace(&mut self.gate.borrow_mut().servable, servable.clone());
         for digest in servable.iter().filter(|digest| !before.contains(digest)) {
-            self.node.audit(Deed::Servable {
+            self.node.audit(Event::Servable {
                 version: digest.short(),
             });
         }
         for digest in before.iter().filter(|digest| !servable.contains(digest)) {
-            self.node.audit(Deed::NotServable {
+            self.node.audit(Event::NotServable {
                 version: digest.short(),
             });
         }
@@ -226,7 +226,7 @@
         for digest in released {
             self.bursts.borrow_mut().remove(&digest);
             self.host.store.borrow_mut().release(digest);
-            self.node.audit(Deed::Released {
+            self.node.audit(Event::Released {
                 version: digest.short(),
             });
         }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -12,7 +12,7 @@
 /// What was done.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
-pub enum Deed {
+pub enum Event {
     /// A customer's configuration came into force.
     ConfigAccepted {
         /// The customer.
@@ -68,40 +68,40 @@
 
 /// One entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct Record {
     /// When, in Unix milliseconds.
     pub time_ms: u64,
     /// The configuration revision behind it.
     pub revision: u64,
     /// What was done.
     #[serde(flatten)]
-    pub deed: Deed,
+    pub event: Event,
 }
 
 /// The trail of one process.
 #[derive(Debug, Default)]
 pub struct Trail {
-    entries: VecDeque<Entry>,
+    entries: VecDeque<Record>,
 }
 
 impl Trail {
     /// Adds an entry, and logs it. The oldest is dropped when the trail is full.
-    pub fn add(&mut self, revision: u64, deed: Deed) {
-        let entry = Entry {
+    pub fn add(&mut self, revision: u64, event: Event) {
+        let record = Record {
             time_ms: clock::unix_millis(),
             revision,
-            deed,
+            event,
         };
-        let text = serde_json::to_string(&entry).unwrap_or_default();
+        let text = serde_json::to_string(&record).unwrap_or_default();
         log::info!(target: "pumicelatch::audit", audit = text.as_str(); "change");
         if self.entries.len() == ENTRIES_MAX {
             self.entries.pop_front();
         }
-        self.entries.push_back(entry);
+        self.entries.push_back(record);
     }
 
     /// All entries that are kept, oldest first.
-    pub fn entries(&self) -> &VecDeque<Entry> {
+    pub fn entries(&self) -> &VecDeque<Record> {
         &self.entries
     }
 }
--- a/src/auth.rs
+++ b/src/auth.rs
@@ -80,7 +80,7 @@
 
 /// Why a proof is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum Error {
     /// There is none, or it cannot be read.
     #[error("no proof of the inner hop")]
     Missing,
@@ -107,7 +107,7 @@
 
 impl Keyring {
     /// A proof over `parts`, written at `millis`.
-    pub fn prove(&self, millis: u64, parts: &[&str]) -> String {
+    pub fn sign(&self, millis: u64, parts: &[&str]) -> String {
         match self.keys.first() {
             Some(key) => format!("{}.{millis}.{}", key.name, mac(key, millis, parts).to_hex()),
             None => String::new(),
@@ -115,28 +115,28 @@
     }
 
     /// Confirms a proof over `parts` at time `now_ms`.
-    pub fn verify(&self, proof: Option<&str>, now_ms: u64, parts: &[&str]) -> Result<(), Refusal> {
-        let mut fields = proof.ok_or(Refusal::Missing)?.split('.');
+    pub fn verify(&self, proof: Option<&str>, now_ms: u64, parts: &[&str]) -> Result<(), Error> {
+        let mut fields = proof.ok_or(Error::Missing)?.split('.');
         let (Some(name), Some(millis), Some(hex), None) =
             (fields.next(), fields.next(), fields.next(), fields.next())
         else {
-            return Err(Refusal::Missing);
+            return Err(Error::Missing);
         };
-        let millis: u64 = millis.parse().map_err(|_| Refusal::Missing)?;
-        let given = blake3::Hash::from_hex(hex).map_err(|_| Refusal::Missing)?;
+        let millis: u64 = millis.parse().map_err(|_| Error::Missing)?;
+        let given = blake3::Hash::from_hex(hex).map_err(|_| Error::Missing)?;
         let key = self
             .keys
             .iter()
             .find(|key| key.name == name)
-            .ok_or(Refusal::UnknownKey)?;
+            .ok_or(Error::UnknownKey)?;
         if now_ms.abs_diff(millis) > SKEW_MAX_MS {
-            return Err(Refusal::OutOfTime);
+            return Err(Error::OutOfTime);
         }
         // blake3::Hash compares in constant time.
         if mac(key, millis, parts) == given {
             Ok(())
         } else {
-            Err(Refusal::Mismatch)
+            Err(Error::Mismatch)
         }
     }
 }
--- a/src/bench/caller.rs
+++ b/src/bench/caller.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use super::sample;
-use crate::entry::caller::{Body, Failure, KEY};
+use crate::entry::caller::{Body, Failure, IDEMPOTENCY_KEY};
 use crate::entry::key::Issued;
 use crate::http::{self, ClientSetting};
 use crate::request::Outcome;
@@ -161,7 +161,7 @@
 
     /// The headers that carry `key`.
     pub fn keyed(key: &str) -> Vec<(&'static str, String)> {
-        vec![(KEY, key.to_owned())]
+        vec![(IDEMPOTENCY_KEY, key.to_owned())]
     }
 
     async fn exchange(
--- a/src/bench/command/route.rs
+++ b/src/bench/command/route.rs
@@ -4,7 +4,7 @@
 
 use super::Error;
 use crate::bench::route::{self, Report, SCENARIOS, Setting};
-use crate::entry::daemon::policy;
+use crate::entry::daemon::parse_strategy;
 use crate::option::{self, Spec, Values};
 
 const SPECS: [Spec; 7] = [
@@ -54,7 +54,7 @@
     let name: String = values.get("policy", "a policy's name")?;
     Ok(Setting {
         scenario: *scenario,
-        policy: policy(&name)?,
+        policy: parse_strategy(&name)?,
         rate,
         duration: Duration::from_secs_f64(values.number("seconds", 1.0..=600.0)?),
         seed: values.number("seed", 0..=u64::MAX)?,
--- a/src/burst.rs
+++ b/src/burst.rs
@@ -18,7 +18,7 @@
 use rand::RngExt;
 use tokio::sync::{oneshot, watch};
 
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::clock::{Clock, Time};
 use crate::member::{Descriptor, Role};
 use crate::spread::Favour;
@@ -152,7 +152,7 @@
             last_served: Cell::new(host.clock.now()),
             task: RefCell::default(),
         });
-        host.audit(Deed::ReceiveBegan {
+        host.audit(Event::ReceiveBegan {
             version: version.short(),
         });
         let task = actix_rt::spawn(run(host.clone(), Rc::downgrade(&burst)));
@@ -460,7 +460,7 @@
         if host.store.borrow().complete(self.version) {
             let chunks = self.received.borrow().len();
             log::info!(version:? = self.version, chunks; "weights are complete");
-            host.audit(Deed::ReceiveDone {
+            host.audit(Event::ReceiveDone {
                 version: self.version.short(),
             });
             host.wake.notify_one();
--- a/src/burst/host.rs
+++ b/src/burst/host.rs
@@ -12,7 +12,7 @@
 use opentelemetry::metrics::{Counter, Meter};
 use tokio::sync::{Notify, watch};
 
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::clock::Clock;
 use crate::http::{self, ClientSetting};
 use crate::log::Repeats;
@@ -212,7 +212,7 @@
     /// Notified when a version is complete.
     pub wake: Notify,
     /// Appends an event to the audit trail.
-    pub trail: Rc<dyn Fn(Deed)>,
+    pub trail: Rc<dyn Fn(Event)>,
     /// Chunks that may exist outside the store when a burst starts.
     pub local_chunks: Option<Rc<dyn LocalChunks>>,
 }
@@ -225,8 +225,8 @@
 
 impl Host {
     /// Appends an event to the audit trail.
-    pub fn audit(&self, deed: Deed) {
-        (self.trail)(deed);
+    pub fn audit(&self, event: Event) {
+        (self.trail)(event);
     }
 }
 
--- a/src/burst/manager.rs
+++ b/src/burst/manager.rs
@@ -10,7 +10,7 @@
 
 use super::host::{Host, Origin};
 use super::{Burst, Holders, Options};
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::clock::Time;
 use crate::knowledge::Knowledge;
 use crate::member::{Descriptor, Role, State};
@@ -270,7 +270,7 @@
                 let version = joined.burst.version();
                 self.host.store.borrow_mut().release(version);
                 let version = version.short();
-                self.host.audit(Deed::Released { version });
+                self.host.audit(Event::Released { version });
             }
             !released
         });
--- a/src/ctl/show.rs
+++ b/src/ctl/show.rs
@@ -176,7 +176,7 @@
     let asked = boxes.iter().map(|listed| {
         let url = format!("http://{}/audit", listed.address);
         let client = &client;
-        async move { http::get_json::<Vec<audit::Entry>>(client, &url, ANSWER_MAX, TIMEOUT).await }
+        async move { http::get_json::<Vec<audit::Record>>(client, &url, ANSWER_MAX, TIMEOUT).await }
     });
     let mut all = Vec::new();
     let mut silent = 0;
@@ -201,7 +201,7 @@
         } else {
             println!(
                 "{} {name:<24} revision {:<6} {:?}",
-                entry.time_ms, entry.revision, entry.deed
+                entry.time_ms, entry.revision, entry.event
             );
         }
     }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use tokio::net::TcpListener;
 
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::auth::Keyring;
 use crate::http::{Server, Wrap};
 use crate::limit::Customers;
@@ -36,7 +36,7 @@
     /// Keys of the inner hop.
     pub keyring: Keyring,
     /// How targets are chosen.
-    pub policy: Strategy,
+    pub strategy: Strategy,
     /// Targets of each other hall that this entry follows.
     pub remote_targets: usize,
     /// Seed of random choices.
@@ -112,7 +112,7 @@
     /// nothing more, and finishes what it has.
     pub fn drain(&self) {
         if !self.tracker.is_stopping() {
-            self.node.audit(Deed::Draining);
+            self.node.audit(Event::Draining);
             self.tracker.begin(stop::Setting::default());
         }
     }
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -31,7 +31,7 @@
         let parts: Vec<&str> = std::iter::once(request.path.as_str())
             .chain(PROVEN.map(|name| request.header(name)))
             .collect();
-        entry.setting.keyring.prove(unix_millis(), &parts)
+        entry.setting.keyring.sign(unix_millis(), &parts)
     };
     request.headers.push((header::PROOF, proof));
 }
@@ -51,7 +51,7 @@
     };
     let now = entry.node.clock.now();
     let mut rng = entry.rng.borrow_mut();
-    let choice = table.choose(ask, entry.setting.policy, now, &mut *rng)?;
+    let choice = table.choose(ask, entry.setting.strategy, now, &mut *rng)?;
     log::debug!(request = job.id.as_str(), reason:? = choice.reason; "target chosen");
     Some(choice.replica)
 }
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -24,7 +24,7 @@
 pub const DEADLINE_MAX_MS: u64 = 600_000;
 
 /// Header that carries a key.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Header that names a caller's session, which moves between versions and sides as one.
 pub const SESSION: &str = "x-session";
@@ -262,7 +262,7 @@
             Some("no") => Some(false),
             Some(_) => return Err(bad(header::REPEATABLE, "yes or no")),
         };
-        let key = match text(request, KEY)? {
+        let key = match text(request, IDEMPOTENCY_KEY)? {
             None => None,
             Some(key) => Some(key.parse().map_err(|_| {
                 let message = "the key was not issued by this system; get one from POST /v1/keys";
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -31,7 +31,7 @@
 ];
 
 /// Reads a policy's name.
-pub fn policy(name: &str) -> Result<Strategy, option::Error> {
+pub fn parse_strategy(name: &str) -> Result<Strategy, option::Error> {
     match name {
         "expected" => Ok(Strategy::Expected),
         "least-of-two" => Ok(Strategy::LeastOfTwo),
@@ -52,7 +52,7 @@
     let setting = Setting {
         node: common.node.clone(),
         keyring: common.keyring.clone(),
-        policy: policy(&name)?,
+        strategy: parse_strategy(&name)?,
         remote_targets: values.number("remote-targets", 0..=1024)?,
         seed: rand::rng().random(),
     };
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -27,7 +27,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use crate::audit::{Deed, Trail};
+use crate::audit::{Event, Trail};
 use crate::burst::host::{Connections, Host, Instruments, reconnect_when_silent};
 use crate::burst::manager::{self, Manager, Origins};
 use crate::clock::Time;
@@ -238,7 +238,7 @@
         instruments: Instruments::new(&metrics.meter()),
         bytes_sent: Cell::new(0),
         wake: Notify::new(),
-        trail: Rc::new(move |deed: Deed| trail.borrow_mut().add(0, deed)),
+        trail: Rc::new(move |event: Event| trail.borrow_mut().add(0, event)),
         local_chunks: None,
     }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 use tokio::sync::watch;
 
-use crate::audit::{Deed, Trail};
+use crate::audit::{Event, Trail};
 use crate::clock::{self, Clock};
 use crate::config::{Change, Configuration, Delta, Effect, Revision};
 use crate::exchange;
@@ -139,9 +139,9 @@
     }
 
     /// Adds to the audit trail.
-    pub fn audit(&self, deed: Deed) {
+    pub fn audit(&self, event: Event) {
         let revision = self.book.borrow().revision().0;
-        self.trail.borrow_mut().add(revision, deed);
+        self.trail.borrow_mut().add(revision, event);
     }
 
     /// Applies a delta from the service or a peer.
@@ -160,12 +160,12 @@
 
     fn audit_change(&self, change: Change) {
         let customer = change.customer;
-        let deed = match change.effect {
-            Effect::Accepted => Deed::ConfigAccepted { customer },
-            Effect::Removed => Deed::CustomerRemoved { customer },
-            Effect::Rejected { reason } => Deed::ConfigRejected { customer, reason },
+        let event = match change.effect {
+            Effect::Accepted => Event::ConfigAccepted { customer },
+            Effect::Removed => Event::CustomerRemoved { customer },
+            Effect::Rejected { reason } => Event::ConfigRejected { customer, reason },
         };
-        self.trail.borrow_mut().add(change.revision.0, deed);
+        self.trail.borrow_mut().add(change.revision.0, event);
     }
 
     /// Follows the configuration service and the list of boxes until dropped.
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -18,7 +18,7 @@
 use opentelemetry::metrics::Gauge;
 use tokio::net::TcpListener;
 
-use crate::audit::{Deed, Trail};
+use crate::audit::{Event, Trail};
 use crate::burst::host::{Connections, Host, Instruments, LocalChunks, reconnect_when_silent};
 use crate::burst::manager::{self, Manager, Origins, Target, label};
 use crate::burst::{self};
@@ -249,7 +249,7 @@
             instruments: Instruments::new(&metrics.meter()),
             bytes_sent: Cell::new(0),
             wake: tokio::sync::Notify::new(),
-            trail: Rc::new(move |deed: Deed| trail.borrow_mut().add(0, deed)),
+            trail: Rc::new(move |event: Event| trail.borrow_mut().add(0, event)),
             local_chunks: Some(Rc::new(local)),
         };
         let host = Rc::new(host);
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -10,7 +10,7 @@
 use super::Sidecar;
 use super::engine::Taken;
 use super::observe::MISSES_MAX;
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::burst::manager::{self, Target};
 use crate::clock::Time;
 use crate::config::catalog::first_missing;
@@ -349,7 +349,7 @@
         match self.engine.start(&target.model, target.version).await {
             Ok(Taken::Begun | Taken::Holds) => {
                 let version = label.short();
-                self.host.audit(Deed::LoadOrdered { version });
+                self.host.audit(Event::LoadOrdered { version });
                 log::info!(model = &*target.model, version = target.version; "change ordered");
             }
             Ok(Taken::Unfit) => {
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -372,7 +372,7 @@
     }
 
     /// Starts an entry in hall `hall`, without listing it.
-    pub fn add_entry(&mut self, hall: usize, policy: Strategy) -> Result<&EntryBox, http::Error> {
+    pub fn add_entry(&mut self, hall: usize, strategy: Strategy) -> Result<&EntryBox, http::Error> {
         let index = self.entries.len();
         let ip = box_address(hall, ENTRY_PLACES + index);
         let hall_name = self.setting.halls[hall].clone();
@@ -390,7 +390,7 @@
         let setting = entry::Setting {
             node: self.node_setting(&listed),
             keyring: keyring(),
-            policy,
+            strategy,
             remote_targets: REMOTE_TARGETS,
             seed: self.setting.seed,
         };
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pumicelatch::auth::{Keyring, Refusal, SKEW_MAX_MS};
+use pumicelatch::auth::{self, Keyring, SKEW_MAX_MS};
 use pumicelatch::clock::Time;
 use pumicelatch::limit::{self, Customers, Target};
 use pumicelatch::request::{
@@ -423,28 +423,31 @@
         .unwrap();
     let parts = ["path", "request"];
     let now = 1_000_000;
-    let proof = old.prove(now, &parts);
+    let proof = old.sign(now, &parts);
     assert_eq!(rotated.verify(Some(&proof), now, &parts), Ok(()));
     assert_eq!(
         rotated.verify(Some(&proof), now, &["path", "other"]),
-        Err(Refusal::Mismatch)
+        Err(auth::Error::Mismatch)
     );
     assert_eq!(
         rotated.verify(Some(&proof), now, &["pathr", "equest"]),
-        Err(Refusal::Mismatch)
+        Err(auth::Error::Mismatch)
     );
     let late = now + SKEW_MAX_MS + 1;
     assert_eq!(
         rotated.verify(Some(&proof), late, &parts),
-        Err(Refusal::OutOfTime)
+        Err(auth::Error::OutOfTime)
     );
-    let signed = rotated.prove(now, &parts);
+    let signed = rotated.sign(now, &parts);
     assert_eq!(
         old.verify(Some(&signed), now, &parts),
-        Err(Refusal::UnknownKey)
+        Err(auth::Error::UnknownKey)
+    );
+    assert_eq!(old.verify(None, now, &parts), Err(auth::Error::Missing));
+    assert_eq!(
+        old.verify(Some("x.y"), now, &parts),
+        Err(auth::Error::Missing)
     );
-    assert_eq!(old.verify(None, now, &parts), Err(Refusal::Missing));
-    assert_eq!(old.verify(Some("x.y"), now, &parts), Err(Refusal::Missing));
     assert!("no-colon".parse::<Keyring>().is_err());
     assert!("short:abc".parse::<Keyring>().is_err());
 }
--- a/tests/stop_edge.rs
+++ b/tests/stop_edge.rs
@@ -80,7 +80,7 @@
                 list_url: unreachable,
             },
             keyring: KEYRING.parse().unwrap(),
-            policy: Strategy::Expected,
+            strategy: Strategy::Expected,
             remote_targets: 1,
             seed: 7,
         };
