--- a/src/agent.rs
+++ b/src/agent.rs
@@ -12,7 +12,7 @@
 
 use rand::RngExt;
 
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::auth::Keyring;
 use crate::http::{Server, Wrap};
 use crate::limit;
@@ -130,7 +130,7 @@
         instruments: Instruments::new(&node.metrics.meter()),
         bytes_sent: Cell::new(0),
         wake: tokio::sync::Notify::new(),
-        trail: Rc::new(move |deed| audit_node.audit(deed)),
+        trail: Rc::new(move |event| audit_node.audit(event)),
         local_chunks: None,
     }
 }
@@ -178,7 +178,7 @@
     /// Announces that the box is leaving. Requests in progress are completed; no new ones are accepted.
     pub fn drain(&self) {
         if !self.leaving.replace(true) {
-            self.node.audit(Deed::Draining);
+            self.node.audit(Event::Draining);
             self.notify_report();
         }
     }
--- a/src/sidecar/reconcile.rs
+++ b/src/sidecar/reconcile.rs
@@ -10,7 +10,7 @@
 use super::Sidecar;
 use super::engine::Outcome;
 use super::observe::MISSES_MAX;
-use crate::audit::Deed;
+use crate::audit::Event;
 use crate::burst::manager::{self, Target};
 use crate::clock::Time;
 use crate::config::catalog::first_missing;
@@ -360,8 +360,8 @@
         match self.engine.load(&target.model, target.version).await {
             Ok(Outcome::Accepted | Outcome::AlreadyLoaded) => {
                 let version = label.short();
-                self.host.audit(Deed::LoadOrdered { version });
-                log::info!(model = &*target.model, version = target.version; "switch ordered");
+                self.host.audit(Event::LoadOrdered { version });
+                log::info!(model=&*target.model, version=target.version; "switch ordered");
             }
             Ok(Outcome::Conflict) => {
                 log::warn!(version = target.version; "the replica cannot execute the order in its current state");
