--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -34,7 +34,7 @@
 use crate::metric::{self, Metrics};
 use crate::policy::Policy;
 use crate::route::notice::Suspension;
-use crate::run::{Call, Shelf};
+use crate::run::{Call, Registry};
 use crate::source::Source;
 use crate::spread;
 use crate::stop::{self, Tracker};
@@ -118,12 +118,13 @@
     joined_members: RefCell<Option<(Digest, Rc<[Descriptor]>)>>,
     rtt: RefCell<rtt::Window>,
     ledger: RefCell<Ledger>,
+
     /// Number of changes of the replica's state.
     state_changes: Cell<u64>,
     /// Number of changes of whether and for which versions the replica accepts requests.
     availability_changes: Cell<u64>,
     /// Callers' requests at the replica, with their responses.
-    runs: RefCell<Shelf<Rc<executor::Run>>>,
+    runs: RefCell<Registry<Rc<executor::Run>>>,
     /// Client for callers' requests to the replica.
     client: exchange::Client,
     started_at: Time,
@@ -352,7 +353,7 @@
     if let Some(call) = request
         .uri()
         .path_and_query()
-        .and_then(|path| Call::of(path.as_str()))
+        .and_then(|path| Call::parse(path.as_str()))
     {
         return sidecar.handle_run(call, request).await;
     }
--- a/src/sidecar/executor.rs
+++ b/src/sidecar/executor.rs
@@ -22,7 +22,9 @@
 use crate::gateway;
 use crate::http::{self, Answer};
 use crate::route::notice::{self, Notice};
-use crate::run::{Call, Ended, Found, Key, Part, TOLD, Tape, Told, Verdict};
+use crate::run::{
+    Acceptance, Buffer, Call, DISPOSITION_HEADER, Disposition, Ended, Key, Lookup, Part,
+};
 use crate::stop;
 
 /// Maximum size of a request's body in bytes, far above that of the longest prompt.
@@ -36,14 +38,15 @@
 enum Head {
     /// Received from the replica.
     Answer(StatusCode, HeaderMap),
+
     /// The replica sent none.
-    Missing(Told),
+    Missing(Disposition),
 }
 
 /// A run: the execution of a request at the replica.
 #[derive(Debug, Default)]
 pub(super) struct Run {
-    tape: Rc<RefCell<Tape>>,
+    buffer: Rc<RefCell<Buffer>>,
     head: RefCell<Option<Head>>,
     /// Number of changes of the run, by which its reader and its task are woken.
     changed: watch::Sender<u64>,
@@ -66,10 +69,10 @@
         if let Some(task) = self.task.take() {
             task.abort();
         }
-        self.tape.borrow_mut().end(Ended::Broken, now);
+        self.buffer.borrow_mut().end(Ended::Broken, now);
         self.head
             .borrow_mut()
-            .get_or_insert(Head::Missing(Told::Broken));
+            .get_or_insert(Head::Missing(Disposition::Broken));
         self.notify();
     }
 }
@@ -85,7 +88,7 @@
 impl Drop for Reader {
     fn drop(&mut self) {
         let now = self.sidecar.knowledge.now();
-        self.run.tape.borrow_mut().close(self.number, now);
+        self.run.buffer.borrow_mut().close(self.number, now);
     }
 }
 
@@ -93,7 +96,7 @@
     /// Becomes the reader of `run`, starting at the byte `from`. Returns `None` if there is nothing to
     /// read from there.
     fn open(sidecar: &Rc<Sidecar>, run: Rc<Run>, from: u64) -> Option<Self> {
-        let number = run.tape.borrow_mut().open(from)?;
+        let number = run.buffer.borrow_mut().open(from)?;
         // Wakes the previous reader, which ends.
         run.notify();
         Some(Self {
@@ -124,7 +127,7 @@
                 let body = BodyStream::new(Box::pin(self.into_stream()));
                 let mut answer = Answer::with_body(status, body.boxed());
                 copy_headers(&headers, answer.headers_mut());
-                set_header(&mut answer, TOLD, Told::Replica);
+                set_header(&mut answer, DISPOSITION_HEADER, Disposition::Replica);
                 answer
             }
         }
@@ -135,9 +138,9 @@
             let mut reader = reader?;
             loop {
                 let (part, was_full) = {
-                    let mut tape = reader.run.tape.borrow_mut();
-                    let was_full = !tape.takes();
-                    (tape.next(reader.number), was_full)
+                    let mut buffer = reader.run.buffer.borrow_mut();
+                    let was_full = !buffer.has_room();
+                    (buffer.next(reader.number), was_full)
                 };
                 match part {
                     Part::Bytes(bytes) => {
@@ -146,8 +149,8 @@
                         }
                         return Some((Ok(bytes), Some(reader)));
                     }
-                    Part::Wait => reader.wait().await,
-                    Part::End(Ended::Whole) => return None,
+                    Part::Pending => reader.wait().await,
+                    Part::End(Ended::Complete) => return None,
                     // The connection is aborted, so that the client detects the truncated response.
                     Part::End(Ended::Broken) | Part::Gone => {
                         return Some((Err(io::ErrorKind::ConnectionAborted.into()), None));
@@ -160,7 +163,7 @@
 
 /// Copies the end-to-end headers.
 fn copy_headers(from: &HeaderMap, into: &mut HeaderMap) {
-    let named = http::named_by_connection(from);
+    let named = http::connection_options(from);
     for (name, value) in from.iter() {
         if !HOP_BY_HOP.contains(name) && !named.iter().any(|known| known == name.as_str()) {
             into.append(name.clone(), value.clone());
@@ -177,15 +180,15 @@
 }
 
 /// Response of this process in place of the replica's.
-fn error_response(told: Told) -> Answer {
+fn error_response(told: Disposition) -> Answer {
     let mut answer = http::status(StatusCode::BAD_GATEWAY);
-    set_header(&mut answer, TOLD, told);
+    set_header(&mut answer, DISPOSITION_HEADER, told);
     answer
 }
 
 /// Response to a request that is not forwarded because the replica accepts none at present.
 fn rejection(notice: Notice) -> Answer {
-    let mut answer = error_response(Told::NotSent);
+    let mut answer = error_response(Disposition::NotSent);
     set_header(&mut answer, notice::HEADER, notice);
     answer
 }
@@ -210,12 +213,12 @@
     async fn start_run(self: Rc<Self>, key: Key, target: &str, mut request: Request) -> Answer {
         let permit = self.tracker.admit(stop::Kind::New);
         if permit.is_refused() {
-            return permit.attach(error_response(Told::NotSent));
+            return permit.attach(error_response(Disposition::NotSent));
         }
         let body = http::read_request(&mut request, BODY_MAX).await;
         let Ok((head, body)) = body.and_then(|body| Ok((replica_head(&request, target)?, body)))
         else {
-            return permit.attach(error_response(Told::NotSent));
+            return permit.attach(error_response(Disposition::NotSent));
         };
         let now = self.knowledge.now();
         let suspension = self.suspension.get();
@@ -223,19 +226,19 @@
             return permit.attach(rejection(suspension.notice(now)));
         }
         let run = Rc::new(Run::default());
-        let tape = run.tape.clone();
-        let verdict = self.runs.borrow_mut().start(key, tape, run.clone());
+        let buffer = run.buffer.clone();
+        let verdict = self.runs.borrow_mut().start(key, buffer, run.clone());
         match verdict {
-            Verdict::Run => {}
-            Verdict::NotRun => return permit.attach(error_response(Told::NotSent)),
-            Verdict::Known => return permit.attach(error_response(Told::Broken)),
+            Acceptance::Run => {}
+            Acceptance::NotRun => return permit.attach(error_response(Disposition::NotSent)),
+            Acceptance::Known => return permit.attach(error_response(Disposition::Broken)),
         }
         let body = (!body.is_empty()).then_some(body);
         let task = actix_rt::spawn(execute(self.clone(), run.clone(), key, head, body));
         run.task.replace(Some(task));
         match Reader::open(&self, run, 0) {
             Some(reader) => permit.attach(reader.respond().await),
-            None => permit.attach(error_response(Told::Broken)),
+            None => permit.attach(error_response(Disposition::Broken)),
         }
     }
 
@@ -244,16 +247,16 @@
         let now = self.knowledge.now();
         let found = self.runs.borrow_mut().get(key, now);
         let run = match found {
-            Found::Kept(run) => run,
-            Found::Over => return permit.attach(error_response(Told::Broken)),
-            Found::Unknown => {
+            Lookup::Kept(run) => run,
+            Lookup::Over => return permit.attach(error_response(Disposition::Broken)),
+            Lookup::Unknown => {
                 let up = now.since(self.started_at);
-                return permit.attach(error_response(Told::Unknown { up }));
+                return permit.attach(error_response(Disposition::Unknown { up }));
             }
         };
         match Reader::open(&self, run, from) {
             Some(reader) if !permit.is_refused() => permit.attach(reader.respond().await),
-            _ => permit.attach(error_response(Told::Broken)),
+            _ => permit.attach(error_response(Disposition::Broken)),
         }
     }
 
@@ -305,8 +308,8 @@
         }
         Err(error) => {
             let told = match error {
-                exchange::Error::NotSent { .. } => Told::NotSent,
-                _ => Told::Broken,
+                exchange::Error::NotSent { .. } => Disposition::NotSent,
+                _ => Disposition::Broken,
             };
             run.set_head(Head::Missing(told));
             Err(error)
@@ -316,8 +319,8 @@
         log::warn!(run:% = key, replica:% = replica; "run failed: {error}");
     }
     let now = sidecar.knowledge.now();
-    let ended = ended.map_or(Ended::Broken, |()| Ended::Whole);
-    run.tape.borrow_mut().end(ended, now);
+    let ended = ended.map_or(Ended::Broken, |()| Ended::Complete);
+    run.buffer.borrow_mut().end(ended, now);
     run.notify();
 }
 
@@ -325,10 +328,11 @@
 async fn buffer_body(run: &Run, response: &mut exchange::Response) -> Result<(), exchange::Error> {
     let mut changed = run.changed.subscribe();
     while let Some(part) = response.next().await {
-        run.tape.borrow_mut().push(&part?);
+        run.buffer.borrow_mut().push(&part?);
         run.notify();
-        while !run.tape.borrow().takes() {
+        while !run.buffer.borrow().has_room() {
             // The sender is not dropped, because `run` owns it.
+
             let _ = changed.changed().await;
         }
     }
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -14,7 +14,7 @@
 use super::reconcile::Staged;
 use crate::backoff::Backoff;
 use crate::clock::Time;
-use crate::exchange::{Note, Way};
+use crate::exchange::{Acquisition, Recorder};
 use crate::knowledge::gossip::post_noting;
 use crate::knowledge::hub;
 use crate::knowledge::readers::Readers;
@@ -170,7 +170,7 @@
         self.suspension.set(Suspension::default());
         self.state.replace(None);
         self.ledger.borrow_mut().reset();
-        self.client.forget(self.engine.address());
+        self.client.close_idle(self.engine.address());
         self.staged.replace(Staged::default());
         self.set_notice_since(None);
     }
@@ -386,10 +386,10 @@
             ..sidecar.knowledge.heartbeat(wants_peers)
         },
     };
-    let (sent_at, note) = (sidecar.knowledge.now(), Note::default());
+    let (sent_at, note) = (sidecar.knowledge.now(), Recorder::default());
     match post_noting(&sidecar.knowledge, entry, REPORT_PATH, &report, &note).await {
         // The duration of a report that was sent twice is no measure of the link.
-        Ok(()) if note.way() == Some(Way::Renewed) => {}
+        Ok(()) if note.acquisition() == Some(Acquisition::Renewed) => {}
         Ok(()) => {
             let now = sidecar.knowledge.now();
             sidecar.rtt.borrow_mut().record(now.since(sent_at), now);
@@ -405,13 +405,13 @@
 /// Reads the store as long as no entry answers, until dropped.
 pub async fn read_store_when_isolated(sidecar: Rc<Sidecar>) {
     let mut backoff = Backoff::new(STORE_READ_DELAY, STORE_READ_DELAY_MAX);
-    let mut delay = backoff.failed();
+    let mut delay = backoff.next_delay();
     loop {
         sleep(delay).await;
         let now = sidecar.knowledge.now();
         if sidecar.knowledge.peers.borrow().alive(now).next().is_some() {
-            backoff.succeeded();
-            delay = backoff.failed();
+            backoff.reset();
+            delay = backoff.next_delay();
             continue;
         }
         log::info!("no entry answers; reading the store");
@@ -419,7 +419,7 @@
             read_store(&sidecar, topic).await;
         }
         let jitter = sidecar.knowledge.rng.borrow_mut().random_range(0.7..1.3);
-        delay = backoff.failed().mul_f64(jitter);
+        delay = backoff.next_delay().mul_f64(jitter);
     }
 }
 
