--- a/src/config.rs
+++ b/src/config.rs
@@ -288,7 +288,7 @@
                 .filter(|(_, value)| value.text.is_some())
                 .filter_map(|(name, _)| name.strip_prefix(TEMPLATES))
                 .collect();
-            let error = render::missing_template(customer, &name, &known.join(", "));
+            let error = render::unknown_template(customer, &name, &known.join(", "));
             return (own, Err(error));
         };
         let template = Source { name: &key, text };
--- a/src/ctl/directory.rs
+++ b/src/ctl/directory.rs
@@ -53,7 +53,7 @@
         let template = render::template_name(customer)?;
         let Some(text) = self.templates.get(&template) else {
             let known: Vec<&str> = self.templates.keys().map(String::as_str).collect();
-            let error = render::missing_template(customer, &template, &known.join(", "));
+            let error = render::unknown_template(customer, &template, &known.join(", "));
             return Err(error.into());
         };
         let file = format!("{}/templates/{template}.toml", self.root);
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -23,7 +23,7 @@
 use crate::limit::Refusal;
 use crate::request::{self, Interruption, Key, Next, Outcome, Situation};
 use crate::route::{ReplicaKey, Resource, hash_of};
-use crate::template::fleet::{Limits, Priority, WHOLE_SHARE};
+use crate::template::fleet::{Limits, Priority, TOTAL_SHARE};
 
 /// Header that names a request in its answer.
 pub const REQUEST_HEADER: &str = "x-pumicelatch-request";
@@ -131,7 +131,7 @@
 /// grow.
 pub(super) fn draw(customer: &str, stable: &str) -> u32 {
     let text = format!("{customer}\n{stable}");
-    (hash_of(text.as_bytes()) % u64::from(WHOLE_SHARE)) as u32
+    (hash_of(text.as_bytes()) % u64::from(TOTAL_SHARE)) as u32
 }
 
 impl Job {
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -102,7 +102,7 @@
     let mut all = Vec::new();
     for model in &fleet.models {
         for version in &model.versions {
-            for hall in fleet.carrying_halls() {
+            for hall in fleet.placement_halls() {
                 all.push(demand(&customer, model, version, hall));
             }
         }
--- a/src/template.rs
+++ b/src/template.rs
@@ -12,18 +12,18 @@
 pub mod render;
 
 /// Bytes that one value on the configuration service may have.
-pub const VALUE_MAX: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Where in which file something stands.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Place {
+pub struct Location {
     /// The file's or value's name.
     pub file: String,
     /// Line, counted from 1.
     pub line: usize,
 }
 
-impl Place {
+impl Location {
     /// The place of byte range `span` in `text`.
     pub fn new(file: &str, text: &str, span: Option<Range<usize>>) -> Self {
         let start = span.map_or(0, |span| span.start).min(text.len());
@@ -39,7 +39,7 @@
     }
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}:{}", self.file, self.line)
     }
@@ -56,7 +56,7 @@
     },
     /// The value is too long for the configuration service.
     #[error(
-        "{bytes} bytes is over the limit of {VALUE_MAX} bytes; split the fleet over several customers"
+        "{bytes} bytes is over the limit of {MAX_VALUE_BYTES} bytes; split the fleet over several customers"
     )]
     TooLong {
         /// Its length.
@@ -120,10 +120,11 @@
 
 /// A problem and where it is.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, serde::Serialize, serde::Deserialize)]
-#[error("{place}: {key}: {problem}")]
+#[error("{location}: {key}: {problem}")]
 pub struct Error {
     /// File and line.
-    pub place: Place,
+    #[serde(rename = "place")]
+    pub location: Location,
     /// The key, as a dotted path, or `(file)` for the whole.
     pub key: String,
     /// What is wrong, and what would do.
@@ -132,11 +133,11 @@
 
 /// Refuses text that the configuration service would not hold.
 pub fn check_length(file: &str, text: &str) -> Result<(), Error> {
-    if text.len() <= VALUE_MAX {
+    if text.len() <= MAX_VALUE_BYTES {
         return Ok(());
     }
     Err(Error {
-        place: Place::new(file, text, None),
+        location: Location::new(file, text, None),
         key: "(file)".to_owned(),
         problem: Box::new(Problem::TooLong { bytes: text.len() }),
     })
--- a/src/template/fleet.rs
+++ b/src/template/fleet.rs
@@ -8,7 +8,7 @@
 use crate::weight::Digest;
 
 /// All shares are in hundredths.
-pub const WHOLE_SHARE: u32 = 100;
+pub const TOTAL_SHARE: u32 = 100;
 
 /// A customer's fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -164,7 +164,7 @@
 }
 
 fn whole() -> u32 {
-    WHOLE_SHARE
+    TOTAL_SHARE
 }
 
 /// How a fleet contradicts itself.
@@ -247,7 +247,7 @@
         if relocation.to.is_empty() {
             return Err(("move.to".to_owned(), Problem::NoHalls));
         }
-        if relocation.share > WHOLE_SHARE {
+        if relocation.share > TOTAL_SHARE {
             let share = relocation.share;
             return Err(("move.share".to_owned(), Problem::Share { share }));
         }
@@ -265,7 +265,7 @@
     }
 
     /// The data halls that must hold the weights at this stage of the move.
-    pub fn carrying_halls(&self) -> Vec<&str> {
+    pub fn placement_halls(&self) -> Vec<&str> {
         let old = self.side.halls.iter().map(String::as_str);
         let Some(relocation) = &self.relocation else {
             return old.collect();
@@ -314,7 +314,7 @@
             }
         }
         let sum = self.versions.iter().map(|version| version.share).sum();
-        if sum != WHOLE_SHARE {
+        if sum != TOTAL_SHARE {
             let model = self.name.clone();
             return Err((key, Problem::ShareSum { model, sum }));
         }
--- a/src/template/render.rs
+++ b/src/template/render.rs
@@ -10,7 +10,7 @@
 
 use super::fleet::Fleet;
 use super::parameter::{self, Parameter, Table};
-use super::{Error, Place, Problem, check_length};
+use super::{Error, Location, Problem, check_length};
 
 /// A named text: a file, or a value of the configuration service.
 #[derive(Debug, Clone, Copy)]
@@ -24,7 +24,7 @@
 impl Source<'_> {
     fn error(&self, span: Option<Range<usize>>, key: &str, problem: Problem) -> Error {
         Error {
-            place: Place::new(self.name, self.text, span),
+            location: Location::new(self.name, self.text, span),
             key: key.to_owned(),
             problem: Box::new(problem),
         }
@@ -65,7 +65,7 @@
 }
 
 /// Where the template's name stands in a customer's file, for an error about it.
-pub fn missing_template(customer: Source<'_>, name: &str, known: &str) -> Error {
+pub fn unknown_template(customer: Source<'_>, name: &str, known: &str) -> Error {
     let span = toml::from_str::<Customer>(customer.text)
         .ok()
         .map(|parsed| parsed.template.span());
@@ -126,7 +126,7 @@
 /// A value and where it was given.
 struct Value<'i> {
     value: DeValue<'i>,
-    place: Place,
+    location: Location,
     name: String,
 }
 
@@ -175,7 +175,7 @@
         .map_err(|problem| source.error(Some(value.span()), name, problem))?;
     Ok(Value {
         value: value.get_ref().clone(),
-        place: Place::new(source.name, source.text, Some(value.span())),
+        location: Location::new(source.name, source.text, Some(value.span())),
         name: name.to_owned(),
     })
 }
@@ -184,7 +184,7 @@
 struct Filled {
     span: Range<usize>,
     name: String,
-    place: Place,
+    location: Location,
 }
 
 /// An error of the filled tree belongs to the value, when a placeholder stands there.
@@ -196,7 +196,7 @@
     match filled {
         None => template.shape_error(error),
         Some(filled) => Error {
-            place: filled.place.clone(),
+            location: filled.location.clone(),
             key: filled.name.clone(),
             problem: Box::new(Problem::Shape {
                 message: error.message().replace('\n', ", "),
@@ -319,7 +319,7 @@
         self.used.push(Filled {
             span: span.clone(),
             name: value.name.clone(),
-            place: value.place.clone(),
+            location: value.location.clone(),
         });
         Ok(&value.value)
     }
--- a/tests/template.rs
+++ b/tests/template.rs
@@ -201,7 +201,7 @@
     ];
     for (stage, holding, serving) in cases {
         let fleet = at(stage);
-        assert_eq!(fleet.carrying_halls(), holding, "{stage}");
+        assert_eq!(fleet.placement_halls(), holding, "{stage}");
         assert_eq!(fleet.serving_halls(50), [serving], "{stage}");
     }
 }
