--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -123,25 +123,25 @@
     #[error("no replica is listed")]
     NoneListed,
     /// None is in an allowed region and in a hall that is not evacuated.
-    #[error("no replica is in an allowed region and outside evacuated halls")]
+    #[error("no replica stands where the request may be served")]
     NoneAllowed,
     /// All are leaving, invalidated or dead, or hold no allowed version.
-    #[error("no replica is eligible")]
+    #[error("no replica is fit")]
     NoneEligible,
     /// All eligible replicas are cold and at their rate limit.
-    #[error("all eligible replicas are cold and at their rate limit")]
+    #[error("all replicas are cold and bear no more")]
     Cold,
     /// All eligible replicas asked for a backoff.
-    #[error("all eligible replicas are backing off, the first for {} ms more", remaining.as_millis())]
+    #[error("all replicas asked for rest, the first for {} ms more", remaining.as_millis())]
     BackingOff {
         /// Time until the first of them takes requests again.
         remaining: Duration,
     },
     /// All eligible replicas were tried.
-    #[error("all eligible replicas were tried")]
+    #[error("all replicas were tried")]
     AllTried,
     /// This entry has the maximum number of connections to each of them.
-    #[error("all connections to the eligible replicas are in use")]
+    #[error("no connection is free")]
     Connections,
 }
 
