--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -15,7 +15,7 @@
 use super::caller::{self, Code, Failure, Head};
 use super::relay::{Relay, broken};
 use super::status::count;
-use crate::agent::door::Reason;
+use crate::agent::proxy::Reason;
 use crate::clock::Time;
 use crate::config::Active;
 use crate::exchange::Response;
@@ -23,7 +23,7 @@
 use crate::limit::Refusal;
 use crate::request::{self, Interruption, Key, Next, Outcome, Situation};
 use crate::route::{ReplicaKey, Resource, hash_of};
-use crate::template::fleet::{Limits, Priority, WHOLE_SHARE};
+use crate::template::fleet::{Limits, Priority, TOTAL_SHARE};
 
 /// Header that names a request in its answer.
 pub const REQUEST_HEADER: &str = "x-pumicelatch-request";
@@ -131,7 +131,7 @@
 /// grow.
 pub(super) fn draw(customer: &str, stable: &str) -> u32 {
     let text = format!("{customer}\n{stable}");
-    (hash_of(text.as_bytes()) % u64::from(WHOLE_SHARE)) as u32
+    (hash_of(text.as_bytes()) % u64::from(TOTAL_SHARE)) as u32
 }
 
 impl Job {
