--- a/src/template.rs
+++ b/src/template.rs
@@ -1,8 +1,8 @@
-//! Customer templates: what operators write, and what it comes to.
+//! Customer templates: parsing, validation and rendering.
 //!
 //! A template is a TOML file with typed parameters; a customer's file names a template and gives
-//! values. [`render::render`] joins the two into a [`fleet::Fleet`], the only form that the rest
-//! of the system sees. Every error names the file, the line, the key and the fix.
+//! values. [`render::render`] combines the two into a [`fleet::Fleet`], the only form that the
+//! rest of the system uses. Every error names the file, the line, the key and the fix.
 
 use std::fmt;
 use std::ops::Range;
@@ -11,20 +11,20 @@
 pub mod parameter;
 pub mod render;
 
-/// Bytes that one value on the configuration service may have.
+/// Maximum size of a value of the configuration service.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Where in which file something stands.
+/// A line of a file or of a value of the configuration service.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Location {
-    /// The file's or value's name.
+    /// Name of the file or value.
     pub file: String,
-    /// Line, counted from 1.
+    /// Line number, counted from 1.
     pub line: usize,
 }
 
 impl Location {
-    /// The place of byte range `span` in `text`.
+    /// The line on which the byte range `span` of `text` begins; line 1 without a span.
     pub fn new(file: &str, text: &str, span: Option<Range<usize>>) -> Self {
         let start = span.map_or(0, |span| span.start).min(text.len());
         let line = text.as_bytes()[..start]
@@ -45,13 +45,13 @@
     }
 }
 
-/// What is wrong with a template or a customer's file.
+/// A fault in a template or a customer's file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, serde::Serialize, serde::Deserialize)]
 pub enum Problem {
-    /// The file is not TOML, or not of the expected shape.
+    /// The file is not TOML, or does not have the expected structure.
     #[error("{message}")]
     Shape {
-        /// What the parser reported.
+        /// The parser's message.
         message: String,
     },
     /// The value is too long for the configuration service.
@@ -59,79 +59,79 @@
         "{bytes} bytes is over the limit of {MAX_VALUE_BYTES} bytes; split the fleet over several customers"
     )]
     TooLong {
-        /// Its length.
+        /// Size of the value.
         bytes: usize,
     },
     /// The customer names a template that does not exist.
     #[error("no template `{name}`; add it or name one of: {known}")]
     NoTemplate {
-        /// The name that was given.
+        /// The unknown name.
         name: String,
-        /// The templates that exist.
+        /// Names of the existing templates.
         known: String,
     },
     /// A value for a parameter that the template does not declare.
     #[error("the template has no parameter `{name}`; remove it or name one of: {known}")]
     NoParameter {
-        /// The name that was given.
+        /// The unknown name.
         name: String,
-        /// The parameters that exist.
+        /// Names of the declared parameters.
         known: String,
     },
-    /// A parameter without a default got no value.
+    /// A parameter without a default has no value.
     #[error("parameter `{name}` has no default; give it a value under [values]")]
     NoValue {
-        /// The parameter.
+        /// Name of the parameter.
         name: String,
     },
-    /// A value is not of its parameter's type.
+    /// A value does not have its parameter's type.
     #[error("parameter `{name}` takes {expected}, got {found}")]
     Type {
-        /// The parameter.
+        /// Name of the parameter.
         name: String,
-        /// What it takes.
+        /// The expected type.
         expected: String,
-        /// What was given.
+        /// The given value.
         found: String,
     },
-    /// A value lies outside what its parameter allows.
+    /// A value is outside its parameter's range or choices.
     #[error("parameter `{name}` is {found}; allowed: {allowed}")]
     Range {
-        /// The parameter.
+        /// Name of the parameter.
         name: String,
-        /// What was given.
+        /// The given value.
         found: String,
-        /// What is allowed.
+        /// The allowed range or choices.
         allowed: String,
     },
-    /// A `${...}` that cannot stand within a longer string.
+    /// A placeholder for a list is part of a longer string.
     #[error("`${{{name}}}` is a list and must be the whole string")]
     ListInText {
-        /// The parameter.
+        /// Name of the parameter.
         name: String,
     },
-    /// A `${` without an end.
+    /// A `${` has no closing `}`.
     #[error("`${{` without `}}`; close it, or write `$${{` for the text itself")]
     OpenPlaceholder,
-    /// The rendered fleet contradicts itself.
+    /// The rendered fleet is inconsistent.
     #[error("{0}")]
     Fleet(#[from] fleet::Problem),
 }
 
-/// A problem and where it is.
+/// A problem and its location.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, serde::Serialize, serde::Deserialize)]
 #[error("{location}: {key}: {problem}")]
 pub struct Error {
     /// File and line.
     #[serde(rename = "place")]
     pub location: Location,
-    /// The key, as a dotted path, or `(file)` for the whole.
+    /// The key as a dotted path, or `(file)` for the whole file.
     pub key: String,
-    /// What is wrong, and what would do.
+    /// The fault and how to fix it.
     pub problem: Box<Problem>,
 }
 
-/// Refuses text that the configuration service would not hold.
+/// Rejects text that is too long for the configuration service.
 pub fn check_length(file: &str, text: &str) -> Result<(), Error> {
     if text.len() <= MAX_VALUE_BYTES {
         return Ok(());
