--- a/src/template/fleet.rs
+++ b/src/template/fleet.rs
@@ -1,4 +1,4 @@
-//! What a customer's fleet should carry: a template with its values filled in, checked as a whole.
+//! The configuration of a customer's fleet: a rendered template, checked for consistency.
 
 use std::collections::BTreeSet;
 
@@ -7,59 +7,59 @@
 use crate::spread::Favour;
 use crate::weight::Digest;
 
-/// All shares are in hundredths.
+/// The whole of the requests. All shares are in percent.
 pub const TOTAL_SHARE: u32 = 100;
 
 /// A customer's fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The data halls that carry it.
+    /// Data halls that host it when it is not moving.
     pub side: Side,
-    /// How far it has moved to other data halls.
+    /// Progress of its move to other data halls.
     #[serde(default, rename = "move", skip_serializing_if = "Option::is_none")]
-    pub relocation: Option<Move>,
-    /// The models that it carries.
+    pub relocation: Option<Relocation>,
+    /// Models that it serves.
     #[serde(default)]
     pub models: Vec<Model>,
-    /// The plain services that it calls.
+    /// Plain services that it calls.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// What its callers may use.
+    /// Limits on its callers.
     #[serde(default)]
     pub limits: Limits,
 }
 
-/// The data halls that carry a fleet when it is not moving.
+/// Data halls that host a fleet when it is not moving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Side {
-    /// Names of data halls.
+    /// Names of the data halls.
     pub halls: Vec<String>,
 }
 
 /// A move from [`Side::halls`] to other data halls.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Move {
-    /// Names of the data halls that it moves to.
+pub struct Relocation {
+    /// Names of the data halls that the fleet moves to.
     pub to: Vec<String>,
-    /// How far it has gone.
+    /// Stage of the move.
     pub stage: Stage,
-    /// Hundredths of the requests that go to the new side while the stage is `moving`.
+    /// Percentage of the requests that go to the new side while the stage is `moving`.
     #[serde(default)]
     pub share: u32,
 }
 
-/// The stages of a move.
+/// Stage of a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// The new side receives weights and takes no requests.
+    /// The new side receives the weights and takes no requests.
     Prepared,
     /// Both sides hold the weights; the new one takes a share of the requests.
     Moving,
-    /// The new side takes all requests; the old one lets its weights go.
+    /// The new side takes all requests; the old one releases its weights.
     Finished,
     /// The old side takes all requests again; the new one keeps its weights.
     TurnedBack,
@@ -69,17 +69,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The name that callers use.
+    /// Name used by callers.
     pub name: String,
-    /// Replicas in each data hall that carries it.
+    /// Number of replicas in each data hall that hosts it.
     pub replicas: u32,
-    /// What weighs more while its weights spread.
+    /// Whether the distribution of its weights favours time or origin traffic.
     #[serde(default)]
     pub favour: Favour,
-    /// Whether a request may run twice.
-    #[serde(default = "yes")]
+    /// Whether a request may run more than once.
+    #[serde(default = "default_true")]
     pub repeatable: bool,
-    /// The versions that are in use, with the share of requests of each.
+    /// Versions in use with their shares of the requests, the newest one last.
     pub versions: Vec<Version>,
 }
 
@@ -89,12 +89,12 @@
 pub struct Version {
     /// Digest of its manifest.
     pub digest: Digest,
-    /// Bytes of its weights, for placement.
+    /// Size of its weights in bytes, used for placement.
     pub bytes: u64,
-    /// Hundredths of the model's requests. 0 places the weights without requests.
-    #[serde(default = "whole")]
+    /// Percentage of the model's requests. With 0, the weights are placed but get no requests.
+    #[serde(default = "full_share")]
     pub share: u32,
-    /// Adapters that every replica of this version carries.
+    /// Adapters placed with every replica of this version.
     #[serde(default)]
     pub adapters: Vec<Adapter>,
 }
@@ -103,11 +103,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// The name that callers use.
+    /// Name used by callers.
     pub name: String,
     /// Digest of its manifest.
     pub digest: Digest,
-    /// Bytes of its weights.
+    /// Size of its weights in bytes.
     pub bytes: u64,
 }
 
@@ -115,9 +115,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The name that callers and the box list use.
+    /// Name used by callers and in the list of boxes.
     pub name: String,
-    /// Whether a call may run twice.
+    /// Whether a call may run more than once.
     #[serde(default)]
     pub repeatable: bool,
 }
@@ -130,22 +130,22 @@
 pub enum Priority {
     /// Shed first.
     Low,
-    /// The usual.
+    /// The default.
     #[default]
     Normal,
     /// Shed last.
     High,
 }
 
-/// What a customer's callers may use at one entry.
+/// Limits on a customer's callers at one entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests that may be in progress at once.
+    /// Maximum number of concurrent requests.
     pub in_flight: u32,
-    /// Priority of requests that state none, and the highest they may state.
+    /// Default and highest allowed priority of requests.
     pub priority: Priority,
-    /// Deadline of a request that states none, in milliseconds.
+    /// Default deadline of requests, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -159,15 +159,15 @@
     }
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-fn whole() -> u32 {
+fn full_share() -> u32 {
     TOTAL_SHARE
 }
 
-/// How a fleet contradicts itself.
+/// An inconsistency in a fleet.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum Problem {
     /// No data hall is named.
@@ -176,63 +176,63 @@
     /// A data hall is named on both sides of a move.
     #[error("data hall `{hall}` is on both sides of the move; name it once")]
     BothSides {
-        /// The hall.
+        /// Name of the data hall.
         hall: String,
     },
     /// A share is over 100.
     #[error("share {share} is over 100")]
     Share {
-        /// The share that was given.
+        /// The given share.
         share: u32,
     },
     /// The shares of a model's versions do not sum to 100.
     #[error("the shares of model `{model}` sum to {sum}; make them 100")]
     ShareSum {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// The sum.
+        /// The actual sum.
         sum: u32,
     },
-    /// A name is used twice.
+    /// A name or digest is listed twice.
     #[error("`{name}` is listed twice; keep one")]
     Twice {
-        /// The name.
+        /// The duplicate name or digest.
         name: String,
     },
     /// A model has no version.
     #[error("model `{model}` has no version; add a [[models.versions]]")]
     NoVersion {
-        /// The model.
+        /// Name of the model.
         model: String,
     },
-    /// A number must not be zero.
+    /// A number is zero that must be positive.
     #[error("`{key}` is 0; give 1 or more")]
     Zero {
-        /// The key.
+        /// Dotted path of the key.
         key: String,
     },
 }
 
-/// A problem with the key it belongs to.
+/// The dotted path of a key and its problem.
 pub type Finding = (String, Problem);
 
 impl Fleet {
-    /// Confirms that the parts agree.
+    /// Checks the fleet for consistency.
     pub fn check(&self) -> Result<(), Finding> {
         self.check_halls()?;
         let mut names = BTreeSet::new();
         for model in &self.models {
             model.check()?;
-            unique(&mut names, &model.name, "models")?;
+            check_unique(&mut names, &model.name, "models")?;
         }
         for service in &self.services {
-            unique(&mut names, &service.name, "services")?;
+            check_unique(&mut names, &service.name, "services")?;
         }
         if self.limits.in_flight == 0 {
-            return Err(zero("limits", "in_flight"));
+            return Err(zero_error("limits", "in_flight"));
         }
         if self.limits.deadline_ms == 0 {
-            return Err(zero("limits", "deadline_ms"));
+            return Err(zero_error("limits", "deadline_ms"));
         }
         Ok(())
     }
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The data halls that must hold the weights at this stage of the move.
+    /// Data halls that must hold the weights at this stage of the move.
     pub fn placement_halls(&self) -> Vec<&str> {
         let old = self.side.halls.iter().map(String::as_str);
         let Some(relocation) = &self.relocation else {
@@ -277,8 +277,8 @@
         }
     }
 
-    /// The data halls that take the requests whose stable draw in `0..100` is `draw`. A request
-    /// that has moved stays moved while the share grows.
+    /// Data halls that serve the requests with the stable number `draw`, in `0..100`. While the share
+    /// grows, requests move to the new side only, never back.
     pub fn serving_halls(&self, draw: u32) -> &[String] {
         let Some(relocation) = &self.relocation else {
             return &self.side.halls;
@@ -300,7 +300,7 @@
     fn check(&self) -> Result<(), Finding> {
         let key = format!("models.{}", self.name);
         if self.replicas == 0 {
-            return Err(zero(&key, "replicas"));
+            return Err(zero_error(&key, "replicas"));
         }
         if self.versions.is_empty() {
             let model = self.name.clone();
@@ -308,9 +308,9 @@
         }
         let mut digests = BTreeSet::new();
         for version in &self.versions {
-            unique(&mut digests, &version.digest.to_string(), &key)?;
+            check_unique(&mut digests, &version.digest.to_string(), &key)?;
             if version.bytes == 0 {
-                return Err(zero(&key, "bytes"));
+                return Err(zero_error(&key, "bytes"));
             }
         }
         let sum = self.versions.iter().map(|version| version.share).sum();
@@ -321,10 +321,11 @@
         Ok(())
     }
 
-    /// The version that takes the requests whose stable draw in `0..100` is `draw`.
+    /// The version that serves the requests with the stable number `draw`, in `0..100`.
     pub fn version_for(&self, draw: u32) -> Option<&Version> {
         let mut upper = 0;
-        // The newest version stands last. Drawing from the end keeps a request on it as its share grows.
+        // The newest version is listed last. Its range of numbers starts at 0, so that its requests
+        // stay with it while its share grows.
         self.versions.iter().rev().find(|version| {
             upper += version.share;
             draw < upper
@@ -332,12 +333,12 @@
     }
 }
 
-fn zero(table: &str, key: &str) -> Finding {
+fn zero_error(table: &str, key: &str) -> Finding {
     let key = format!("{table}.{key}");
     (key.clone(), Problem::Zero { key })
 }
 
-fn unique(seen: &mut BTreeSet<String>, name: &str, key: &str) -> Result<(), Finding> {
+fn check_unique(seen: &mut BTreeSet<String>, name: &str, key: &str) -> Result<(), Finding> {
     if seen.insert(name.to_owned()) {
         return Ok(());
     }
