--- a/src/template/parameter.rs
+++ b/src/template/parameter.rs
@@ -1,4 +1,4 @@
-//! Typed parameters and the values given for them.
+//! Declaration of template parameters and validation of their values.
 
 use std::collections::BTreeMap;
 
@@ -15,11 +15,11 @@
 pub enum Type {
     /// Any text.
     String,
-    /// A whole number.
+    /// Any integer.
     Integer,
     /// `true` or `false`.
     Boolean,
-    /// A manifest's digest.
+    /// Digest of a manifest.
     Digest,
     /// A list of strings.
     List,
@@ -51,33 +51,33 @@
     }
 }
 
-/// A parameter's declaration.
+/// Declaration of a parameter.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Parameter {
-    /// Its type.
+    /// Type of its values.
     #[serde(rename = "type")]
     pub kind: Type,
-    /// What it is for.
+    /// Purpose, for readers of the template.
     #[serde(default)]
     pub description: String,
-    /// The only values allowed, for strings and lists.
+    /// Allowed strings, or allowed items of a list; any if empty.
     #[serde(default)]
     pub choices: Vec<String>,
-    /// Smallest integer allowed.
+    /// Smallest allowed integer.
     pub minimum: Option<i64>,
-    /// Largest integer allowed.
+    /// Largest allowed integer.
     pub maximum: Option<i64>,
-    /// Whether a `default` key stands beside; its value is taken from the tree itself.
+    /// Accepts the `default` key; [`default_value`] reads its value from the parsed tree.
     #[serde(default, rename = "default")]
     _default: Option<toml::Value>,
 }
 
-/// Parameters by name.
-pub type Table = BTreeMap<String, Parameter>;
+/// Parameter declarations by name.
+pub type Parameters = BTreeMap<String, Parameter>;
 
 impl Parameter {
-    /// Confirms that `value` suits this parameter.
+    /// Checks the type of `value`, and its range or choices.
     pub fn check(&self, name: &str, value: &DeValue<'_>) -> Result<(), Problem> {
         if !self.kind.accepts(value) {
             return Err(Problem::Type {
@@ -89,7 +89,7 @@
         if let Some(number) = integer(value) {
             self.check_range(name, number)?;
         }
-        for text in texts(value) {
+        for text in strings(value) {
             self.check_choice(name, text)?;
         }
         Ok(())
@@ -126,14 +126,14 @@
     }
 }
 
-/// The value of an integer.
+/// The value of an integer; `None` for other types and for integers outside the range of `i64`.
 pub fn integer(value: &DeValue<'_>) -> Option<i64> {
     let number = value.as_integer()?;
     i64::from_str_radix(number.as_str(), number.radix()).ok()
 }
 
-/// The strings in a string or a list.
-fn texts<'a>(value: &'a DeValue<'_>) -> Vec<&'a str> {
+/// A string value itself, or the string items of a list.
+fn strings<'a>(value: &'a DeValue<'_>) -> Vec<&'a str> {
     if let Some(text) = value.as_str() {
         return vec![text];
     }
@@ -157,8 +157,8 @@
     }
 }
 
-/// The default of parameter `name` in a template's tree.
-pub fn default_of<'a, 'i>(
+/// Default value of parameter `name` in the parsed template.
+pub fn default_value<'a, 'i>(
     template: &'a DeTable<'i>,
     name: &str,
 ) -> Option<&'a Spanned<DeValue<'i>>> {
--- a/src/template/render.rs
+++ b/src/template/render.rs
@@ -1,4 +1,4 @@
-//! Joins a template and a customer's values into a fleet.
+//! Rendering of a template with a customer's values.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -9,15 +9,15 @@
 use toml::de::{DeArray, DeTable, DeValue};
 
 use super::fleet::Fleet;
-use super::parameter::{self, Parameter, Table};
+use super::parameter::{self, Parameter, Parameters};
 use super::{Error, Location, Problem, check_length};
 
-/// A named text: a file, or a value of the configuration service.
+/// Named text of a file or of a value of the configuration service.
 #[derive(Debug, Clone, Copy)]
 pub struct Source<'a> {
-    /// Its name, shown in errors.
+    /// Name shown in errors.
     pub name: &'a str,
-    /// Its content.
+    /// Content.
     pub text: &'a str,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The key on the line at which `span` begins, for errors of the parser, which name none.
+/// The key on the line where `span` begins. The parser's errors do not name the key.
 fn key_at(text: &str, span: Option<Range<usize>>) -> String {
     let start = span.map_or(0, |span| span.start).min(text.len());
     let line_start = text[..start].rfind('\n').map_or(0, |at| at + 1);
@@ -56,7 +56,7 @@
     _values: BTreeMap<String, toml::Value>,
 }
 
-/// The name of the template that a customer's file uses.
+/// Name of the template that a customer's file uses.
 pub fn template_name(customer: Source<'_>) -> Result<String, Error> {
     check_length(customer.name, customer.text)?;
     let parsed: Customer =
@@ -64,7 +64,7 @@
     Ok(parsed.template.into_inner())
 }
 
-/// Where the template's name stands in a customer's file, for an error about it.
+/// Error for a customer's file that uses template `name`, which does not exist.
 pub fn unknown_template(customer: Source<'_>, name: &str, known: &str) -> Error {
     let span = toml::from_str::<Customer>(customer.text)
         .ok()
@@ -76,64 +76,65 @@
     customer.error(span, "template", problem)
 }
 
-/// Fills a template with a customer's values.
+/// Renders a template with a customer's values.
 pub fn render(template: Source<'_>, customer: Source<'_>) -> Result<Fleet, Error> {
     check_length(template.name, template.text)?;
     check_length(customer.name, customer.text)?;
     let customer_tree =
         DeTable::parse(customer.text).map_err(|error| customer.shape_error(&error))?;
     let mut tree = DeTable::parse(template.text).map_err(|error| template.shape_error(&error))?;
-    let parameters = declared(template)?;
-    let mut filler = Filler {
+    let parameters = parse_parameters(template)?;
+    let mut expander = Expander {
         template,
-        values: values(
+        values: resolve_values(
             template,
             customer,
             &parameters,
             tree.get_ref(),
             customer_tree.get_ref(),
         )?,
-        used: Vec::new(),
+        expansions: Vec::new(),
     };
     tree.get_mut().remove("parameters");
-    filler.table(tree.get_mut(), "")?;
-    let used = filler.used;
+    expander.expand_table(tree.get_mut(), "")?;
+    let expansions = expander.expansions;
     let fleet = Fleet::deserialize(toml::de::Deserializer::from(tree))
-        .map_err(|error| blame(template, &used, &error))?;
+        .map_err(|error| deserialize_error(template, &expansions, &error))?;
     fleet
         .check()
-        .map_err(|(key, problem)| contradiction(template, &key, problem))?;
+        .map_err(|(key, problem)| consistency_error(template, &key, problem))?;
     Ok(fleet)
 }
 
-fn contradiction(template: Source<'_>, key: &str, problem: super::fleet::Problem) -> Error {
+/// Error for an inconsistent fleet, at the first occurrence of the key's last part in the template.
+fn consistency_error(template: Source<'_>, key: &str, problem: super::fleet::Problem) -> Error {
     let last = key.rsplit('.').next().unwrap_or(key);
     let span = template.text.find(last).map(|at| at..at + last.len());
     template.error(span, key, Problem::Fleet(problem))
 }
 
-fn declared(template: Source<'_>) -> Result<Table, Error> {
+fn parse_parameters(template: Source<'_>) -> Result<Parameters, Error> {
     #[derive(Deserialize)]
     struct Declarations {
         #[serde(default)]
-        parameters: Table,
+        parameters: Parameters,
     }
     let declarations: Declarations =
         toml::from_str(template.text).map_err(|error| template.shape_error(&error))?;
     Ok(declarations.parameters)
 }
 
-/// A value and where it was given.
+/// The value of a parameter and where it is defined.
 struct Value<'i> {
     value: DeValue<'i>,
     location: Location,
     name: String,
 }
 
-fn values<'i>(
+fn resolve_values<'i>(
     template: Source<'i>,
     customer: Source<'i>,
-    parameters: &Table,
+    parameters: &Parameters,
     template_tree: &DeTable<'i>,
     customer_tree: &DeTable<'i>,
 ) -> Result<BTreeMap<String, Value<'i>>, Error> {
@@ -154,17 +155,18 @@
     let mut values = BTreeMap::new();
     for (name, parameter) in parameters {
         let given = given.get(name.as_str()).map(|value| (customer, value));
-        let default = || parameter::default_of(template_tree, name).map(|value| (template, value));
+        let default =
+            || parameter::default_value(template_tree, name).map(|value| (template, value));
         let Some((source, value)) = given.or_else(default) else {
             let name = name.clone();
             return Err(customer.error(None, &name.clone(), Problem::NoValue { name }));
         };
-        values.insert(name.clone(), checked(name, parameter, source, value)?);
+        values.insert(name.clone(), check_value(name, parameter, source, value)?);
     }
     Ok(values)
 }
 
-fn checked<'i>(
+fn check_value<'i>(
     name: &str,
     parameter: &Parameter,
     source: Source<'_>,
@@ -180,24 +182,29 @@
     })
 }
 
-/// A placeholder that was filled, for errors in what it led to.
-struct Filled {
+/// An expanded placeholder, recorded to locate errors that its value causes.
+struct Expansion {
     span: Range<usize>,
     name: String,
     location: Location,
 }
 
-/// An error of the filled tree belongs to the value, when a placeholder stands there.
-fn blame(template: Source<'_>, used: &[Filled], error: &toml::de::Error) -> Error {
+/// Error for a rendered tree that is not a valid fleet. If the faulty string has placeholders, the
+/// error points to the value of the first.
+fn deserialize_error(
+    template: Source<'_>,
+    expansions: &[Expansion],
+    error: &toml::de::Error,
+) -> Error {
     let span = error.span();
-    let filled = span
+    let expansion = span
         .as_ref()
-        .and_then(|span| used.iter().find(|filled| filled.span == *span));
-    match filled {
+        .and_then(|span| expansions.iter().find(|expansion| expansion.span == *span));
+    match expansion {
         None => template.shape_error(error),
-        Some(filled) => Error {
-            location: filled.location.clone(),
-            key: filled.name.clone(),
+        Some(expansion) => Error {
+            location: expansion.location.clone(),
+            key: expansion.name.clone(),
             problem: Box::new(Problem::Shape {
                 message: error.message().replace('\n', ", "),
             }),
@@ -205,35 +212,35 @@
     }
 }
 
-/// Replaces placeholders throughout a tree.
-struct Filler<'i> {
+/// Replaces the placeholders in a parsed template.
+struct Expander<'i> {
     template: Source<'i>,
     values: BTreeMap<String, Value<'i>>,
-    used: Vec<Filled>,
+    expansions: Vec<Expansion>,
 }
 
-impl<'i> Filler<'i> {
-    fn table(&mut self, table: &mut DeTable<'i>, path: &str) -> Result<(), Error> {
+impl<'i> Expander<'i> {
+    fn expand_table(&mut self, table: &mut DeTable<'i>, path: &str) -> Result<(), Error> {
         for (key, value) in table.iter_mut() {
             let path = if path.is_empty() {
                 key.get_ref().to_string()
             } else {
                 format!("{path}.{}", key.get_ref())
             };
-            self.value(value, &path)?;
+            self.expand_value(value, &path)?;
         }
         Ok(())
     }
 
-    fn value(&mut self, value: &mut Spanned<DeValue<'i>>, path: &str) -> Result<(), Error> {
+    fn expand_value(&mut self, value: &mut Spanned<DeValue<'i>>, path: &str) -> Result<(), Error> {
         let span = value.span();
         match value.get_mut() {
-            DeValue::Table(table) => self.table(table, path),
-            DeValue::Array(items) => self.array(items, path),
+            DeValue::Table(table) => self.expand_table(table, path),
+            DeValue::Array(items) => self.expand_array(items, path),
             DeValue::String(text) => {
                 let text = text.to_string();
-                if let Some(filled) = self.text(&text, &span, path)? {
-                    *value.get_mut() = filled;
+                if let Some(expanded) = self.expand_text(&text, &span, path)? {
+                    *value.get_mut() = expanded;
                 }
                 Ok(())
             }
@@ -241,12 +248,15 @@
         }
     }
 
-    fn array(&mut self, items: &mut DeArray<'i>, path: &str) -> Result<(), Error> {
-        items.iter_mut().try_for_each(|item| self.value(item, path))
+    fn expand_array(&mut self, items: &mut DeArray<'i>, path: &str) -> Result<(), Error> {
+        items
+            .iter_mut()
+            .try_for_each(|item| self.expand_value(item, path))
     }
 
-    /// What `text` becomes; `None` when it has no placeholder.
-    fn text(
+    /// Expands `text`. Returns `None` if it has no placeholder. A string that consists of one
+    /// placeholder becomes a value of the parameter's type.
+    fn expand_text(
         &mut self,
         text: &str,
         span: &Range<usize>,
@@ -316,7 +326,7 @@
             let name = name.to_owned();
             return Err(self.error(span, path, Problem::NoParameter { name, known }));
         };
-        self.used.push(Filled {
+        self.expansions.push(Expansion {
             span: span.clone(),
             name: value.name.clone(),
             location: value.location.clone(),
