--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -1,99 +1,101 @@
-//! `pumicectl`: the operator's command line. It reads files and processes, and writes nothing.
+//! `pumicectl`, the operator's command line. It reads files, queries processes and changes nothing.
 
 use crate::option::{self, EXIT_USAGE};
 
 pub mod directory;
-pub mod fleet;
+pub mod inspect;
+pub mod inventory;
 pub mod plan;
-pub mod show;
 
-/// What the program is for.
+/// Help text of the program.
 const SUMMARY: &str = "The operator's command line of pumicelatch. It changes nothing.
 
 Commands (each with its own --help):
   check     check a directory of templates/ and customers/
-  render    show what a customer's fleet comes to
-  diff      compare two directories, customer by customer
-  plan      which boxes would gain or lose which weights, and how many bytes
-  explain   why a box holds or lacks a customer's weights
-  status    boxes, versions and bursts of a running fleet
-  audit     who carried out which change when
+  render    print a customer's rendered fleet
+  diff      compare the rendered fleets of two directories
+  plan      show which boxes would gain or lose which weights, and their sizes
+  explain   show why a box holds or lacks a customer's weights
+  status    show boxes, versions and bursts of a running fleet
+  audit     show the audit trail: who made which change, and when
 
 A directory holds what is published: templates/NAME.toml and customers/NAME.toml.
-Exit codes: 0 all is well, 1 a check failed or a process did not answer, 2 wrong command line.";
+Exit codes: 0 success, 1 a check failed or a process did not answer, 2 invalid command line.";
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The command line is wrong.
+    /// An option is invalid.
     #[error(transparent)]
     Option(#[from] option::Error),
-    /// There is no such command.
+    /// The command does not exist.
     #[error("no command `{name}`; see --help")]
-    Command {
-        /// The name that was given.
+    UnknownCommand {
+        /// The unknown name.
         name: String,
     },
     /// An argument is missing.
     #[error("{what} is missing; see --help")]
-    Argument {
-        /// What is missing.
+    MissingArgument {
+        /// Description of the argument.
         what: &'static str,
     },
     /// A file cannot be read.
     #[error("cannot read {path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// A file is not of the expected form.
+    /// A file does not have the expected format.
     #[error("{path}: {reason}")]
-    Form {
-        /// The file.
+    Malformed {
+        /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// The parser's message.
         reason: String,
     },
-    /// There is no such customer.
+    /// The customer does not exist.
     #[error("no customer `{name}`; there are: {known}")]
-    Customer {
-        /// The name that was given.
+    UnknownCustomer {
+        /// The unknown name.
         name: String,
-        /// The customers that exist.
+        /// Names of the existing customers.
         known: String,
     },
-    /// A template or a customer's file is wrong.
+    /// A template or a customer's file is invalid.
     #[error(transparent)]
     Template(#[from] crate::template::Error),
-    /// A process does not answer.
+    /// A request failed, or its response is invalid.
     #[error("{url}: {source}")]
-    Process {
-        /// Where it should be.
+    Request {
+        /// URL of the request.
         url: String,
-        /// What happened.
+        /// The underlying error.
         source: crate::http::Error,
     },
-    /// A result cannot be written as JSON or TOML.
-    #[error("cannot write the result: {reason}")]
-    Write {
-        /// What the library reported.
+    /// A result cannot be serialized as JSON or TOML.
+    #[error("cannot serialize the result: {reason}")]
+    Serialize {
+        /// The serializer's message.
         reason: String,
     },
 }
 
 impl Error {
-    /// The process's exit code for this error.
+    /// Exit code of the process for this error.
     pub fn exit_code(&self) -> i32 {
         match self {
-            Self::Option(_) | Self::Command { .. } | Self::Argument { .. } => EXIT_USAGE,
+            Self::Option(_) | Self::UnknownCommand { .. } | Self::MissingArgument { .. } => {
+                EXIT_USAGE
+            }
             _ => 1,
         }
     }
 }
 
-/// Runs a command and returns the process's exit code.
+/// Runs a command and returns the exit code of the process.
 pub async fn run(arguments: &[String]) -> Result<i32, Error> {
     let Some((name, rest)) = arguments.split_first() else {
         println!("{SUMMARY}");
@@ -105,8 +107,8 @@
         "diff" => directory::diff(rest),
         "plan" => plan::plan(rest).await,
         "explain" => plan::explain(rest).await,
-        "status" => show::status(rest).await,
-        "audit" => show::audit(rest).await,
+        "status" => inspect::status(rest).await,
+        "audit" => inspect::audit(rest).await,
         "-h" | "--help" => {
             println!("{SUMMARY}");
             Ok(0)
@@ -115,14 +117,14 @@
             println!("pumicectl {}", env!("CARGO_PKG_VERSION"));
             Ok(0)
         }
-        other => Err(Error::Command {
+        other => Err(Error::UnknownCommand {
             name: other.to_owned(),
         }),
     }
 }
 
-/// Parses a command's options; `None` when it printed its help instead.
-fn values(
+/// Parses the options of a command. Returns `None` if it printed the help text instead.
+fn parse_options(
     command: &str,
     summary: &str,
     specs: &[option::Spec],
@@ -133,7 +135,7 @@
 }
 
 fn to_json<T: serde::Serialize>(value: &T) -> Result<String, Error> {
-    serde_json::to_string_pretty(value).map_err(|error| Error::Write {
+    serde_json::to_string_pretty(value).map_err(|error| Error::Serialize {
         reason: error.to_string(),
     })
 }
--- a/src/ctl/directory.rs
+++ b/src/ctl/directory.rs
@@ -1,18 +1,18 @@
-//! Directories of templates and customers: check, render, compare.
+//! Commands on directories of templates and customers: check, render and diff.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-use super::{Error, to_json, values};
+use super::{Error, parse_options, to_json};
 use crate::option::Spec;
 use crate::template::fleet::Fleet;
 use crate::template::render::{self, Source};
 use crate::template::{self};
 
-/// Texts by name.
+/// File contents by name, without the extension.
 type Texts = BTreeMap<String, String>;
 
-/// A directory as it would be published.
+/// Templates and customers of a directory, as they would be published.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     templates: Texts,
@@ -24,21 +24,21 @@
     /// Reads `templates/*.toml` and `customers/*.toml` under `root`.
     pub fn read(root: &str) -> Result<Self, Error> {
         Ok(Self {
-            templates: read_all(&format!("{root}/templates"))?,
-            customers: read_all(&format!("{root}/customers"))?,
+            templates: read_texts(&format!("{root}/templates"))?,
+            customers: read_texts(&format!("{root}/customers"))?,
             root: root.to_owned(),
         })
     }
 
-    /// Names of the customers.
+    /// Names of the customers, in order.
     pub fn customers(&self) -> impl Iterator<Item = &String> {
         self.customers.keys()
     }
 
-    /// Renders one customer.
+    /// Renders the fleet of customer `name`.
     pub fn render(&self, name: &str) -> Result<Fleet, Error> {
         let Some(text) = self.customers.get(name) else {
-            return Err(Error::Customer {
+            return Err(Error::UnknownCustomer {
                 name: name.to_owned(),
                 known: self
                     .customers
@@ -61,7 +61,7 @@
         Ok(render::render(template, customer)?)
     }
 
-    /// Renders all customers; the first error stops it.
+    /// Renders the fleets of all customers, up to the first error.
     pub fn fleets(&self) -> Result<BTreeMap<String, Fleet>, Error> {
         self.customers()
             .map(|name| Ok((name.clone(), self.render(name)?)))
@@ -69,7 +69,7 @@
     }
 }
 
-fn read_all(path: &str) -> Result<Texts, Error> {
+fn read_texts(path: &str) -> Result<Texts, Error> {
     let failed = |source| Error::Read {
         path: path.to_owned(),
         source,
@@ -96,38 +96,40 @@
     stem.to_string_lossy().into_owned()
 }
 
-fn argument(free: &[String], index: usize, what: &'static str) -> Result<String, Error> {
-    free.get(index).cloned().ok_or(Error::Argument { what })
+fn required_argument(free: &[String], index: usize, what: &'static str) -> Result<String, Error> {
+    free.get(index)
+        .cloned()
+        .ok_or(Error::MissingArgument { what })
 }
 
 /// `pumicectl check DIRECTORY`.
 pub fn check(arguments: &[String]) -> Result<i32, Error> {
     let summary = "Checks every customer of a directory: pumicectl check DIRECTORY";
-    let Some(values) = values("check", summary, &[], arguments)? else {
+    let Some(values) = parse_options("check", summary, &[], arguments)? else {
         return Ok(0);
     };
-    let directory = Directory::read(&argument(&values.free, 0, "the directory")?)?;
-    let mut wrong = 0;
+    let directory = Directory::read(&required_argument(&values.free, 0, "the directory")?)?;
+    let mut invalid = 0;
     for name in directory.customers() {
         if let Err(error) = directory.render(name) {
             eprintln!("{error}");
-            wrong += 1;
+            invalid += 1;
         }
     }
     let count = directory.customers().count();
-    println!("{count} customers checked, {wrong} wrong");
-    Ok(i32::from(wrong > 0))
+    println!("{count} customers checked, {invalid} wrong");
+    Ok(i32::from(invalid > 0))
 }
 
 /// `pumicectl render DIRECTORY CUSTOMER`.
 pub fn render(arguments: &[String]) -> Result<i32, Error> {
-    let summary = "Shows what a customer's fleet comes to: pumicectl render DIRECTORY CUSTOMER";
+    let summary = "Prints a customer's rendered fleet: pumicectl render DIRECTORY CUSTOMER";
     let specs = [Spec::flag("json", "print JSON instead of TOML")];
-    let Some(values) = values("render", summary, &specs, arguments)? else {
+    let Some(values) = parse_options("render", summary, &specs, arguments)? else {
         return Ok(0);
     };
-    let directory = Directory::read(&argument(&values.free, 0, "the directory")?)?;
-    let fleet = directory.render(&argument(&values.free, 1, "the customer")?)?;
+    let directory = Directory::read(&required_argument(&values.free, 0, "the directory")?)?;
+    let fleet = directory.render(&required_argument(&values.free, 1, "the customer")?)?;
     if values.flag("json") {
         println!("{}", to_json(&fleet)?);
     } else {
@@ -137,20 +139,20 @@
 }
 
 fn to_toml(fleet: &Fleet) -> Result<String, Error> {
-    toml::to_string_pretty(fleet).map_err(|error| Error::Write {
+    toml::to_string_pretty(fleet).map_err(|error| Error::Serialize {
         reason: error.to_string(),
     })
 }
 
 /// `pumicectl diff OLD NEW`.
 pub fn diff(arguments: &[String]) -> Result<i32, Error> {
-    let summary = "Compares what two directories come to, customer by customer:
+    let summary = "Compares the rendered fleets of two directories, by customer:
 pumicectl diff OLD-DIRECTORY NEW-DIRECTORY";
-    let Some(values) = values("diff", summary, &[], arguments)? else {
+    let Some(values) = parse_options("diff", summary, &[], arguments)? else {
         return Ok(0);
     };
-    let old = Directory::read(&argument(&values.free, 0, "the old directory")?)?;
-    let new = Directory::read(&argument(&values.free, 1, "the new directory")?)?;
+    let old = Directory::read(&required_argument(&values.free, 0, "the old directory")?)?;
+    let new = Directory::read(&required_argument(&values.free, 1, "the new directory")?)?;
     let (old, new) = (old.fleets()?, new.fleets()?);
     let names: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     for name in names {
@@ -163,7 +165,7 @@
     Ok(0)
 }
 
-/// The settings that differ, old ones with a minus and new ones with a plus.
+/// Settings that differ; lines of the old fleet begin with a minus, those of the new with a plus.
 fn compare(old: Option<&Fleet>, new: Option<&Fleet>) -> Result<Vec<String>, Error> {
     let (old, new) = (flatten(old)?, flatten(new)?);
     let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
@@ -181,16 +183,17 @@
 fn flatten(fleet: Option<&Fleet>) -> Result<BTreeMap<String, String>, Error> {
     let mut flat = BTreeMap::new();
     if let Some(fleet) = fleet {
-        let value = serde_json::to_value(fleet).map_err(|error| Error::Write {
+        let value = serde_json::to_value(fleet).map_err(|error| Error::Serialize {
             reason: error.to_string(),
         })?;
-        walk("", &value, &mut flat);
+        flatten_value("", &value, &mut flat);
     }
     Ok(flat)
 }
 
-/// Lists leaves by dotted path. Items of a list go by their name or digest where they have one.
-fn walk(path: &str, value: &serde_json::Value, flat: &mut BTreeMap<String, String>) {
+/// Adds the leaves of `value` by dotted path. The path of a list item has its name or digest, cut to
+/// 12 bytes, or else its index.
+fn flatten_value(path: &str, value: &serde_json::Value, flat: &mut BTreeMap<String, String>) {
     let join = |key: &str| match path {
         "" => key.to_owned(),
         path => format!("{path}.{key}"),
@@ -198,7 +201,7 @@
     match value {
         serde_json::Value::Object(fields) => {
             for (key, value) in fields {
-                walk(&join(key), value, flat);
+                flatten_value(&join(key), value, flat);
             }
         }
         serde_json::Value::Array(items) => {
@@ -208,7 +211,7 @@
                     || index.to_string(),
                     |label| label[..label.len().min(12)].to_owned(),
                 );
-                walk(&join(&label), item, flat);
+                flatten_value(&join(&label), item, flat);
             }
         }
         leaf => {
--- a/src/ctl/show.rs
+++ b/src/ctl/inspect.rs
@@ -1,4 +1,4 @@
-//! What running processes say of themselves: status and audit trail.
+//! Commands that query running processes: status and audit trail.
 
 use std::collections::BTreeMap;
 use std::io::IsTerminal;
@@ -7,8 +7,8 @@
 use futures_util::future::join_all;
 use serde::Serialize;
 
-use super::fleet::{ANSWER_MAX, SPECS, TIMEOUT};
-use super::{Error, fleet, to_json, values};
+use super::inventory::{MAX_RESPONSE_BYTES, SPECS, TIMEOUT};
+use super::{Error, inventory, parse_options, to_json};
 use crate::agent::status::Status;
 use crate::audit;
 use crate::entry;
@@ -17,24 +17,26 @@
 use crate::option::Spec;
 use crate::weight::Digest;
 
-/// How often `--watch` looks.
-const WATCH_EVERY: Duration = Duration::from_secs(1);
+/// Interval between queries with `--watch`.
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Digits of a share in a bar.
-const BAR: usize = 20;
+/// Width of a progress bar, in characters.
+const BAR_WIDTH: usize = 20;
 
-/// A fleet as its processes describe it.
+/// Status of the processes of a fleet.
 #[derive(Debug, Default, Serialize)]
 struct Overview {
     boxes: Vec<Status>,
     entries: Vec<entry::status::Status>,
-    silent: Vec<String>,
+    /// Names of the processes without a valid response.
+    #[serde(rename = "silent")]
+    unresponsive: Vec<String>,
 }
 
-/// One version over the fleet.
+/// Counts of one version over all boxes.
 #[derive(Debug, Default)]
-struct VersionLine {
-    wanted: usize,
+struct VersionTotals {
+    desired: usize,
     servable: usize,
     chunks_held: usize,
     chunks: usize,
@@ -43,22 +45,22 @@
 async fn overview(boxes: &[Descriptor]) -> Overview {
     let client = http::client(ClientSetting::default());
     let mut overview = Overview::default();
-    let asked = boxes.iter().map(|listed| {
-        let url = format!("http://{}/status", listed.address);
+    let requests = boxes.iter().map(|descriptor| {
+        let url = format!("http://{}/status", descriptor.address);
         let client = &client;
-        async move { http::get(client, &url, ANSWER_MAX, TIMEOUT).await }
+        async move { http::get(client, &url, MAX_RESPONSE_BYTES, TIMEOUT).await }
     });
-    for (listed, answer) in boxes.iter().zip(join_all(asked).await) {
+    for (descriptor, answer) in boxes.iter().zip(join_all(requests).await) {
         let bytes = answer.unwrap_or_default();
-        let known = if listed.role == Role::Entry {
+        let parsed = if descriptor.role == Role::Entry {
             let status = serde_json::from_slice(&bytes);
             status.map(|status| overview.entries.push(status))
         } else {
             let status = serde_json::from_slice(&bytes);
             status.map(|status| overview.boxes.push(status))
         };
-        if known.is_err() {
-            overview.silent.push(listed.name.to_string());
+        if parsed.is_err() {
+            overview.unresponsive.push(descriptor.name.to_string());
         }
     }
     overview
@@ -66,19 +68,19 @@
 
 /// `pumicectl status`.
 pub async fn status(arguments: &[String]) -> Result<i32, Error> {
-    let summary = "Boxes, versions and bursts of a running fleet:
+    let summary = "Shows boxes, versions and bursts of a running fleet:
 pumicectl status (--boxes FILE | --list-url URL)";
     let mut specs = SPECS.to_vec();
     specs.push(Spec::flag("json", "print JSON"));
     specs.push(Spec::flag(
         "watch",
-        "look again every second until interrupted",
+        "query again every second until interrupted",
     ));
-    let Some(values) = values("status", summary, &specs, arguments)? else {
+    let Some(values) = parse_options("status", summary, &specs, arguments)? else {
         return Ok(0);
     };
     loop {
-        let boxes = fleet::boxes(&values).await?;
+        let boxes = inventory::boxes(&values).await?;
         let overview = overview(&boxes).await;
         if values.flag("json") {
             println!("{}", to_json(&overview)?);
@@ -86,17 +88,17 @@
             print_overview(&overview);
         }
         if !values.flag("watch") {
-            return Ok(i32::from(!overview.silent.is_empty()));
+            return Ok(i32::from(!overview.unresponsive.is_empty()));
         }
-        actix_rt::time::sleep(WATCH_EVERY).await;
+        actix_rt::time::sleep(WATCH_INTERVAL).await;
     }
 }
 
-fn versions(overview: &Overview) -> BTreeMap<Digest, VersionLine> {
-    let mut lines: BTreeMap<Digest, VersionLine> = BTreeMap::new();
+fn versions(overview: &Overview) -> BTreeMap<Digest, VersionTotals> {
+    let mut lines: BTreeMap<Digest, VersionTotals> = BTreeMap::new();
     for version in overview.boxes.iter().flat_map(|status| &status.versions) {
         let line = lines.entry(version.digest).or_default();
-        line.wanted += usize::from(version.wanted);
+        line.desired += usize::from(version.wanted);
         line.servable += usize::from(version.servable);
         line.chunks_held += version.chunks_held;
         line.chunks += version.chunks;
@@ -126,17 +128,17 @@
             status.name, status.hall, status.revision, status.in_flight, "entry"
         );
     }
-    for name in &overview.silent {
+    for name in &overview.unresponsive {
         println!("{name:<24} does not answer");
     }
     for (digest, line) in versions(overview) {
-        let held = line.chunks_held * BAR / line.chunks.max(1);
+        let filled = line.chunks_held * BAR_WIDTH / line.chunks.max(1);
         println!(
-            "version {} [{:<BAR$}] {} of {} boxes servable",
+            "version {} [{:<BAR_WIDTH$}] {} of {} boxes servable",
             digest.short(),
-            "=".repeat(held),
+            "=".repeat(filled),
             line.servable,
-            line.wanted
+            line.desired
         );
     }
     print_rejected(overview);
@@ -156,7 +158,7 @@
     };
     for (customer, rejected) in unique {
         println!(
-            "{red}customer {customer}: revision {} is invalid, the last good one is in force: {}{plain}",
+            "{red}customer {customer}: revision {} is invalid, the last valid one stays active: {}{plain}",
             rejected.revision.0, rejected.error
         );
     }
@@ -164,32 +166,34 @@
 
 /// `pumicectl audit`.
 pub async fn audit(arguments: &[String]) -> Result<i32, Error> {
-    let summary = "Who carried out which change when, oldest first:
+    let summary = "Shows who made which change and when, oldest first:
 pumicectl audit (--boxes FILE | --list-url URL)";
     let mut specs = SPECS.to_vec();
     specs.push(Spec::flag("json", "print JSON lines"));
-    let Some(values) = values("audit", summary, &specs, arguments)? else {
+    let Some(values) = parse_options("audit", summary, &specs, arguments)? else {
         return Ok(0);
     };
-    let boxes = fleet::boxes(&values).await?;
+    let boxes = inventory::boxes(&values).await?;
     let client = http::client(ClientSetting::default());
-    let asked = boxes.iter().map(|listed| {
-        let url = format!("http://{}/audit", listed.address);
+    let requests = boxes.iter().map(|descriptor| {
+        let url = format!("http://{}/audit", descriptor.address);
         let client = &client;
-        async move { http::get_json::<Vec<audit::Entry>>(client, &url, ANSWER_MAX, TIMEOUT).await }
+        async move {
+            http::get_json::<Vec<audit::Entry>>(client, &url, MAX_RESPONSE_BYTES, TIMEOUT).await
+        }
     });
     let mut all = Vec::new();
-    let mut silent = 0;
-    for (listed, answer) in boxes.iter().zip(join_all(asked).await) {
+    let mut unresponsive = 0;
+    for (descriptor, answer) in boxes.iter().zip(join_all(requests).await) {
         match answer {
             Ok(entries) => all.extend(
                 entries
                     .into_iter()
-                    .map(|entry| (listed.name.clone(), entry)),
+                    .map(|entry| (descriptor.name.clone(), entry)),
             ),
             Err(error) => {
-                eprintln!("{}: {error}", listed.name);
-                silent += 1;
+                eprintln!("{}: {error}", descriptor.name);
+                unresponsive += 1;
             }
         }
     }
@@ -205,5 +209,5 @@
             );
         }
     }
-    Ok(i32::from(silent > 0))
+    Ok(i32::from(unresponsive > 0))
 }
--- a/src/ctl/fleet.rs
+++ b/src/ctl/inventory.rs
@@ -1,4 +1,4 @@
-//! Where the operator's commands learn of boxes: a file, or the platform's list.
+//! The list of boxes that the commands work on, from a file or from the platform.
 
 use std::time::Duration;
 
@@ -7,23 +7,27 @@
 use crate::member::{Descriptor, Listing};
 use crate::option::{Spec, Values};
 
-/// How long a process may take to begin its answer.
+/// Maximum time until a response begins.
 pub const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest answer.
-pub const ANSWER_MAX: usize = 64 << 20;
+/// Maximum size of a response.
+pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// The options that say where boxes are learned from.
+/// Options that select the source of the list of boxes.
 pub const SPECS: [Spec; 2] = [
     Spec::optional(
         "boxes",
         "FILE",
-        "a JSON file with the list of boxes, as the platform gives it",
+        "a JSON file with the list of boxes, in the platform's format",
+    ),
+    Spec::optional(
+        "list-url",
+        "URL",
+        "base URL of the platform's list of boxes",
     ),
-    Spec::optional("list-url", "URL", "the platform's list of boxes"),
 ];
 
-/// The boxes.
+/// Reads the list of boxes from the source that the options select; a file takes precedence.
 pub async fn boxes(values: &Values) -> Result<Vec<Descriptor>, Error> {
     let path: Option<String> = values.optional("boxes", "a file's name")?;
     if let Some(path) = path {
@@ -31,17 +35,17 @@
     }
     let url: Option<String> = values.optional("list-url", "a URL")?;
     let Some(url) = url else {
-        return Err(Error::Argument {
+        return Err(Error::MissingArgument {
             what: "--boxes FILE or --list-url URL",
         });
     };
     let url = format!("{url}/v1/boxes");
     let client = http::client(ClientSetting::default());
     let listing: Result<Listing, http::Error> =
-        http::get_json(&client, &url, ANSWER_MAX, TIMEOUT).await;
+        http::get_json(&client, &url, MAX_RESPONSE_BYTES, TIMEOUT).await;
     match listing {
         Ok(listing) => Ok(listing.boxes),
-        Err(source) => Err(Error::Process { url, source }),
+        Err(source) => Err(Error::Request { url, source }),
     }
 }
 
@@ -50,7 +54,7 @@
         path: path.to_owned(),
         source,
     })?;
-    let listing: Listing = serde_json::from_str(&text).map_err(|error| Error::Form {
+    let listing: Listing = serde_json::from_str(&text).map_err(|error| Error::Malformed {
         path: path.to_owned(),
         reason: error.to_string(),
     })?;
--- a/src/ctl/plan.rs
+++ b/src/ctl/plan.rs
@@ -1,4 +1,5 @@
-//! What a change of templates would move: which boxes gain or lose which weights.
+//! Commands on the placement of weights: `plan` compares two placements, `explain` shows why a box
+//! holds a version or not.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,29 +7,29 @@
 use serde::Serialize;
 
 use super::directory::Directory;
-use super::{Error, fleet, to_json, values};
+use super::{Error, inventory, parse_options, to_json};
 use crate::member::{Descriptor, Role, State};
 use crate::option::Spec;
 use crate::placement::{self, Assignment, Shortfall};
 use crate::weight::Digest;
 
-/// What one box would gain and lose.
+/// Changes of the weights on one box.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
-pub struct Move {
-    /// Weights that it would receive, with their sizes.
+pub struct Change {
+    /// Digests and sizes of the weights that it would receive.
     pub gains: BTreeMap<Digest, u64>,
-    /// Weights that it would let go.
+    /// Digests and sizes of the weights that it would release.
     pub loses: BTreeMap<Digest, u64>,
 }
 
-/// What a change would move.
+/// Difference between two placements.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize)]
 pub struct Plan {
-    /// By box; boxes without a change are left out.
-    pub boxes: BTreeMap<Arc<str>, Move>,
-    /// Bytes that boxes would receive, all together.
+    /// Changes by box name; boxes without a change are omitted.
+    pub boxes: BTreeMap<Arc<str>, Change>,
+    /// Total bytes that boxes would receive.
     pub bytes: u64,
-    /// Demands of the new directory that cannot be met in full.
+    /// Demands of the new placement that cannot be met in full.
     pub shortfalls: Vec<Shortfall>,
 }
 
@@ -41,19 +42,19 @@
     }
     let live = boxes
         .iter()
-        .filter(|listed| listed.role == Role::Model && listed.state == State::Live);
+        .filter(|descriptor| descriptor.role == Role::Model && descriptor.state == State::Live);
     Ok(placement::assign(&demands, live))
 }
 
-fn held(assignment: &Assignment, name: &Arc<str>) -> BTreeMap<Digest, u64> {
-    let carried = assignment
+fn assigned_weights(assignment: &Assignment, name: &Arc<str>) -> BTreeMap<Digest, u64> {
+    let artifacts = assignment
         .boxes
         .get(name)
         .map(Vec::as_slice)
         .unwrap_or_default();
-    carried
+    artifacts
         .iter()
-        .map(|carry| (carry.digest, carry.bytes))
+        .map(|artifact| (artifact.digest, artifact.bytes))
         .collect()
 }
 
@@ -65,7 +66,7 @@
     };
     let names: BTreeSet<&Arc<str>> = old.boxes.keys().chain(new.boxes.keys()).collect();
     for name in names {
-        let (before, after) = (held(old, name), held(new, name));
+        let (before, after) = (assigned_weights(old, name), assigned_weights(new, name));
         let gains: BTreeMap<Digest, u64> = after
             .iter()
             .filter(|(digest, _)| !before.contains_key(digest))
@@ -77,35 +78,35 @@
             .collect();
         plan.bytes += gains.values().sum::<u64>();
         if !gains.is_empty() || !loses.is_empty() {
-            plan.boxes.insert(name.clone(), Move { gains, loses });
+            plan.boxes.insert(name.clone(), Change { gains, loses });
         }
     }
     plan
 }
 
 fn specs() -> Vec<Spec> {
-    let mut specs = fleet::SPECS.to_vec();
+    let mut specs = inventory::SPECS.to_vec();
     specs.push(Spec::flag("json", "print JSON"));
     specs
 }
 
 /// `pumicectl plan [OLD] NEW`.
 pub async fn plan(arguments: &[String]) -> Result<i32, Error> {
-    let summary = "Which boxes would gain or lose which weights:
+    let summary = "Shows which boxes would gain or lose which weights:
 pumicectl plan [OLD-DIRECTORY] NEW-DIRECTORY (--boxes FILE | --list-url URL)";
-    let Some(values) = values("plan", summary, &specs(), arguments)? else {
+    let Some(values) = parse_options("plan", summary, &specs(), arguments)? else {
         return Ok(0);
     };
     let (old, new) = match values.free.as_slice() {
         [new] => (None, Directory::read(new)?),
         [old, new] => (Some(Directory::read(old)?), Directory::read(new)?),
         _ => {
-            return Err(Error::Argument {
+            return Err(Error::MissingArgument {
                 what: "one or two directories",
             });
         }
     };
-    let boxes = fleet::boxes(&values).await?;
+    let boxes = inventory::boxes(&values).await?;
     let plan = compare(&assign(old.as_ref(), &boxes)?, &assign(Some(&new), &boxes)?);
     if values.flag("json") {
         println!("{}", to_json(&plan)?);
@@ -139,27 +140,28 @@
 
 /// `pumicectl explain DIRECTORY BOX`.
 pub async fn explain(arguments: &[String]) -> Result<i32, Error> {
-    let summary = "Why a box holds or lacks each customer's weights:
+    let summary = "Shows why a box holds or lacks each customer's weights:
 pumicectl explain DIRECTORY BOX (--boxes FILE | --list-url URL)";
-    let Some(values) = values("explain", summary, &specs(), arguments)? else {
+    let Some(values) = parse_options("explain", summary, &specs(), arguments)? else {
         return Ok(0);
     };
     let [directory, name] = values.free.as_slice() else {
-        return Err(Error::Argument {
+        return Err(Error::MissingArgument {
             what: "a directory and a box",
         });
     };
     let directory = Directory::read(directory)?;
-    let boxes = fleet::boxes(&values).await?;
+    let boxes = inventory::boxes(&values).await?;
     let assignment = assign(Some(&directory), &boxes)?;
-    let Some(listed) = boxes.iter().find(|listed| *listed.name == **name) else {
+    let Some(descriptor) = boxes.iter().find(|descriptor| *descriptor.name == **name) else {
         println!("{name} is not on the list of boxes");
         return Ok(1);
     };
     for (customer, fleet) in directory.fleets()? {
         for demand in placement::fleet_demands(&customer, &fleet) {
-            let held = held(&assignment, &listed.name).contains_key(&demand.version);
-            let reason = reason(listed, &demand, held);
+            let held =
+                assigned_weights(&assignment, &descriptor.name).contains_key(&demand.version);
+            let reason = reason(descriptor, &demand, held);
             let digest = demand.version.short();
             println!(
                 "{customer} {} {digest} in {}: {reason}",
@@ -170,15 +172,15 @@
     Ok(0)
 }
 
-fn reason(listed: &Descriptor, demand: &placement::Demand, held: bool) -> String {
-    if listed.role != Role::Model {
-        return "not held: no model engine stands in this box".to_owned();
+fn reason(descriptor: &Descriptor, demand: &placement::Demand, held: bool) -> String {
+    if descriptor.role != Role::Model {
+        return "not held: the box has no model engine".to_owned();
     }
-    if listed.state == State::Leaving {
+    if descriptor.state == State::Leaving {
         return "not held: the box is leaving".to_owned();
     }
-    if listed.hall != demand.hall {
-        return format!("not for this box, which stands in {}", listed.hall);
+    if descriptor.hall != demand.hall {
+        return format!("not for this box, which is in hall {}", descriptor.hall);
     }
     if held {
         return format!(
@@ -186,8 +188,11 @@
             demand.replicas
         );
     }
-    if demand.bytes > listed.capacity_bytes {
-        return format!("not held: {} bytes do not fit", demand.bytes);
+    if demand.bytes > descriptor.capacity_bytes {
+        return format!(
+            "not held: {} bytes exceed the capacity of the box",
+            demand.bytes
+        );
     }
     format!(
         "not held: {} other boxes rank before it, or it is full",
