--- a/tests/template.rs
+++ b/tests/template.rs
@@ -1,4 +1,5 @@
-//! Templates and placement: samples load, errors name file, line, key and fix, and few boxes move.
+//! Templates and placement: the samples load, errors name file, line, key and fix, and a change of
+//! boxes moves few replicas.
 
 use std::collections::BTreeSet;
 
@@ -42,7 +43,7 @@
 bytes = 10
 "#;
 
-fn rendered(template: &str, customer: &str) -> Result<Fleet, String> {
+fn render_texts(template: &str, customer: &str) -> Result<Fleet, String> {
     let template = Source {
         name: "t.toml",
         text: template,
@@ -54,8 +55,8 @@
     render(template, customer).map_err(|error| error.to_string())
 }
 
-fn with(values: &str) -> Result<Fleet, String> {
-    rendered(TEMPLATE, &format!("template = \"t\"\n[values]\n{values}"))
+fn render_values(values: &str) -> Result<Fleet, String> {
+    render_texts(TEMPLATE, &format!("template = \"t\"\n[values]\n{values}"))
 }
 
 #[test]
@@ -68,8 +69,8 @@
 }
 
 #[test]
-fn values_fill_whole_strings_by_type_and_parts_as_text() {
-    let fleet = with("halls = [\"a\", \"b\"]\nshare = 30\nstage = \"moving\"").unwrap();
+fn placeholders_keep_the_type_alone_and_become_text_within_strings() {
+    let fleet = render_values("halls = [\"a\", \"b\"]\nshare = 30\nstage = \"moving\"").unwrap();
     assert_eq!(fleet.side.halls, ["a", "b"]);
     let relocation = fleet.relocation.as_ref().unwrap();
     assert_eq!((relocation.stage, relocation.share), (Stage::Moving, 30));
@@ -110,7 +111,7 @@
         ("halls = [\"a\"", "c.toml:3: "),
     ];
     for (values, expected) in cases {
-        let error = with(values).unwrap_err();
+        let error = render_values(values).unwrap_err();
         assert!(
             error.contains(expected),
             "{values:?} gave {error:?}, not {expected:?}"
@@ -150,7 +151,7 @@
         ),
     ];
     for (from, to, expected) in cases {
-        let error = rendered(&TEMPLATE.replace(from, to), values).unwrap_err();
+        let error = render_texts(&TEMPLATE.replace(from, to), values).unwrap_err();
         assert!(
             error.contains(expected),
             "{to:?} gave {error:?}, not {expected:?}"
@@ -159,16 +160,16 @@
 }
 
 #[test]
-fn a_value_of_over_a_megabyte_is_refused() {
+fn a_value_over_the_size_limit_is_rejected() {
     let text = format!("template = \"t\"\n#{}", "x".repeat(1 << 20));
-    let error = rendered(TEMPLATE, &text).unwrap_err();
+    let error = render_texts(TEMPLATE, &text).unwrap_err();
     assert!(error.contains("over the limit of 1048576 bytes"), "{error}");
 }
 
 #[test]
-fn a_request_that_has_moved_stays_moved_while_the_share_grows() {
+fn requests_stay_on_the_new_side_while_the_share_grows() {
     let at = |share: u32| {
-        with(&format!(
+        render_values(&format!(
             "halls = [\"old\"]\nstage = \"moving\"\nshare = {share}"
         ))
         .unwrap()
@@ -177,7 +178,10 @@
         let mut moved = false;
         for share in (0..=100).step_by(5) {
             let now = at(share).serving_halls(draw) == ["new"];
-            assert!(now || !moved, "draw {draw} came back at share {share}");
+            assert!(
+                now || !moved,
+                "draw {draw} moved back to the old side at share {share}"
+            );
             moved = now;
         }
         assert!(moved);
@@ -185,9 +189,9 @@
 }
 
 #[test]
-fn each_stage_says_who_holds_and_who_serves() {
+fn each_stage_determines_the_placement_and_serving_halls() {
     let at = |stage: &str| {
-        with(&format!(
+        render_values(&format!(
             "halls = [\"old\"]\nshare = 100\nstage = \"{stage}\""
         ))
         .unwrap()
@@ -245,20 +249,23 @@
     let assignment = placement::assign(std::slice::from_ref(&demand), boxes.iter());
     let mut racks = [0; 4];
     for name in holders(&assignment, &demand) {
-        let listed = boxes.iter().find(|listed| *listed.name == *name).unwrap();
-        racks[listed.rack[5..].parse::<usize>().unwrap()] += 1;
+        let descriptor = boxes
+            .iter()
+            .find(|descriptor| *descriptor.name == *name)
+            .unwrap();
+        racks[descriptor.rack[5..].parse::<usize>().unwrap()] += 1;
     }
     assert_eq!(racks, [2; 4]);
 }
 
 #[test]
-fn a_box_that_goes_moves_one_replica_of_each_version_it_held() {
+fn removing_a_box_moves_one_replica_of_each_version_it_held() {
     fn holds(gone: usize, count: u8) -> bool {
         let boxes = boxes(30, 3, 1_000);
         let demands: Vec<Demand> = (0..count % 8).map(|number| demand(number, 6)).collect();
         let before = placement::assign(&demands, boxes.iter());
         let gone = &boxes[gone % 30].name;
-        let rest = boxes.iter().filter(|listed| listed.name != *gone);
+        let rest = boxes.iter().filter(|descriptor| descriptor.name != *gone);
         let after = placement::assign(&demands, rest);
         demands.iter().all(|demand| {
             let (before, after) = (holders(&before, demand), holders(&after, demand));
@@ -273,17 +280,17 @@
 }
 
 #[test]
-fn capacity_is_kept_and_what_does_not_fit_is_said() {
+fn capacity_is_respected_and_shortfalls_are_reported() {
     let boxes = boxes(5, 1, 25);
     let demands: Vec<Demand> = (0..3).map(|number| demand(number, 5)).collect();
     let assignment = placement::assign(&demands, boxes.iter());
-    for carried in assignment.boxes.values() {
-        assert!(carried.iter().map(|carry| carry.bytes).sum::<u64>() <= 25);
+    for artifacts in assignment.boxes.values() {
+        assert!(artifacts.iter().map(|artifact| artifact.bytes).sum::<u64>() <= 25);
     }
-    let short: u32 = assignment
+    let shortfall: u32 = assignment
         .shortfalls
         .iter()
-        .map(|short| short.wanted - short.placed)
+        .map(|shortfall| shortfall.wanted - shortfall.placed)
         .sum();
-    assert_eq!(short, 5, "ten of fifteen fit");
+    assert_eq!(shortfall, 5, "ten of fifteen fit");
 }
