--- a/src/ctl/inspect.rs
+++ b/src/ctl/inspect.rs
@@ -179,17 +179,17 @@
         let url = format!("http://{}/audit", descriptor.address);
         let client = &client;
         async move {
-            http::get_json::<Vec<audit::Entry>>(client, &url, MAX_RESPONSE_BYTES, TIMEOUT).await
+            http::get_json::<Vec<audit::Record>>(client, &url, MAX_RESPONSE_BYTES, TIMEOUT).await
         }
     });
     let mut all = Vec::new();
     let mut unresponsive = 0;
     for (descriptor, answer) in boxes.iter().zip(join_all(requests).await) {
         match answer {
-            Ok(entries) => all.extend(
-                entries
+            Ok(records) => all.extend(
+                records
                     .into_iter()
-                    .map(|entry| (descriptor.name.clone(), entry)),
+                    .map(|record| (descriptor.name.clone(), record)),
             ),
             Err(error) => {
                 eprintln!("{}: {error}", descriptor.name);
@@ -197,15 +197,15 @@
             }
         }
     }
-    all.sort_by_key(|(_, entry)| entry.time_ms);
-    for (name, entry) in all {
-        let text = serde_json::to_string(&entry).unwrap_or_default();
+    all.sort_by_key(|(_, record)| record.time_ms);
+    for (name, record) in all {
+        let text = serde_json::to_string(&record).unwrap_or_default();
         if values.flag("json") {
             println!("{{\"box\":\"{name}\",\"entry\":{text}}}");
         } else {
             println!(
                 "{} {name:<24} revision {:<6} {:?}",
-                entry.time_ms, entry.revision, entry.deed
+                record.time_ms, record.revision, record.event
             );
         }
     }
