--- a/src/entry.rs
+++ b/src/entry.rs
@@ -53,7 +53,7 @@
     /// The targets that it knows.
     pub table: RefCell<Table>,
     customers: RefCell<Customers>,
-    budget: RefCell<RetryBudget>,
+    retry_budget: RefCell<RetryBudget>,
     rng: RefCell<SmallRng>,
     /// Lets requests in.
     pub tracker: Rc<Tracker>,
@@ -90,7 +90,7 @@
         let entry = Rc::new(Self {
             table: RefCell::new(Table::new(setting.node.hall.clone())),
             customers: RefCell::default(),
-            budget: RefCell::default(),
+            retry_budget: RefCell::default(),
             rng: RefCell::new(SmallRng::seed_from_u64(setting.seed)),
             tracker: Tracker::new(node.clock, &node.metrics.meter()),
             counters: status::Counters::default(),
@@ -99,7 +99,7 @@
             setting,
         });
         let mut tasks = node.follow();
-        tasks.push(actix_rt::spawn(report::follow_targets(entry.clone())));
+        tasks.push(actix_rt::spawn(report::subscribe_targets(entry.clone())));
         let server = serve::start(&entry, listener, wrap);
         Ok(Running {
             entry,
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -23,17 +23,17 @@
 const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest refusal of an agent.
-pub(super) const TURNED_MAX: usize = 4 << 10;
+pub(super) const ERROR_BODY_MAX: usize = 4 << 10;
 
 /// Adds the proof over what the request carries so far.
-pub(super) fn prove(entry: &Entry, request: &mut exchange::Request) {
-    let proof = {
+pub(super) fn sign(entry: &Entry, request: &mut exchange::Request) {
+    let signature = {
         let parts: Vec<&str> = std::iter::once(request.path.as_str())
             .chain(PROVEN.map(|name| request.header(name)))
             .collect();
         entry.setting.keyring.sign(unix_millis(), &parts)
     };
-    request.headers.push((header::PROOF, proof));
+    request.headers.push((header::PROOF, signature));
 }
 
 pub(super) fn choose(entry: &Entry, job: &Job, tried: &[ReplicaKey]) -> Option<ReplicaKey> {
@@ -43,15 +43,15 @@
             .by_name(&key.name)
             .filter(|replica| !tried.contains(replica));
     }
-    let ask = Query {
-        resource: &job.need,
+    let query = Query {
+        resource: &job.resource,
         halls: &job.halls,
         prefix: job.prefix,
         tried,
     };
     let now = entry.node.clock.now();
     let mut rng = entry.rng.borrow_mut();
-    let choice = table.choose(ask, entry.setting.strategy, now, &mut *rng)?;
+    let choice = table.choose(query, entry.setting.strategy, now, &mut *rng)?;
     log::debug!(request = job.id.as_str(), reason:? = choice.reason; "target chosen");
     Some(choice.replica)
 }
@@ -67,7 +67,7 @@
     entry: Rc<Entry>,
     pub(super) replica: ReplicaKey,
     began: Time,
-    end: Completion,
+    completion: Completion,
 }
 
 impl Attempt {
@@ -77,17 +77,17 @@
             entry: entry.clone(),
             replica,
             began: entry.node.clock.now(),
-            end: Completion::Neutral,
+            completion: Completion::Neutral,
         }
     }
 
-    pub(super) fn whole(&mut self) {
+    pub(super) fn succeed(&mut self) {
         let took = self.entry.node.clock.now().since(self.began);
-        self.end = Completion::Success(took);
+        self.completion = Completion::Success(took);
     }
 
-    pub(super) fn failed(&mut self) {
-        self.end = Completion::Failed;
+    pub(super) fn fail(&mut self) {
+        self.completion = Completion::Failed;
     }
 }
 
@@ -97,21 +97,21 @@
         self.entry
             .table
             .borrow_mut()
-            .end(self.replica, self.end, now);
+            .end(self.replica, self.completion, now);
     }
 }
 
 /// How an attempt that got no answer broke.
-pub(super) struct Broken {
-    pub(super) found: Interruption,
-    pub(super) reason: Option<Turned>,
+pub(super) struct Error {
+    pub(super) interruption: Interruption,
+    pub(super) rejection: Option<Turned>,
 }
 
-impl Broken {
-    pub(super) fn of(found: Interruption) -> Self {
+impl Error {
+    pub(super) fn new(interruption: Interruption) -> Self {
         Self {
-            found,
-            reason: None,
+            interruption,
+            rejection: None,
         }
     }
 }
@@ -125,8 +125,8 @@
     headers.push((header::CUSTOMER, job.customer.to_string()));
     headers.push((header::DEADLINE, remaining));
     headers.push((header::PRIORITY, priority_name(job.priority).to_owned()));
-    headers.push((header::REPEATABLE, yes_no(job.repeatable).to_owned()));
-    match &job.need {
+    headers.push((header::REPEATABLE, yes_or_no(job.repeatable).to_owned()));
+    match &job.resource {
         Resource::Version(digest) => headers.push((header::VERSION, digest.to_string())),
         Resource::Service(name) => {
             headers.push((header::SERVICE, name.to_string()));
@@ -139,7 +139,7 @@
     if !job.repeatable {
         request.reuse = Reuse::Never;
     }
-    prove(entry, &mut request);
+    sign(entry, &mut request);
     request
 }
 
@@ -149,10 +149,10 @@
     job: &Job,
     replica: ReplicaKey,
     resume_at: Option<u32>,
-) -> Result<Response, Broken> {
+) -> Result<Response, Error> {
     let address = match entry.table.borrow().get(replica) {
         Some(known) => known.address,
-        None => return Err(Broken::of(Interruption::NotReached)),
+        None => return Err(Error::new(Interruption::NotReached)),
     };
     let request = inner_request(entry, job, resume_at);
     let remaining = job.remaining(entry);
@@ -163,9 +163,9 @@
     };
     let sent = entry.node.exchange.send(address, &request);
     match actix_rt::time::timeout(limit, sent).await {
-        Ok(Ok(response)) => admitted(response).await,
-        Ok(Err(exchange::Error::NotSent { .. })) => Err(Broken::of(Interruption::NotReached)),
-        Ok(Err(_)) | Err(_) => Err(Broken::of(Interruption::NoAnswer)),
+        Ok(Ok(response)) => check_admission(response).await,
+        Ok(Err(exchange::Error::NotSent { .. })) => Err(Error::new(Interruption::NotReached)),
+        Ok(Err(_)) | Err(_) => Err(Error::new(Interruption::NoAnswer)),
     }
 }
 
@@ -177,34 +177,37 @@
     }
 }
 
-fn yes_no(flag: bool) -> &'static str {
+fn yes_or_no(flag: bool) -> &'static str {
     if flag { "yes" } else { "no" }
 }
 
 /// Tells an admitted answer from a refusal by the agent's own header, never by the status, which
 /// may be the target's.
-async fn admitted(mut response: Response) -> Result<Response, Broken> {
-    let found = match response.header(header::ADMITTED) {
+async fn check_admission(mut response: Response) -> Result<Response, Error> {
+    let interruption = match response.header(header::ADMITTED) {
         "yes" => return Ok(response),
         "no" => Interruption::NotAdmitted,
         _ => Interruption::Lost,
     };
-    let bytes = response.read(TURNED_MAX).await;
-    let reason = bytes
+    let bytes = response.read(ERROR_BODY_MAX).await;
+    let rejection = bytes
         .ok()
         .and_then(|bytes| serde_json::from_slice(&bytes).ok());
-    Err(Broken { found, reason })
+    Err(Error {
+        interruption,
+        rejection,
+    })
 }
 
 /// Whether a refusal tells that the target is in a bad way.
-pub(super) fn blames_target(broken: &Broken) -> bool {
-    match broken.found {
+pub(super) fn is_target_fault(error: &Error) -> bool {
+    match error.interruption {
         Interruption::NotReached
         | Interruption::NoAnswer
         | Interruption::Lost
         | Interruption::MidAnswer => true,
         Interruption::NotAdmitted => matches!(
-            broken.reason,
+            error.rejection,
             Some(Turned {
                 reason: Reason::TargetDown,
                 ..
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -11,10 +11,10 @@
 use serde::Deserialize;
 
 use super::Entry;
-use super::attempt::{Attempt, Broken, blames_target, choose, no_replica, send};
+use super::attempt::{self, Attempt, choose, is_target_fault, no_replica, send};
 use super::caller::{self, Code, Failure, Head};
-use super::relay::{Relay, broken};
-use super::status::count;
+use super::relay::{Relay, interrupted};
+use super::status::increment;
 use crate::agent::door::Reason;
 use crate::clock::Time;
 use crate::config::Active;
@@ -35,10 +35,10 @@
 const OVERLOAD_RETRY: Duration = Duration::from_millis(250);
 
 /// How long an agent may take to issue a key or to cancel.
-pub(super) const SHORT_TIMEOUT: Duration = Duration::from_secs(2);
+pub(super) const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest whole answer that is gathered for a caller that does not stream.
-pub(super) const GATHERED_MAX: usize = 16 << 20;
+pub(super) const BUFFERED_MAX: usize = 16 << 20;
 
 /// The body of a completion, as far as the entry looks into it.
 #[derive(Debug, Deserialize)]
@@ -54,7 +54,7 @@
 pub(super) struct Job {
     pub(super) id: String,
     pub(super) customer: Arc<str>,
-    pub(super) need: Resource,
+    pub(super) resource: Resource,
     pub(super) halls: Vec<String>,
     pub(super) prefix: Option<u64>,
     pub(super) path: String,
@@ -67,14 +67,14 @@
 }
 
 /// Counts a request for as long as it lives, and its end.
-pub(super) struct Flight {
+pub(super) struct Guard {
     entry: Rc<Entry>,
     customer: Arc<str>,
     began: Time,
     outcome: Option<Outcome>,
 }
 
-impl Flight {
+impl Guard {
     fn begin(entry: &Rc<Entry>, customer: &Arc<str>, limits: &Limits) -> Result<Self, Failure> {
         let admitted = entry
             .customers
@@ -88,7 +88,7 @@
             let failure = Failure::not_run(Code::CustomerLimit, refusal.to_string());
             return Err(failure.retry_after(retry));
         }
-        count(&entry.counters.in_flight);
+        increment(&entry.counters.in_flight);
         Ok(Self {
             entry: entry.clone(),
             customer: customer.clone(),
@@ -97,12 +97,12 @@
         })
     }
 
-    pub(super) fn ended(&mut self, outcome: Outcome) {
+    pub(super) fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome.get_or_insert(outcome);
     }
 }
 
-impl Drop for Flight {
+impl Drop for Guard {
     fn drop(&mut self) {
         let entry = &self.entry;
         entry.customers.borrow_mut().end(&self.customer);
@@ -114,14 +114,14 @@
             Some(Outcome::NotRun) => (&counters.not_run, "not_run"),
             Some(Outcome::Unknown) | None => (&counters.unknown, "unknown"),
         };
-        count(counter);
-        entry.instruments.ended(name, seconds);
+        increment(counter);
+        entry.instruments.record(name, seconds);
     }
 }
 
-pub(super) fn customer_of(entry: &Entry, head: &Head) -> Result<Active, Failure> {
-    if let Some(in_force) = entry.node.book.borrow().customers().get(&head.customer) {
-        return Ok(in_force.clone());
+pub(super) fn find_customer(entry: &Entry, head: &Head) -> Result<Active, Failure> {
+    if let Some(active) = entry.node.book.borrow().customers().get(&head.customer) {
+        return Ok(active.clone());
     }
     let message = format!("there is no customer `{}`", head.customer);
     Err(Failure::not_run(Code::UnknownCustomer, message))
@@ -135,14 +135,14 @@
 }
 
 impl Job {
-    pub(super) fn common(entry: &Entry, head: &Head, limits: &Limits, need: Resource) -> Self {
+    pub(super) fn common(entry: &Entry, head: &Head, limits: &Limits, resource: Resource) -> Self {
         let now = entry.node.clock.now();
         let millis = Duration::from_millis(limits.deadline_ms);
         let priority = head.priority.unwrap_or(limits.priority);
         Self {
             id: format!("{:032x}", rand::rng().random::<u128>()),
             customer: head.customer.as_str().into(),
-            need,
+            resource,
             halls: Vec::new(),
             prefix: None,
             path: String::new(),
@@ -163,38 +163,38 @@
 /// `POST /v1/completions`.
 pub async fn completion(entry: Rc<Entry>, mut request: Request) -> Answer {
     match prepare_completion(&entry, &mut request).await {
-        Ok((job, flight)) => run(entry, job, flight).await,
-        Err(failure) => refuse(&entry, &failure),
+        Ok((job, guard)) => run(entry, job, guard).await,
+        Err(failure) => reject(&entry, &failure),
     }
 }
 
 /// `POST /v1/services/NAME/PATH`.
 pub async fn service(entry: Rc<Entry>, mut request: Request, name: &str, path: &str) -> Answer {
     match prepare_service(&entry, &mut request, name, path).await {
-        Ok((job, flight)) => run(entry, job, flight).await,
-        Err(failure) => refuse(&entry, &failure),
+        Ok((job, guard)) => run(entry, job, guard).await,
+        Err(failure) => reject(&entry, &failure),
     }
 }
 
 /// Refuses a request that was not taken further.
-pub(super) fn refuse(entry: &Entry, failure: &Failure) -> Answer {
-    count(&entry.counters.not_run);
-    entry.instruments.ended("not_run", 0.0);
+pub(super) fn reject(entry: &Entry, failure: &Failure) -> Answer {
+    increment(&entry.counters.not_run);
+    entry.instruments.record("not_run", 0.0);
     failure.answer()
 }
 
 async fn prepare_completion(
     entry: &Rc<Entry>,
     request: &mut Request,
-) -> Result<(Job, Flight), Failure> {
+) -> Result<(Job, Guard), Failure> {
     let head = Head::read(request)?;
-    let in_force = customer_of(entry, &head)?;
+    let active = find_customer(entry, &head)?;
     let body = caller::read_body(&entry.tracker, request).await?;
     let completion: Completion = serde_json::from_slice(&body).map_err(|error| {
         let message = format!("the body is no completion request: {error}");
         Failure::not_run(Code::BadBody, message)
     })?;
-    let fleet = &in_force.fleet;
+    let fleet = &active.fleet;
     let model = fleet
         .models
         .iter()
@@ -211,17 +211,17 @@
             "the model has no version that takes requests",
         )
     })?;
-    let need = Resource::Version(version.digest);
+    let resource = Resource::Version(version.digest);
     let job = Job {
         halls: fleet.serving_halls(draw).to_vec(),
         prefix: Some(prefix_hash(&completion.prompt)),
         body,
         repeatable: head.repeatable.unwrap_or(model.repeatable) && model.repeatable,
         streamed: completion.stream,
-        ..Job::common(entry, &head, &fleet.limits, need)
+        ..Job::common(entry, &head, &fleet.limits, resource)
     };
-    let flight = Flight::begin(entry, &job.customer, &fleet.limits)?;
-    Ok((job, flight))
+    let guard = Guard::begin(entry, &job.customer, &fleet.limits)?;
+    Ok((job, guard))
 }
 
 fn prefix_hash(prompt: &str) -> u64 {
@@ -234,10 +234,10 @@
     request: &mut Request,
     name: &str,
     path: &str,
-) -> Result<(Job, Flight), Failure> {
+) -> Result<(Job, Guard), Failure> {
     let head = Head::read(request)?;
-    let in_force = customer_of(entry, &head)?;
-    let fleet = &in_force.fleet;
+    let active = find_customer(entry, &head)?;
+    let fleet = &active.fleet;
     let service = fleet
         .services
         .iter()
@@ -254,26 +254,26 @@
         repeatable,
         ..Job::common(entry, &head, &fleet.limits, Resource::Service(name.into()))
     };
-    let flight = Flight::begin(entry, &job.customer, &fleet.limits)?;
-    Ok((job, flight))
+    let guard = Guard::begin(entry, &job.customer, &fleet.limits)?;
+    Ok((job, guard))
 }
 
 /// A request on its way: what its attempts have come to.
-pub(super) struct Course {
+pub(super) struct Dispatch {
     pub(super) entry: Rc<Entry>,
     pub(super) job: Job,
-    pub(super) flight: Flight,
+    pub(super) guard: Guard,
     pub(super) tried: Vec<ReplicaKey>,
     pub(super) tainted: bool,
     pub(super) attempts: u32,
 }
 
-impl Course {
+impl Dispatch {
     fn situation(&self, begun: bool) -> Situation {
         Situation {
             repeatable: self.job.repeatable,
             keyed: self.job.key.is_some(),
-            resumable: matches!(self.job.need, Resource::Version(_)) && self.job.key.is_none(),
+            resumable: matches!(self.job.resource, Resource::Version(_)) && self.job.key.is_none(),
             tainted: self.tainted,
             begun,
             attempts: self.attempts,
@@ -281,52 +281,55 @@
         }
     }
 
-    pub(super) fn decide(&mut self, found: Interruption, begun: bool) -> Next {
+    pub(super) fn decide(&mut self, interruption: Interruption, begun: bool) -> Next {
         let situation = self.situation(begun);
-        let next =
-            request::after_interruption(found, situation, &mut self.entry.budget.borrow_mut());
+        let next = request::after_interruption(
+            interruption,
+            situation,
+            &mut self.entry.retry_budget.borrow_mut(),
+        );
         if matches!(
-            found,
+            interruption,
             Interruption::NoAnswer | Interruption::Lost | Interruption::MidAnswer
         ) {
             self.tainted = true;
         }
         if !matches!(next, Next::GiveUp(_)) {
-            count(&self.entry.counters.retries);
+            increment(&self.entry.counters.retries);
         }
         next
     }
 
     /// Tries targets until one admits the request.
-    async fn dispatch(&mut self) -> Result<(Response, Attempt), Failure> {
-        self.entry.budget.borrow_mut().earn();
-        let mut last: Option<Broken> = None;
+    async fn start(&mut self) -> Result<(Response, Attempt), Failure> {
+        self.entry.retry_budget.borrow_mut().earn();
+        let mut last: Option<attempt::Error> = None;
         loop {
             let Some(replica) = choose(&self.entry, &self.job, &self.tried) else {
                 return Err(self.no_target(last));
             };
             self.attempts += 1;
             let mut attempt = Attempt::begin(&self.entry, replica);
-            let broken = match send(&self.entry, &self.job, replica, None).await {
+            let error = match send(&self.entry, &self.job, replica, None).await {
                 Ok(response) => return Ok((response, attempt)),
-                Err(broken) => broken,
+                Err(error) => error,
             };
-            if blames_target(&broken) {
-                attempt.failed();
+            if is_target_fault(&error) {
+                attempt.fail();
             }
             drop(attempt);
             self.tried.push(replica);
-            match self.decide(broken.found, false) {
-                Next::Elsewhere => last = Some(broken),
-                Next::Resume | Next::GiveUp(_) => return Err(self.failure(&broken)),
+            match self.decide(error.interruption, false) {
+                Next::Elsewhere => last = Some(error),
+                Next::Resume | Next::GiveUp(_) => return Err(self.failure(&error)),
             }
         }
     }
 
     /// There is nowhere (else) to go.
-    fn no_target(&self, last: Option<Broken>) -> Failure {
-        if let Some(broken) = last {
-            return self.failure(&broken);
+    fn no_target(&self, last: Option<attempt::Error>) -> Failure {
+        if let Some(error) = last {
+            return self.failure(&error);
         }
         if self.job.key.is_some() {
             let message = "the key's box is not known here; whether the request ran is not known";
@@ -335,21 +338,21 @@
         no_replica(&self.entry)
     }
 
-    /// What the caller is told after `broken`.
-    fn failure(&self, broken: &Broken) -> Failure {
-        let outcome = request::outcome_after(broken.found, self.situation(false));
-        let after = broken
-            .reason
+    /// What the caller is told after `error`.
+    fn failure(&self, error: &attempt::Error) -> Failure {
+        let outcome = request::outcome_after(error.interruption, self.situation(false));
+        let after = error
+            .rejection
             .as_ref()
-            .filter(|turned| turned.retry_after_ms > 0)
-            .map_or(OVERLOAD_RETRY, |turned| {
-                Duration::from_millis(turned.retry_after_ms)
+            .filter(|rejection| rejection.retry_after_ms > 0)
+            .map_or(OVERLOAD_RETRY, |rejection| {
+                Duration::from_millis(rejection.retry_after_ms)
             });
-        let reason = broken.reason.as_ref().map(|turned| &turned.reason);
-        let (code, message) = explain(reason, broken.found);
+        let reason = error.rejection.as_ref().map(|rejection| &rejection.reason);
+        let (code, message) = code_and_message(reason, error.interruption);
         let failure = Failure::not_run(code, message).with_outcome(outcome);
-        let again = outcome == Outcome::NotRun || self.job.key.is_some();
-        if again {
+        let may_retry = outcome == Outcome::NotRun || self.job.key.is_some();
+        if may_retry {
             failure.retry_after(after)
         } else {
             failure
@@ -357,7 +360,7 @@
     }
 }
 
-fn explain(reason: Option<&Reason>, found: Interruption) -> (Code, &'static str) {
+fn code_and_message(reason: Option<&Reason>, interruption: Interruption) -> (Code, &'static str) {
     match reason {
         Some(Reason::Full) => (Code::Overloaded, "every target that was asked is full"),
         Some(Reason::Deadline) => (Code::Deadline, "the deadline cannot be met"),
@@ -379,7 +382,7 @@
             "the target does not trust this entry; compare their keyrings",
         ),
         Some(Reason::TargetDown) => (Code::TargetFailed, "the target does not answer"),
-        None => match found {
+        None => match interruption {
             Interruption::NotReached => (Code::TargetFailed, "the target could not be reached"),
             _ => (Code::TargetFailed, "the way to the target broke"),
         },
@@ -387,9 +390,9 @@
 }
 
 /// Names the request in its answer, whatever that is.
-async fn run(entry: Rc<Entry>, job: Job, flight: Flight) -> Answer {
+async fn run(entry: Rc<Entry>, job: Job, guard: Guard) -> Answer {
     let id = HeaderValue::from_str(&job.id);
-    let mut answer = serve(entry, job, flight).await;
+    let mut answer = serve(entry, job, guard).await;
     if let Ok(id) = id {
         let name = HeaderName::from_static(REQUEST_HEADER);
         answer.headers_mut().insert(name, id);
@@ -397,47 +400,51 @@
     answer
 }
 
-async fn serve(entry: Rc<Entry>, job: Job, flight: Flight) -> Answer {
-    let mut course = Course {
+async fn serve(entry: Rc<Entry>, job: Job, guard: Guard) -> Answer {
+    let mut dispatch = Dispatch {
         entry,
         job,
-        flight,
+        guard,
         tried: Vec::new(),
         tainted: false,
         attempts: 0,
     };
-    let (response, attempt) = match course.dispatch().await {
+    let (response, attempt) = match dispatch.start().await {
         Ok(begun) => begun,
         Err(failure) => {
-            course.flight.ended(failure.outcome);
+            dispatch.guard.set_outcome(failure.outcome);
             return failure.answer();
         }
     };
     let events =
-        matches!(course.job.need, Resource::Version(_)) && response.status == StatusCode::OK;
-    if events && course.job.key.is_none() {
-        let streamed = course.job.streamed;
-        let relay = Relay::new(course, response, attempt);
+        matches!(dispatch.job.resource, Resource::Version(_)) && response.status == StatusCode::OK;
+    if events && dispatch.job.key.is_none() {
+        let streamed = dispatch.job.streamed;
+        let relay = Relay::new(dispatch, response, attempt);
         return if streamed {
             relay.streamed()
         } else {
-            relay.gathered().await
+            relay.buffered().await
         };
     }
-    pass(course, response, attempt).await
+    forward_buffered(dispatch, response, attempt).await
 }
 
 /// Passes on an answer that has no tokens to count: it is gathered first, so that the caller gets
 /// it whole or not at all.
-async fn pass(mut course: Course, mut response: Response, mut attempt: Attempt) -> Answer {
+async fn forward_buffered(
+    mut dispatch: Dispatch,
+    mut response: Response,
+    mut attempt: Attempt,
+) -> Answer {
     let status = response.status;
     let content_type = response.headers.get("content-type").cloned();
-    let remaining = course.job.remaining(&course.entry);
-    let read = response.read(GATHERED_MAX);
+    let remaining = dispatch.job.remaining(&dispatch.entry);
+    let read = response.read(BUFFERED_MAX);
     match actix_rt::time::timeout(remaining, read).await {
         Ok(Ok(bytes)) => {
-            attempt.whole();
-            course.flight.ended(Outcome::Ran);
+            attempt.succeed();
+            dispatch.guard.set_outcome(Outcome::Ran);
             let mut answer = http::body(status, "application/octet-stream", bytes);
             if let Some(value) = content_type {
                 let name = actix_http::header::CONTENT_TYPE;
@@ -446,9 +453,9 @@
             answer
         }
         _ => {
-            attempt.failed();
-            course.flight.ended(Outcome::Unknown);
-            broken().answer()
+            attempt.fail();
+            dispatch.guard.set_outcome(Outcome::Unknown);
+            interrupted().answer()
         }
     }
 }
--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -221,15 +221,17 @@
     }
 }
 
-fn text<'a>(request: &'a Request, name: &'static str) -> Result<Option<&'a str>, Failure> {
+fn header_text<'a>(request: &'a Request, name: &'static str) -> Result<Option<&'a str>, Failure> {
     let Some(value) = request.headers().get(HeaderName::from_static(name)) else {
         return Ok(None);
     };
-    let text = value.to_str().map_err(|_| bad(name, "plain ASCII text"))?;
+    let text = value
+        .to_str()
+        .map_err(|_| bad_header(name, "plain ASCII text"))?;
     Ok(Some(text))
 }
 
-fn bad(name: &str, expected: &str) -> Failure {
+fn bad_header(name: &str, expected: &str) -> Failure {
     let message = format!("header {name} is wrong; give {expected}");
     Failure::not_run(Code::BadHeader, message)
 }
@@ -246,23 +248,23 @@
                 return Err(Failure::not_run(Code::InternalHeader, message));
             }
         }
-        let customer = text(request, header::CUSTOMER)?
+        let customer = header_text(request, header::CUSTOMER)?
             .filter(|customer| !customer.is_empty())
-            .ok_or_else(|| bad(header::CUSTOMER, "the customer's name"))?;
-        let priority = match text(request, header::PRIORITY)? {
+            .ok_or_else(|| bad_header(header::CUSTOMER, "the customer's name"))?;
+        let priority = match header_text(request, header::PRIORITY)? {
             None => None,
             Some("low") => Some(Priority::Low),
             Some("normal") => Some(Priority::Normal),
             Some("high") => Some(Priority::High),
-            Some(_) => return Err(bad(header::PRIORITY, "low, normal or high")),
+            Some(_) => return Err(bad_header(header::PRIORITY, "low, normal or high")),
         };
-        let repeatable = match text(request, header::REPEATABLE)? {
+        let repeatable = match header_text(request, header::REPEATABLE)? {
             None => None,
             Some("yes") => Some(true),
             Some("no") => Some(false),
-            Some(_) => return Err(bad(header::REPEATABLE, "yes or no")),
+            Some(_) => return Err(bad_header(header::REPEATABLE, "yes or no")),
         };
-        let key = match text(request, IDEMPOTENCY_KEY)? {
+        let key = match header_text(request, IDEMPOTENCY_KEY)? {
             None => None,
             Some(key) => Some(key.parse().map_err(|_| {
                 let message = "the key was not issued by this system; get one from POST /v1/keys";
@@ -275,17 +277,20 @@
             deadline: deadline(request)?,
             repeatable,
             key,
-            session: text(request, SESSION)?.map(str::to_owned),
+            session: header_text(request, SESSION)?.map(str::to_owned),
         })
     }
 }
 
 fn deadline(request: &Request) -> Result<Option<Duration>, Failure> {
-    let Some(text) = text(request, header::DEADLINE)? else {
+    let Some(text) = header_text(request, header::DEADLINE)? else {
         return Ok(None);
     };
     match text.parse() {
         Ok(millis @ 1..=DEADLINE_MAX_MS) => Ok(Some(Duration::from_millis(millis))),
-        _ => Err(bad(header::DEADLINE, "milliseconds from 1 to 600000")),
+        _ => Err(bad_header(
+            header::DEADLINE,
+            "milliseconds from 1 to 600000",
+        )),
     }
 }
--- a/src/entry/event.rs
+++ b/src/entry/event.rs
@@ -34,12 +34,12 @@
 
 impl Reader {
     /// The next token that is due.
-    pub fn next(&self) -> u32 {
+    pub fn next_token(&self) -> u32 {
         self.next
     }
 
     /// Whether the answer is whole.
-    pub fn done(&self) -> bool {
+    pub fn is_done(&self) -> bool {
         self.done
     }
 
@@ -53,7 +53,7 @@
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Error> {
         self.buffer.extend_from_slice(bytes);
         let mut out = BytesMut::new();
-        while let Some(end) = find_end(&self.buffer) {
+        while let Some(end) = event_end(&self.buffer) {
             let event = self.buffer.split_to(end);
             if self.done {
                 continue;
@@ -79,7 +79,7 @@
 }
 
 /// Where the first event ends, after its empty line.
-fn find_end(buffer: &[u8]) -> Option<usize> {
+fn event_end(buffer: &[u8]) -> Option<usize> {
     buffer
         .windows(2)
         .position(|pair| pair == b"\n\n")
--- a/src/entry/key.rs
+++ b/src/entry/key.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::Entry;
-use super::attempt::{TURNED_MAX, choose, no_replica, prove};
-use super::call::{Job, SHORT_TIMEOUT, customer_of, draw};
+use super::attempt::{ERROR_BODY_MAX, choose, no_replica, sign};
+use super::call::{CONTROL_TIMEOUT, Job, draw, find_customer};
 use super::caller::{self, Code, Failure, Head};
 use crate::config::Active;
 use crate::exchange;
@@ -32,7 +32,7 @@
 }
 
 /// `POST /v1/keys`: has a target's agent issue a key.
-pub async fn key(entry: Rc<Entry>, mut request: Request) -> Answer {
+pub async fn handle(entry: Rc<Entry>, mut request: Request) -> Answer {
     match issue(&entry, &mut request).await {
         Ok(key) => http::json(StatusCode::OK, &Issued { key }),
         Err(failure) => failure.answer(),
@@ -41,16 +41,16 @@
 
 async fn issue(entry: &Rc<Entry>, request: &mut Request) -> Result<String, Failure> {
     let head = Head::read(request)?;
-    let in_force = customer_of(entry, &head)?;
+    let active = find_customer(entry, &head)?;
     let body = caller::read_body(&entry.tracker, request).await?;
-    let wanted: KeyRequest = serde_json::from_slice(&body)
+    let requested: KeyRequest = serde_json::from_slice(&body)
         .map_err(|error| Failure::not_run(Code::BadBody, error.to_string()))?;
-    let need = key_need(&in_force, &head, &wanted)?;
-    let mut job = Job::common(entry, &head, &in_force.fleet.limits, need);
-    if matches!(job.need, Resource::Version(_)) {
+    let resource = resource_for(&active, &head, &requested)?;
+    let mut job = Job::common(entry, &head, &active.fleet.limits, resource);
+    if matches!(job.resource, Resource::Version(_)) {
         let stable = head.session.as_deref().unwrap_or_default();
         let draw = draw(&head.customer, stable);
-        job.halls = in_force.fleet.serving_halls(draw).to_vec();
+        job.halls = active.fleet.serving_halls(draw).to_vec();
     }
     let mut tried = Vec::new();
     while let Some(replica) = choose(entry, &job, &tried) {
@@ -62,16 +62,16 @@
     Err(no_replica(entry))
 }
 
-fn key_need(in_force: &Active, head: &Head, wanted: &KeyRequest) -> Result<Resource, Failure> {
-    let fleet = &in_force.fleet;
-    if let Some(name) = &wanted.service {
+fn resource_for(active: &Active, head: &Head, requested: &KeyRequest) -> Result<Resource, Failure> {
+    let fleet = &active.fleet;
+    if let Some(name) = &requested.service {
         if fleet.services.iter().any(|service| service.name == *name) {
             return Ok(Resource::Service(name.as_str().into()));
         }
         let message = format!("the customer has no service `{name}`");
         return Err(Failure::not_run(Code::UnknownService, message));
     }
-    let name = wanted.model.as_deref().unwrap_or_default();
+    let name = requested.model.as_deref().unwrap_or_default();
     let model = fleet.models.iter().find(|model| model.name == name);
     let stable = head.session.as_deref().unwrap_or_default();
     let draw = draw(&head.customer, stable);
@@ -90,16 +90,16 @@
     request
         .headers
         .push((header::CUSTOMER, job.customer.to_string()));
-    prove(entry, &mut request);
+    sign(entry, &mut request);
     let exchange = async {
         let mut response = entry.node.exchange.send(address, &request).await.ok()?;
         if response.status != StatusCode::OK {
             return None;
         }
-        let bytes = response.read(TURNED_MAX).await.ok()?;
+        let bytes = response.read(ERROR_BODY_MAX).await.ok()?;
         String::from_utf8(bytes.to_vec()).ok()
     };
-    actix_rt::time::timeout(SHORT_TIMEOUT, exchange)
+    actix_rt::time::timeout(CONTROL_TIMEOUT, exchange)
         .await
         .ok()
         .flatten()
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -8,8 +8,8 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::{Stream, StreamExt, stream};
 
-use super::attempt::{Attempt, choose, prove, send};
-use super::call::{Course, GATHERED_MAX, SHORT_TIMEOUT};
+use super::attempt::{Attempt, choose, send, sign};
+use super::call::{BUFFERED_MAX, CONTROL_TIMEOUT, Dispatch};
 use super::caller::{Body, Code, Failure};
 use super::event::Reader;
 use crate::exchange::{self, Response};
@@ -19,45 +19,45 @@
 
 /// An answer of tokens on its way to the caller.
 pub(super) struct Relay {
-    course: Course,
+    dispatch: Dispatch,
     response: Response,
     attempt: Option<Attempt>,
     reader: Reader,
     served_by: Arc<str>,
     finished: bool,
-    stopped: bool,
+    aborting: bool,
 }
 
 /// How a relayed answer stopped short.
-struct Stopped;
+struct Interrupted;
 
 impl Relay {
-    pub(super) fn new(course: Course, response: Response, attempt: Attempt) -> Self {
-        let served_by = course
+    pub(super) fn new(dispatch: Dispatch, response: Response, attempt: Attempt) -> Self {
+        let served_by = dispatch
             .entry
             .table
             .borrow()
             .get(attempt.replica)
             .map_or_else(|| "".into(), |replica| replica.name.clone());
         Self {
-            course,
+            dispatch,
             response,
             attempt: Some(attempt),
             reader: Reader::default(),
             served_by,
             finished: false,
-            stopped: false,
+            aborting: false,
         }
     }
 
     /// The next events that are due; `None` after the last.
-    async fn step(&mut self) -> Option<Result<Bytes, Stopped>> {
+    async fn next_events(&mut self) -> Option<Result<Bytes, Interrupted>> {
         loop {
-            if self.reader.done() {
+            if self.reader.is_done() {
                 self.finish();
                 return None;
             }
-            let remaining = self.course.job.remaining(&self.course.entry);
+            let remaining = self.dispatch.job.remaining(&self.dispatch.entry);
             let part = actix_rt::time::timeout(remaining, self.response.next()).await;
             let pushed = match part {
                 Ok(Some(Ok(part))) => self.reader.push(&part).ok(),
@@ -66,10 +66,10 @@
             match pushed {
                 Some(events) if events.is_empty() => {}
                 Some(events) => return Some(Ok(events)),
-                None if self.take_up().await => {}
+                None if self.resume().await => {}
                 None => {
-                    self.course.flight.ended(Outcome::Unknown);
-                    return Some(Err(Stopped));
+                    self.dispatch.guard.set_outcome(Outcome::Unknown);
+                    return Some(Err(Interrupted));
                 }
             }
         }
@@ -77,60 +77,64 @@
 
     fn finish(&mut self) {
         if let Some(attempt) = &mut self.attempt {
-            attempt.whole();
+            attempt.succeed();
         }
-        self.course.flight.ended(Outcome::Ran);
+        self.dispatch.guard.set_outcome(Outcome::Ran);
         self.finished = true;
     }
 
     /// Takes a broken answer up after its last whole token: at the same target, or, if the request
     /// is repeatable, by another run of the same version elsewhere.
-    async fn take_up(&mut self) -> bool {
+    async fn resume(&mut self) -> bool {
         self.reader.restart();
-        let begun = self.reader.next() > 0;
+        let begun = self.reader.next_token() > 0;
         let mut replica = match &mut self.attempt {
             Some(attempt) => {
-                attempt.failed();
+                attempt.fail();
                 Some(attempt.replica)
             }
             None => None,
         };
         loop {
-            if self.course.decide(Interruption::MidAnswer, begun) != Next::Resume {
+            if self.dispatch.decide(Interruption::MidAnswer, begun) != Next::Resume {
                 return false;
             }
-            self.course.attempts += 1;
+            self.dispatch.attempts += 1;
             let elsewhere = replica.is_none();
-            let Some(target) = replica.take().or_else(|| self.other_target()) else {
+            let Some(target) = replica.take().or_else(|| self.choose_other()) else {
                 return false;
             };
-            let attempt = Attempt::begin(&self.course.entry, target);
-            let job = &self.course.job;
+            let attempt = Attempt::begin(&self.dispatch.entry, target);
+            let job = &self.dispatch.job;
             // At the same target the stream goes on; elsewhere the engine begins anew and the
             // reader drops what came before.
-            let resume_at = (!elsewhere).then(|| self.reader.next());
-            if let Ok(response) = send(&self.course.entry, job, target, resume_at).await {
+            let resume_at = (!elsewhere).then(|| self.reader.next_token());
+            if let Ok(response) = send(&self.dispatch.entry, job, target, resume_at).await {
                 self.response = response;
                 self.attempt = Some(attempt);
                 return true;
             }
-            self.course.tried.push(target);
+            self.dispatch.tried.push(target);
         }
     }
 
-    fn other_target(&self) -> Option<ReplicaKey> {
-        if !self.course.job.repeatable {
+    fn choose_other(&self) -> Option<ReplicaKey> {
+        if !self.dispatch.job.repeatable {
             return None;
         }
-        choose(&self.course.entry, &self.course.job, &self.course.tried)
+        choose(
+            &self.dispatch.entry,
+            &self.dispatch.job,
+            &self.dispatch.tried,
+        )
     }
 
-    fn head(&self, mut answer: Answer) -> Answer {
+    fn add_headers(&self, mut answer: Answer) -> Answer {
         if let Ok(value) = HeaderValue::from_str(&self.served_by) {
             let name = HeaderName::from_static("x-pumicelatch-box");
             answer.headers_mut().insert(name, value);
         }
-        if let Resource::Version(digest) = &self.course.job.need
+        if let Resource::Version(digest) = &self.dispatch.job.resource
             && let Ok(value) = HeaderValue::from_str(&digest.to_string())
         {
             answer
@@ -141,7 +145,7 @@
     }
 
     pub(super) fn streamed(self) -> Answer {
-        let mut answer = self.head(http::status(StatusCode::OK));
+        let mut answer = self.add_headers(http::status(StatusCode::OK));
         let body = http::stream(StatusCode::OK, "text/event-stream", self.into_stream());
         let headers = std::mem::replace(answer.headers_mut(), body.headers().clone());
         let mut answer = body;
@@ -154,46 +158,48 @@
     fn into_stream(self) -> impl Stream<Item = Result<Bytes, io::Error>> {
         stream::unfold(Some(self), |relay| async move {
             let mut relay = relay?;
-            if relay.stopped {
+            if relay.aborting {
                 return Some((Err(io::ErrorKind::ConnectionAborted.into()), None));
             }
-            match relay.step().await? {
+            match relay.next_events().await? {
                 Ok(events) => Some((Ok(events), Some(relay))),
                 // The caller must see that this is not the whole: an event says so, and then the
                 // connection breaks instead of ending.
-                Err(Stopped) => {
-                    relay.stopped = true;
-                    Some((Ok(broken_event()), Some(relay)))
+                Err(Interrupted) => {
+                    relay.aborting = true;
+                    Some((Ok(error_event()), Some(relay)))
                 }
             }
         })
     }
 
-    pub(super) async fn gathered(mut self) -> Answer {
+    pub(super) async fn buffered(mut self) -> Answer {
         let mut all = BytesMut::new();
-        while let Some(step) = self.step().await {
+        while let Some(step) = self.next_events().await {
             match step {
-                Ok(events) if all.len() + events.len() <= GATHERED_MAX => {
+                Ok(events) if all.len() + events.len() <= BUFFERED_MAX => {
                     all.extend_from_slice(&events);
                 }
                 _ => {
-                    return broken().answer();
+                    return interrupted().answer();
                 }
             }
         }
         let tokens: Vec<serde_json::Value> = events_json(&all);
         let body = serde_json::json!({ "tokens": tokens });
-        self.head(http::json(StatusCode::OK, &body))
+        self.add_headers(http::json(StatusCode::OK, &body))
     }
 }
 
-pub(super) fn broken() -> Failure {
+pub(super) fn interrupted() -> Failure {
     Failure::not_run(Code::AnswerBroken, "the answer broke off").with_outcome(Outcome::Unknown)
 }
 
 /// The event that tells a caller that its answer is not whole.
-fn broken_event() -> Bytes {
-    let body = Body { error: broken() };
+fn error_event() -> Bytes {
+    let body = Body {
+        error: interrupted(),
+    };
     let text = serde_json::to_string(&body).unwrap_or_default();
     format!("event: error\ndata: {text}\n\n").into()
 }
@@ -215,7 +221,7 @@
         let Some(attempt) = &self.attempt else {
             return;
         };
-        let entry = self.course.entry.clone();
+        let entry = self.dispatch.entry.clone();
         let Some(address) = entry
             .table
             .borrow()
@@ -224,12 +230,12 @@
         else {
             return;
         };
-        let path = format!("/v1/cancel/{}", self.course.job.id);
+        let path = format!("/v1/cancel/{}", self.dispatch.job.id);
         actix_rt::spawn(async move {
             let mut request = exchange::Request::new(Method::POST, path);
-            prove(&entry, &mut request);
+            sign(&entry, &mut request);
             let sent = entry.node.exchange.send(address, &request);
-            let _ = actix_rt::time::timeout(SHORT_TIMEOUT, sent).await;
+            let _ = actix_rt::time::timeout(CONTROL_TIMEOUT, sent).await;
         });
     }
 }
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -15,21 +15,21 @@
 use crate::route::{Load, ReplicaKey, Resource, hash_of};
 use crate::wire::{self, Report};
 
-/// First pause before a target is followed again, doubled up to [`PAUSE_MAX`].
-const PAUSE: Duration = Duration::from_millis(100);
+/// First backoff before a target is followed again, doubled up to [`BACKOFF_MAX`].
+const BACKOFF_MIN: Duration = Duration::from_millis(100);
 
-/// Longest pause before a target is followed again.
-const PAUSE_MAX: Duration = Duration::from_secs(1);
+/// Longest backoff before a target is followed again.
+const BACKOFF_MAX: Duration = Duration::from_secs(1);
 
 /// A target whose stream is quiet for so long is asked anew.
-const QUIET: Duration = Duration::from_millis(2_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Follows targets until dropped.
-pub async fn follow_targets(entry: Rc<Entry>) {
+pub async fn subscribe_targets(entry: Rc<Entry>) {
     let mut changed = entry.node.changed.subscribe();
-    let mut follows: BTreeMap<Arc<str>, Follow> = BTreeMap::new();
+    let mut subscriptions: BTreeMap<Arc<str>, Subscription> = BTreeMap::new();
     loop {
-        review(&entry, &mut follows);
+        update_subscriptions(&entry, &mut subscriptions);
         if changed.changed().await.is_err() {
             return;
         }
@@ -37,110 +37,113 @@
 }
 
 /// A target that is being followed; dropping it ends that.
-struct Follow {
+struct Subscription {
     address: std::net::SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl Drop for Follow {
+impl Drop for Subscription {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-fn review(entry: &Rc<Entry>, follows: &mut BTreeMap<Arc<str>, Follow>) {
-    let wanted = wanted(entry);
-    follows.retain(|name, _| {
-        let kept = wanted.iter().any(|listed| listed.name == *name);
+fn update_subscriptions(entry: &Rc<Entry>, subscriptions: &mut BTreeMap<Arc<str>, Subscription>) {
+    let targets = select_targets(entry);
+    subscriptions.retain(|name, _| {
+        let kept = targets.iter().any(|descriptor| descriptor.name == *name);
         if !kept {
             entry.table.borrow_mut().remove(name);
         }
         kept
     });
-    for listed in wanted {
+    for descriptor in targets {
         let key = {
             let mut table = entry.table.borrow_mut();
-            let key = table.add(&listed.name, &listed.hall, listed.address);
-            table.set_listed_leaving(key, listed.state == State::Leaving);
+            let key = table.add(&descriptor.name, &descriptor.hall, descriptor.address);
+            table.set_listed_leaving(key, descriptor.state == State::Leaving);
             key
         };
-        let moved = follows
-            .get(&listed.name)
-            .is_none_or(|follow| follow.address != listed.address);
+        let moved = subscriptions
+            .get(&descriptor.name)
+            .is_none_or(|subscription| subscription.address != descriptor.address);
         if moved {
-            let address = listed.address;
-            let task = actix_rt::spawn(follow(entry.clone(), key, address));
-            follows.insert(listed.name.clone(), Follow { address, task });
+            let address = descriptor.address;
+            let task = actix_rt::spawn(subscribe(entry.clone(), key, address));
+            subscriptions.insert(descriptor.name.clone(), Subscription { address, task });
         }
     }
 }
 
 /// All targets of the entry's hall, and of every other hall the first few by rendezvous hashing, so
 /// that entries differ in whom they follow.
-fn wanted(entry: &Entry) -> Vec<Descriptor> {
+fn select_targets(entry: &Entry) -> Vec<Descriptor> {
     let view = entry.node.view.borrow();
     let own_hall = &entry.node.setting.hall;
-    let mut wanted = Vec::new();
+    let mut targets = Vec::new();
     let mut remote: BTreeMap<Arc<str>, Vec<(u64, Descriptor)>> = BTreeMap::new();
-    for listed in view.boxes().filter(|listed| listed.role != Role::Entry) {
-        if listed.hall == *own_hall {
-            wanted.push(listed.clone());
+    for descriptor in view
+        .boxes()
+        .filter(|descriptor| descriptor.role != Role::Entry)
+    {
+        if descriptor.hall == *own_hall {
+            targets.push(descriptor.clone());
             continue;
         }
-        let name = format!("{}\n{}", entry.node.setting.name, listed.name);
+        let name = format!("{}\n{}", entry.node.setting.name, descriptor.name);
         let score = hash_of(name.as_bytes());
-        let hall = remote.entry(listed.hall.clone()).or_default();
-        hall.push((score, listed.clone()));
+        let hall = remote.entry(descriptor.hall.clone()).or_default();
+        hall.push((score, descriptor.clone()));
     }
     for mut ranked in remote.into_values() {
         ranked.sort_by_key(|(score, _)| *score);
         let chosen = ranked.into_iter().take(entry.setting.remote_targets);
-        wanted.extend(chosen.map(|(_, listed)| listed));
+        targets.extend(chosen.map(|(_, descriptor)| descriptor));
     }
-    wanted
+    targets
 }
 
-async fn follow(entry: Rc<Entry>, key: ReplicaKey, address: std::net::SocketAddr) {
-    let mut pause = PAUSE;
+async fn subscribe(entry: Rc<Entry>, key: ReplicaKey, address: std::net::SocketAddr) {
+    let mut backoff = BACKOFF_MIN;
     loop {
-        let heard = follow_once(&entry, key, address).await;
-        pause = if heard {
-            PAUSE
+        let received = read_reports(&entry, key, address).await;
+        backoff = if received {
+            BACKOFF_MIN
         } else {
-            (pause * 2).min(PAUSE_MAX)
+            (backoff * 2).min(BACKOFF_MAX)
         };
         let jitter = rand::rng().random_range(0.5..1.0);
-        sleep(pause.mul_f64(jitter)).await;
+        sleep(backoff.mul_f64(jitter)).await;
     }
 }
 
 /// Reads one target's reports until they end. Returns whether any came.
-async fn follow_once(entry: &Entry, key: ReplicaKey, address: std::net::SocketAddr) -> bool {
+async fn read_reports(entry: &Entry, key: ReplicaKey, address: std::net::SocketAddr) -> bool {
     let url = format!("http://{address}/v1/report");
     let request = entry.node.client.0.get(url).send();
-    let Ok(Ok(mut response)) = actix_rt::time::timeout(QUIET, request).await else {
+    let Ok(Ok(mut response)) = actix_rt::time::timeout(IDLE_TIMEOUT, request).await else {
         return false;
     };
     let mut decoder = wire::Decoder::default();
-    let mut heard = false;
-    while let Ok(Some(Ok(part))) = actix_rt::time::timeout(QUIET, response.next()).await {
+    let mut received = false;
+    while let Ok(Some(Ok(part))) = actix_rt::time::timeout(IDLE_TIMEOUT, response.next()).await {
         decoder.push(&part);
         loop {
             match decoder.next_frame::<Report>() {
                 Ok(Some(report)) => {
-                    heard = true;
+                    received = true;
                     let now = entry.node.clock.now();
                     entry.table.borrow_mut().report(key, load(report), now);
                 }
                 Ok(None) => break,
                 Err(error) => {
                     log::warn!(target_address:% = address; "{error}");
-                    return heard;
+                    return received;
                 }
             }
         }
     }
-    heard
+    received
 }
 
 fn load(report: Report) -> Load {
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -15,16 +15,16 @@
 pub fn start(entry: &Rc<Entry>, listener: TcpListener, wrap: Wrap) -> Server {
     let entry = entry.clone();
     Server::start(listener, wrap, move |request, peer| {
-        answer(entry.clone(), request, peer)
+        route(entry.clone(), request, peer)
     })
 }
 
-async fn answer(entry: Rc<Entry>, request: Request, _peer: SocketAddr) -> Answer {
+async fn route(entry: Rc<Entry>, request: Request, _peer: SocketAddr) -> Answer {
     let path = request.path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     match (request.method().as_str(), parts.as_slice()) {
         ("POST", ["v1", "completions" | "services" | "keys", ..]) => {
-            take(entry, request, &parts).await
+            handle_caller(entry, request, &parts).await
         }
         ("GET", ["v1", "config"]) => entry.node.config_answer(request.uri().query()),
         ("GET", ["health", "live"]) => http::status(StatusCode::OK),
@@ -41,10 +41,10 @@
 }
 
 /// Takes a caller's request, unless the entry stops.
-async fn take(entry: Rc<Entry>, request: Request, parts: &[&str]) -> Answer {
+async fn handle_caller(entry: Rc<Entry>, request: Request, parts: &[&str]) -> Answer {
     let permit = entry.tracker.admit(Kind::New);
     if permit.is_refused() {
-        return permit.attach(call::refuse(&entry, &Failure::stopping()));
+        return permit.attach(call::reject(&entry, &Failure::stopping()));
     }
     let tracker = entry.tracker.clone();
     let work = async {
@@ -53,7 +53,7 @@
             ["v1", "services", name, rest @ ..] => {
                 call::service(entry, request, name, &rest.join("/")).await
             }
-            ["v1", "keys"] => key::key(entry, request).await,
+            ["v1", "keys"] => key::handle(entry, request).await,
             _ => no_such_path(),
         }
     };
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -25,7 +25,7 @@
 }
 
 /// Adds one.
-pub fn count(counter: &Cell<u64>) {
+pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
@@ -53,7 +53,7 @@
     }
 
     /// One request ended.
-    pub fn ended(&self, outcome: &'static str, seconds: f64) {
+    pub fn record(&self, outcome: &'static str, seconds: f64) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
         self.duration.record(seconds, &[]);
     }
@@ -93,12 +93,12 @@
 /// The present status of `entry`.
 pub fn status(entry: &Entry) -> Status {
     let node = &entry.node;
-    let book = node.book.borrow();
+    let configuration = node.book.borrow();
     let counters = &entry.counters;
     Status {
         name: node.setting.name.to_string(),
         hall: node.setting.hall.to_string(),
-        revision: book.revision().0,
+        revision: configuration.revision().0,
         ready: *node.ready.borrow(),
         leaving: entry.tracker.is_stopping(),
         in_flight: counters.in_flight.get(),
@@ -108,7 +108,7 @@
         retries: counters.retries.get(),
         targets: entry.table.borrow().names().count(),
         reporting: entry.table.borrow().reporting(node.clock.now()),
-        rejected: book
+        rejected: configuration
             .rejected()
             .iter()
             .map(|(customer, rejected)| (customer.clone(), rejected.clone()))
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -239,7 +239,7 @@
             }
         }
         let text = String::from_utf8(out).unwrap();
-        reader.done() && reader.next() == 20 && text.matches("id:").count() == 20
+        reader.is_done() && reader.next_token() == 20 && text.matches("id:").count() == 20
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 13))
