--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,5 @@
-//! The entry: takes callers' requests, admits, routes, retries, and streams answers back.
+//! The entry: accepts requests from callers, routes them to targets, retries failed attempts, and
+//! streams the responses back.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -28,45 +29,45 @@
 pub mod serve;
 pub mod status;
 
-/// An entry's settings.
+/// Settings of an entry.
 #[derive(Debug, Clone)]
 pub struct Setting {
-    /// What all daemons share.
+    /// Settings common to all daemons.
     pub node: node::Setting,
-    /// Keys of the inner hop.
+    /// Keys that sign requests from entries to agents.
     pub keyring: Keyring,
-    /// How targets are chosen.
+    /// Load-balancing strategy.
     pub strategy: Strategy,
-    /// Targets of each other hall that this entry follows.
+    /// Maximum number of targets in each other hall whose reports this entry subscribes to.
     pub remote_targets: usize,
-    /// Seed of random choices.
+    /// Seed of the random number generator that target selection uses.
     pub seed: u64,
 }
 
-/// An entry. It lives on one thread.
+/// An entry. It runs on a single thread.
 #[derive(Debug)]
 pub struct Entry {
-    /// Settings.
+    /// Its settings.
     pub setting: Setting,
-    /// The shared part.
+    /// State common to all daemons.
     pub node: Rc<Node>,
-    /// The targets that it knows.
+    /// The known targets.
     pub table: RefCell<Table>,
     customers: RefCell<Customers>,
     retry_budget: RefCell<RetryBudget>,
     rng: RefCell<SmallRng>,
-    /// Lets requests in.
+    /// Admits requests, and tracks them during a planned stop.
     pub tracker: Rc<Tracker>,
     counters: status::Counters,
     instruments: status::Instruments,
 }
 
-/// A running entry. Dropping it stops its loops.
+/// A running entry. Dropping it aborts its background tasks.
 #[derive(Debug)]
 pub struct Running {
     /// The entry.
     pub entry: Rc<Entry>,
-    /// Its server.
+    /// Its HTTP server.
     pub server: Server,
     tasks: Vec<actix_rt::task::JoinHandle<()>>,
 }
@@ -80,7 +81,7 @@
 }
 
 impl Entry {
-    /// Starts an entry on the present thread.
+    /// Starts an entry on the current thread.
     pub fn start(
         setting: Setting,
         listener: TcpListener,
@@ -108,8 +109,8 @@
         })
     }
 
-    /// Announces that the entry stops: it fails its readiness check, so that the balancer sends
-    /// nothing more, and finishes what it has.
+    /// Begins a planned stop: the readiness check fails, so that the load balancer sends no new
+    /// requests, and requests in progress run to completion.
     pub fn drain(&self) {
         if !self.tracker.is_stopping() {
             self.node.audit(Event::Draining);
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_flight(&self) -> u64 {
         self.counters.in_flight.get()
     }
