--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,5 @@
-//! An attempt of a request at a target: its choice, what is sent, and how it broke.
+//! A single attempt of a request: choosing the target, sending the request to its agent, and
+//! classifying a failure.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,16 +17,16 @@
 use crate::template::fleet::Priority;
 use crate::wire::header;
 
-/// When a caller without a replica should come back.
+/// Retry delay that callers are given when no replica is available.
 const NO_REPLICA_RETRY: Duration = Duration::from_millis(500);
 
-/// How long a target may take to take up a broken answer.
+/// Time limit for a target to resume an interrupted response.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest refusal of an agent.
+/// Maximum length in bytes of an agent's error body or issued key.
 pub(super) const ERROR_BODY_MAX: usize = 4 << 10;
 
-/// Adds the proof over what the request carries so far.
+/// Signs the path and the headers that the request carries so far, and adds the signature.
 pub(super) fn sign(entry: &Entry, request: &mut exchange::Request) {
     let signature = {
         let parts: Vec<&str> = std::iter::once(request.path.as_str())
@@ -36,6 +37,8 @@
     request.headers.push((header::PROOF, signature));
 }
 
+/// Chooses a target that has not been tried yet. A request with a key may only go to the box that
+/// issued the key.
 pub(super) fn choose(entry: &Entry, job: &Job, tried: &[ReplicaKey]) -> Option<ReplicaKey> {
     let mut table = entry.table.borrow_mut();
     if let Some(key) = &job.key {
@@ -62,7 +65,8 @@
     Failure::not_run(Code::NoReplica, message).retry_after(NO_REPLICA_RETRY)
 }
 
-/// An attempt at a target, counted in the table until it ends.
+/// An attempt at a target. The table counts it as in flight until it is dropped, and is then given
+/// its [`Completion`].
 pub(super) struct Attempt {
     entry: Rc<Entry>,
     pub(super) replica: ReplicaKey,
@@ -101,7 +105,7 @@
     }
 }
 
-/// How an attempt that got no answer broke.
+/// Why an attempt got no admitted response.
 pub(super) struct Error {
     pub(super) interruption: Interruption,
     pub(super) rejection: Option<Turned>,
@@ -116,7 +120,8 @@
     }
 }
 
-/// The job as an agent takes it.
+/// Builds the signed request to the agent. A request that is not repeatable is never sent over a
+/// reused connection.
 fn inner_request(entry: &Entry, job: &Job, resume_at: Option<u32>) -> exchange::Request {
     let mut request = exchange::Request::new(Method::POST, "/v1/run");
     let remaining = job.remaining(entry).as_millis().to_string();
@@ -143,7 +148,7 @@
     request
 }
 
-/// Sends the job to a target and returns the head of an admitted answer.
+/// Sends the job to a target, and returns the response if the agent admitted the request.
 pub(super) async fn send(
     entry: &Entry,
     job: &Job,
@@ -181,8 +186,8 @@
     if flag { "yes" } else { "no" }
 }
 
-/// Tells an admitted answer from a refusal by the agent's own header, never by the status, which
-/// may be the target's.
+/// Distinguishes an admitted response from a rejection by the agent's own header, never by the
+/// status, which may be the target's.
 async fn check_admission(mut response: Response) -> Result<Response, Error> {
     let interruption = match response.header(header::ADMITTED) {
         "yes" => return Ok(response),
@@ -199,7 +204,7 @@
     })
 }
 
-/// Whether a refusal tells that the target is in a bad way.
+/// Whether the failure counts against the target's health.
 pub(super) fn is_target_fault(error: &Error) -> bool {
     match error.interruption {
         Interruption::NotReached
