--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -1,4 +1,5 @@
-//! One caller's request from its head to the end of its answer: admission, attempts, relay.
+//! Handles a caller's request from its head to the end of the response: validation, the customer's
+//! limit, attempts, and forwarding of the response.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -25,22 +26,22 @@
 use crate::route::{ReplicaKey, Resource, hash_of};
 use crate::template::fleet::{Limits, Priority, WHOLE_SHARE};
 
-/// Header that names a request in its answer.
+/// Response header with the request's id.
 pub const REQUEST_HEADER: &str = "x-pumicelatch-request";
 
-/// Bytes of a prompt that decide its affinity.
+/// Length in bytes of the prompt prefix that is hashed for affinity.
 const PREFIX_BYTES: usize = 256;
 
-/// When a caller that was shed should come back, if the target gave no time.
+/// Retry delay that callers are given if neither the target nor the customer's limit gave one.
 const OVERLOAD_RETRY: Duration = Duration::from_millis(250);
 
-/// How long an agent may take to issue a key or to cancel.
+/// Time limit for an agent to issue a key or to cancel a request.
 pub(super) const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest whole answer that is gathered for a caller that does not stream.
+/// Maximum length in bytes of a response that is buffered before it is sent to the caller.
 pub(super) const BUFFERED_MAX: usize = 16 << 20;
 
-/// The body of a completion, as far as the entry looks into it.
+/// The fields of a completion request's body that the entry reads.
 #[derive(Debug, Deserialize)]
 struct Completion {
     model: String,
@@ -49,7 +50,7 @@
     stream: bool,
 }
 
-/// A request that was checked.
+/// A validated request.
 #[derive(Debug, Clone)]
 pub(super) struct Job {
     pub(super) id: String,
@@ -66,7 +67,7 @@
     pub(super) streamed: bool,
 }
 
-/// Counts a request for as long as it lives, and its end.
+/// Counts a request as in progress until dropped, and then records its outcome and duration.
 pub(super) struct Guard {
     entry: Rc<Entry>,
     customer: Arc<str>,
@@ -127,8 +128,8 @@
     Err(Failure::not_run(Code::UnknownCustomer, message))
 }
 
-/// A stable number in 0..100: a session, or else a prompt, keeps its version and side while shares
-/// grow.
+/// Maps a session, or else a prompt, to a stable number in `0..100`, so that it keeps its version
+/// and its halls while their shares grow.
 pub(super) fn draw(customer: &str, stable: &str) -> u32 {
     let text = format!("{customer}\n{stable}");
     (hash_of(text.as_bytes()) % u64::from(WHOLE_SHARE)) as u32
@@ -160,7 +161,7 @@
     }
 }
 
-/// `POST /v1/completions`.
+/// Handles `POST /v1/completions`.
 pub async fn completion(entry: Rc<Entry>, mut request: Request) -> Answer {
     match prepare_completion(&entry, &mut request).await {
         Ok((job, guard)) => run(entry, job, guard).await,
@@ -168,7 +169,7 @@
     }
 }
 
-/// `POST /v1/services/NAME/PATH`.
+/// Handles `POST /v1/services/NAME/PATH`.
 pub async fn service(entry: Rc<Entry>, mut request: Request, name: &str, path: &str) -> Answer {
     match prepare_service(&entry, &mut request, name, path).await {
         Ok((job, guard)) => run(entry, job, guard).await,
@@ -176,7 +177,7 @@
     }
 }
 
-/// Refuses a request that was not taken further.
+/// Answers a request that fails before its first attempt, and counts it as not run.
 pub(super) fn reject(entry: &Entry, failure: &Failure) -> Answer {
     increment(&entry.counters.not_run);
     entry.instruments.record("not_run", 0.0);
@@ -258,7 +259,7 @@
     Ok((job, guard))
 }
 
-/// A request on its way: what its attempts have come to.
+/// A request being dispatched, with the state of its attempts.
 pub(super) struct Dispatch {
     pub(super) entry: Rc<Entry>,
     pub(super) job: Job,
@@ -300,7 +301,7 @@
         next
     }
 
-    /// Tries targets until one admits the request.
+    /// Tries targets in turn until one admits the request.
     async fn start(&mut self) -> Result<(Response, Attempt), Failure> {
         self.entry.retry_budget.borrow_mut().earn();
         let mut last: Option<attempt::Error> = None;
@@ -326,7 +327,7 @@
         }
     }
 
-    /// There is nowhere (else) to go.
+    /// The failure reported when no (further) target is available: that of the last attempt, if any.
     fn no_target(&self, last: Option<attempt::Error>) -> Failure {
         if let Some(error) = last {
             return self.failure(&error);
@@ -338,7 +339,7 @@
         no_replica(&self.entry)
     }
 
-    /// What the caller is told after `error`.
+    /// The failure reported to the caller after a failed attempt.
     fn failure(&self, error: &attempt::Error) -> Failure {
         let outcome = request::outcome_after(error.interruption, self.situation(false));
         let after = error
@@ -389,7 +390,7 @@
     }
 }
 
-/// Names the request in its answer, whatever that is.
+/// Serves the job, and adds the request's id to the response, whether it succeeded or not.
 async fn run(entry: Rc<Entry>, job: Job, guard: Guard) -> Answer {
     let id = HeaderValue::from_str(&job.id);
     let mut answer = serve(entry, job, guard).await;
@@ -430,8 +431,8 @@
     forward_buffered(dispatch, response, attempt).await
 }
 
-/// Passes on an answer that has no tokens to count: it is gathered first, so that the caller gets
-/// it whole or not at all.
+/// Forwards a response that is not relayed event by event. It is buffered first, so that the caller
+/// gets either the complete response or an error.
 async fn forward_buffered(
     mut dispatch: Dispatch,
     mut response: Response,
