--- a/src/entry/caller.rs
+++ b/src/entry/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's side: what a request must look like, and how it is told that something went wrong.
+//! The interface to callers: request headers and bodies, and error responses.
 
 use std::time::Duration;
 
@@ -14,22 +14,23 @@
 use crate::template::fleet::Priority;
 use crate::wire::header;
 
-/// Longest body of a caller's request.
+/// Maximum length in bytes of a caller's request body.
 pub const BODY_MAX: usize = 1 << 20;
 
-/// How long a caller may take to send its body.
+/// Time limit for a caller to send its request body.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest deadline.
+/// Maximum deadline, in milliseconds.
 pub const DEADLINE_MAX_MS: u64 = 600_000;
 
-/// Header that carries a key.
+/// Request header with the key of a request that must run at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Header that names a caller's session, which moves between versions and sides as one.
+/// Request header with the caller's session. All requests of a session move between versions and
+/// halls together.
 pub const SESSION: &str = "x-session";
 
-/// Headers that only the system itself sets.
+/// Headers that only the system itself may set.
 const INTERNAL: [&str; 8] = [
     header::REQUEST,
     header::VERSION,
@@ -41,19 +42,19 @@
     header::PROOF,
 ];
 
-/// What a caller is told in place of an answer. Codes are stable.
+/// Error codes in responses to callers. They are part of the stable interface.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Code {
-    /// A header is missing or wrong.
+    /// A header is missing or invalid.
     BadHeader,
-    /// A header that only the system sets was sent.
+    /// The request has a header that only the system itself may set.
     InternalHeader,
-    /// The body is not what the path takes.
+    /// The body is invalid for this path, or could not be read.
     BadBody,
     /// The body is too long.
     BodyTooLong,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTooSlow,
     /// There is no such path or method.
     NoSuchPath,
@@ -63,27 +64,27 @@
     UnknownModel,
     /// The customer has no such service.
     UnknownService,
-    /// The key is not one of this system's.
+    /// The key does not have the form of a key issued by this system.
     BadKey,
     /// The customer has too many requests in progress.
     CustomerLimit,
-    /// No replica may take the request now.
+    /// No replica can accept the request now.
     NoReplica,
-    /// All targets that were asked are full.
+    /// All targets that were tried are full.
     Overloaded,
     /// The deadline cannot be met.
     Deadline,
     /// A request with this key is in progress.
     KeyInProgress,
-    /// The key's box or its memory is gone: whether the request ran is not known.
+    /// The key's box, or its record of the key, is gone: whether the request ran is unknown.
     KeyLost,
-    /// The request ran under this key, and its answer was too long to keep.
+    /// The request ran under this key, but its response was too long to store.
     AnswerNotKept,
-    /// The target or the way to it failed.
+    /// The target, or the connection to it, failed.
     TargetFailed,
-    /// The answer broke off.
+    /// The response was interrupted.
     AnswerBroken,
-    /// The entry stops.
+    /// The entry is stopping.
     Stopping,
 }
 
@@ -109,21 +110,21 @@
     }
 }
 
-/// A failure as a caller sees it.
+/// A failure as reported to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// What went wrong.
+    /// Error code.
     pub code: Code,
-    /// The same for people, with what would do.
+    /// Human-readable description, with what to do instead where that is known.
     pub message: String,
     /// Whether the request ran.
     pub outcome: Outcome,
-    /// When to come back, in milliseconds; absent if that would not help.
+    /// Delay in milliseconds after which to retry; absent if a retry would not help.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// The body of a failure.
+/// The response body of a failure.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Body {
     /// The failure.
@@ -131,7 +132,7 @@
 }
 
 impl Failure {
-    /// A request that surely did not run.
+    /// A request that certainly did not run.
     pub fn not_run(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -141,23 +142,23 @@
         }
     }
 
-    /// The entry stops, and the request did not run.
+    /// The entry is stopping, and the request did not run.
     pub fn stopping() -> Self {
         Self::not_run(Code::Stopping, "the entry stops").retry_after(tracker::RETRY_DELAY)
     }
 
-    /// The entry ends, and the request may have run.
+    /// The entry aborts requests in progress at the end of a stop; the request may have run.
     pub fn ending() -> Self {
         let failure = Self::not_run(Code::AnswerBroken, "the entry ends");
         failure.with_outcome(Outcome::Unknown)
     }
 
-    /// The same with another outcome.
+    /// Replaces the outcome.
     pub fn with_outcome(self, outcome: Outcome) -> Self {
         Self { outcome, ..self }
     }
 
-    /// The same with a time to come back.
+    /// Sets the retry delay, of at least one millisecond.
     pub fn retry_after(self, after: Duration) -> Self {
         let millis = after.as_millis().max(1) as u64;
         Self {
@@ -166,7 +167,8 @@
         }
     }
 
-    /// The HTTP answer.
+    /// The HTTP response. A server error carries the outcome as an extension, by which the
+    /// [`Tracker`] counts it.
     pub fn answer(&self) -> Answer {
         let body = Body {
             error: self.clone(),
@@ -186,24 +188,24 @@
     }
 }
 
-/// The headers of a caller's request.
+/// The parsed headers of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
     /// The customer.
     pub customer: String,
-    /// The priority that it states.
+    /// The requested priority.
     pub priority: Option<Priority>,
-    /// The deadline that it states.
+    /// The requested deadline, as the time remaining.
     pub deadline: Option<Duration>,
-    /// Whether it says that the request may run twice.
+    /// Whether the caller allows the request to run more than once.
     pub repeatable: Option<bool>,
-    /// Its key.
+    /// The key that limits it to one run.
     pub key: Option<Key>,
-    /// Its session.
+    /// The session it belongs to.
     pub session: Option<String>,
 }
 
-/// Reads a request's body.
+/// Reads a request's body, within [`BODY_MAX`] and [`BODY_TIMEOUT`].
 pub async fn read_body(tracker: &Tracker, request: &mut Request) -> Result<Bytes, Failure> {
     let read = tracker.until_abort(http::read_request(request, BODY_MAX));
     match timeout(BODY_TIMEOUT, read).await {
@@ -237,7 +239,7 @@
 }
 
 impl Head {
-    /// Reads and checks the headers.
+    /// Parses and validates the headers.
     pub fn read(request: &Request) -> Result<Self, Failure> {
         for name in INTERNAL {
             if request
