--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -1,4 +1,4 @@
-//! `pumicelatch-entry`: an entry as a process of its own.
+//! `pumicelatch-entry`: runs an entry as its own process.
 
 use rand::RngExt;
 
@@ -30,7 +30,7 @@
     ),
 ];
 
-/// Reads a policy's name.
+/// Parses the name of a strategy, as given to `--policy`.
 pub fn parse_strategy(name: &str) -> Result<Strategy, option::Error> {
     match name {
         "expected" => Ok(Strategy::Expected),
@@ -59,7 +59,7 @@
     Ok((setting, common))
 }
 
-/// Runs until a planned stop is over.
+/// Runs the entry until a stop signal arrives and the planned stop is complete.
 pub async fn run() -> Result<(), Error> {
     let specs: Vec<Spec> = SPECS.iter().chain(&OWN_SPECS).copied().collect();
     let Some(values) = daemon::values(PROGRAM, SUMMARY, &specs)? else {
