--- a/src/entry/event.rs
+++ b/src/entry/event.rs
@@ -1,30 +1,31 @@
-//! Server-sent events of an answer: passes each token once, in order, and sees where it stopped.
+//! Server-sent events of a response: forwards each token exactly once and in order, and tracks the
+//! offset at which an interrupted response resumes.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event.
+/// Maximum length in bytes of an event.
 const EVENT_MAX: usize = 1 << 20;
 
-/// The event that ends an answer.
+/// The event that ends a response.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// What a stream of events did wrong.
+/// Why a stream of events is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// An event is too long to be one.
-    #[error("event is over {EVENT_MAX} bytes")]
+    /// The buffered data exceeds the maximum length of an event.
+    #[error("event is longer than {EVENT_MAX} bytes")]
     TooLong,
     /// A token was skipped.
-    #[error("token {found} came where {expected} was due")]
+    #[error("expected token {expected}, got token {found}")]
     Gap {
-        /// The token that was due.
+        /// Number of the expected token.
         expected: u32,
-        /// The one that came.
+        /// Number of the received token.
         found: u32,
     },
 }
 
-/// Splits an answer into events and keeps count of its tokens.
+/// Splits a response into events and counts its tokens.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: BytesMut,
@@ -33,23 +34,23 @@
 }
 
 impl Reader {
-    /// The next token that is due.
+    /// Number of the next expected token.
     pub fn next_token(&self) -> u32 {
         self.next
     }
 
-    /// Whether the answer is whole.
+    /// Whether the response is complete.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Drops a half event: the answer is taken up anew after the last whole one.
+    /// Discards a partial event: the response is resumed after the last complete one.
     pub fn restart(&mut self) {
         self.buffer.clear();
     }
 
-    /// Takes received bytes and returns the whole events that are due. Tokens that came before are
-    /// dropped; after a gap nothing more may be passed on.
+    /// Adds received bytes, and returns the complete events to forward. Tokens that were already
+    /// forwarded are dropped. After an error, nothing more of the stream may be forwarded.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Error> {
         self.buffer.extend_from_slice(bytes);
         let mut out = BytesMut::new();
@@ -78,7 +79,7 @@
     }
 }
 
-/// Where the first event ends, after its empty line.
+/// End of the first event, including its empty line.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     buffer
         .windows(2)
@@ -86,7 +87,7 @@
         .map(|at| at + 2)
 }
 
-/// The number in an event's `id:` line.
+/// Token number in the event's `id:` line.
 fn token_number(event: &[u8]) -> Option<u32> {
     let text = std::str::from_utf8(event).ok()?;
     let id = text.lines().find_map(|line| line.strip_prefix("id:"))?;
