--- a/src/entry/key.rs
+++ b/src/entry/key.rs
@@ -1,4 +1,4 @@
-//! Keys that callers take beforehand, for requests that must run at most once.
+//! Issues the keys with which callers mark requests that must run at most once.
 
 use std::rc::Rc;
 
@@ -15,7 +15,7 @@
 use crate::route::{ReplicaKey, Resource};
 use crate::wire::header;
 
-/// The body of a request for a key.
+/// Body of a request for a key.
 #[derive(Debug, Deserialize)]
 struct KeyRequest {
     #[serde(default)]
@@ -24,14 +24,14 @@
     service: Option<String>,
 }
 
-/// The answer to a request for a key.
+/// Response to a request for a key.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Issued {
-    /// The key, to be sent as `Idempotency-Key`.
+    /// The key, to be sent in the `Idempotency-Key` header.
     pub key: String,
 }
 
-/// `POST /v1/keys`: has a target's agent issue a key.
+/// Handles `POST /v1/keys`: has the agent of a suitable target issue a key.
 pub async fn handle(entry: Rc<Entry>, mut request: Request) -> Answer {
     match issue(&entry, &mut request).await {
         Ok(key) => http::json(StatusCode::OK, &Issued { key }),
