--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,4 +1,4 @@
-//! An answer of tokens on its way to the caller, taken up where it broke.
+//! Relays a token stream to the caller, and resumes it when it is interrupted.
 
 use std::io;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::request::{Interruption, Next, Outcome};
 use crate::route::{ReplicaKey, Resource};
 
-/// An answer of tokens on its way to the caller.
+/// A token stream being relayed to the caller.
 pub(super) struct Relay {
     dispatch: Dispatch,
     response: Response,
@@ -28,7 +28,7 @@
     aborting: bool,
 }
 
-/// How a relayed answer stopped short.
+/// The response was interrupted and cannot be resumed.
 struct Interrupted;
 
 impl Relay {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The next events that are due; `None` after the last.
+    /// Returns the next complete events, or `None` at the end of the response.
     async fn next_events(&mut self) -> Option<Result<Bytes, Interrupted>> {
         loop {
             if self.reader.is_done() {
@@ -83,8 +83,8 @@
         self.finished = true;
     }
 
-    /// Takes a broken answer up after its last whole token: at the same target, or, if the request
-    /// is repeatable, by another run of the same version elsewhere.
+    /// Resumes an interrupted response after its last complete token: at the same target, or, if the
+    /// request is repeatable, by running it again on another target with the same version.
     async fn resume(&mut self) -> bool {
         self.reader.restart();
         let begun = self.reader.next_token() > 0;
@@ -106,8 +106,8 @@
             };
             let attempt = Attempt::begin(&self.dispatch.entry, target);
             let job = &self.dispatch.job;
-            // At the same target the stream goes on; elsewhere the engine begins anew and the
-            // reader drops what came before.
+            // The same target continues the stream. Another target runs the request from the start,
+            // and the reader drops the tokens that were already forwarded.
             let resume_at = (!elsewhere).then(|| self.reader.next_token());
             if let Ok(response) = send(&self.dispatch.entry, job, target, resume_at).await {
                 self.response = response;
@@ -163,8 +163,8 @@
             }
             match relay.next_events().await? {
                 Ok(events) => Some((Ok(events), Some(relay))),
-                // The caller must see that this is not the whole: an event says so, and then the
-                // connection breaks instead of ending.
+                // The caller must not take the response for complete: send an error event, then
+                // abort the connection instead of ending the body.
                 Err(Interrupted) => {
                     relay.aborting = true;
                     Some((Ok(error_event()), Some(relay)))
@@ -191,11 +191,12 @@
     }
 }
 
+/// The failure reported for a response that was interrupted or is too long to buffer.
 pub(super) fn interrupted() -> Failure {
     Failure::not_run(Code::AnswerBroken, "the answer broke off").with_outcome(Outcome::Unknown)
 }
 
-/// The event that tells a caller that its answer is not whole.
+/// The event that tells the caller that the response is incomplete.
 fn error_event() -> Bytes {
     let body = Body {
         error: interrupted(),
@@ -204,7 +205,7 @@
     format!("event: error\ndata: {text}\n\n").into()
 }
 
-/// The data of all events but the last.
+/// Parses the data of all events. The final `[DONE]` is not JSON and is skipped.
 fn events_json(events: &[u8]) -> Vec<serde_json::Value> {
     String::from_utf8_lossy(events)
         .lines()
@@ -213,7 +214,8 @@
 }
 
 impl Drop for Relay {
-    /// The caller went away: the engine need not go on.
+    /// Cancels the request at the target if the response was not relayed to its end, for instance
+    /// because the caller disconnected.
     fn drop(&mut self) {
         if self.finished {
             return;
