--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -1,4 +1,5 @@
-//! Follows the reports of targets: all of the entry's own hall, and a bounded sample of others.
+//! Subscribes to the load reports of targets: of all in the entry's own hall, and of a bounded
+//! sample in every other hall.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,16 +16,17 @@
 use crate::route::{Load, ReplicaKey, Resource, hash_of};
 use crate::wire::{self, Report};
 
-/// First backoff before a target is followed again, doubled up to [`BACKOFF_MAX`].
+/// Delay before reconnecting to a target whose stream delivered a report. It doubles up to
+/// [`BACKOFF_MAX`] with each connection that delivers none.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 
-/// Longest backoff before a target is followed again.
+/// Maximum delay before reconnecting to a target.
 const BACKOFF_MAX: Duration = Duration::from_secs(1);
 
-/// A target whose stream is quiet for so long is asked anew.
+/// A target is reconnected to if it sends nothing for this long.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Follows targets until dropped.
+/// Keeps the subscriptions in line with the box list until dropped.
 pub async fn subscribe_targets(entry: Rc<Entry>) {
     let mut changed = entry.node.changed.subscribe();
     let mut subscriptions: BTreeMap<Arc<str>, Subscription> = BTreeMap::new();
@@ -36,7 +38,7 @@
     }
 }
 
-/// A target that is being followed; dropping it ends that.
+/// Subscription to a target's reports; dropping it ends the subscription.
 struct Subscription {
     address: std::net::SocketAddr,
     task: JoinHandle<()>,
@@ -75,8 +77,10 @@
     }
 }
 
-/// All targets of the entry's hall, and of every other hall the first few by rendezvous hashing, so
-/// that entries differ in whom they follow.
+/// Selects all targets of the entry's hall, and the first [`remote_targets`] of every other hall by
+/// rendezvous hashing, so that different entries subscribe to different targets.
+///
+/// [`remote_targets`]: super::Setting::remote_targets
 fn select_targets(entry: &Entry) -> Vec<Descriptor> {
     let view = entry.node.view.borrow();
     let own_hall = &entry.node.setting.hall;
@@ -103,6 +107,7 @@
     targets
 }
 
+/// Reads a target's reports, and reconnects with a jittered backoff whenever the stream ends.
 async fn subscribe(entry: Rc<Entry>, key: ReplicaKey, address: std::net::SocketAddr) {
     let mut backoff = BACKOFF_MIN;
     loop {
@@ -117,7 +122,7 @@
     }
 }
 
-/// Reads one target's reports until they end. Returns whether any came.
+/// Reads a target's reports until the stream ends. Returns whether it delivered any.
 async fn read_reports(entry: &Entry, key: ReplicaKey, address: std::net::SocketAddr) -> bool {
     let url = format!("http://{address}/v1/report");
     let request = entry.node.client.0.get(url).send();
@@ -137,7 +142,7 @@
                 }
                 Ok(None) => break,
                 Err(error) => {
-                    log::warn!(target_address:% = address; "{error}");
+                    log::warn!(target_address:% = address; "invalid report: {error}");
                     return received;
                 }
             }
