--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! The entry's HTTP server: callers, peers and operators.
+//! The entry's HTTP server, for callers, peers and operators.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
     Failure::not_run(Code::NoSuchPath, "there is no such path or method").answer()
 }
 
-/// Takes a caller's request, unless the entry stops.
+/// Handles a caller's request, or rejects it if the entry is stopping.
 async fn handle_caller(entry: Rc<Entry>, request: Request, parts: &[&str]) -> Answer {
     let permit = entry.tracker.admit(Kind::New);
     if permit.is_refused() {
