--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What an entry counts and shows.
+//! Counters, metrics and the status page of an entry.
 
 use std::cell::Cell;
 
@@ -9,22 +9,22 @@
 use super::Entry;
 use crate::config::Rejected;
 
-/// Counts since the start.
+/// Counters since the process started, and the current number of requests in progress.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_flight: Cell<u64>,
-    /// Requests that were answered whole.
+    /// Number of requests that were answered completely.
     pub ran: Cell<u64>,
-    /// Requests that were refused as not run.
+    /// Number of requests that failed and certainly did not run.
     pub not_run: Cell<u64>,
-    /// Requests whose outcome is not known.
+    /// Number of requests whose outcome is unknown.
     pub unknown: Cell<u64>,
-    /// Attempts after the first.
+    /// Number of retries, including resumed responses.
     pub retries: Cell<u64>,
 }
 
-/// Adds one.
+/// Increments `counter`.
 pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
@@ -37,7 +37,7 @@
 }
 
 impl Instruments {
-    /// Registers them.
+    /// Creates the instruments with `meter`.
     pub fn new(meter: &Meter) -> Self {
         Self {
             requests: meter
@@ -52,45 +52,45 @@
         }
     }
 
-    /// One request ended.
+    /// Records a request's outcome and duration.
     pub fn record(&self, outcome: &'static str, seconds: f64) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
         self.duration.record(seconds, &[]);
     }
 }
 
-/// An entry, as operators see it.
+/// Status of an entry, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// Its name.
     pub name: String,
     /// Its data hall.
     pub hall: String,
-    /// The configuration revision in force.
+    /// The active configuration revision.
     pub revision: u64,
-    /// Whether it has a configuration from the service or a peer.
+    /// Whether it has received a configuration from the service or a peer.
     pub ready: bool,
-    /// Whether it stops.
+    /// Whether it is stopping.
     pub leaving: bool,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_flight: u64,
-    /// Requests that were answered whole.
+    /// Number of requests that were answered completely.
     pub ran: u64,
-    /// Requests that were refused as not run.
+    /// Number of requests that failed and certainly did not run.
     pub not_run: u64,
-    /// Requests whose outcome is not known.
+    /// Number of requests whose outcome is unknown.
     pub unknown: u64,
-    /// Attempts after the first.
+    /// Number of retries, including resumed responses.
     pub retries: u64,
-    /// Targets that it follows.
+    /// Number of known targets.
     pub targets: usize,
-    /// Targets that it hears from.
+    /// Number of targets with a recent report that serve at least one resource.
     pub reporting: usize,
-    /// Customers whose newest configuration is invalid.
+    /// Customers whose latest configuration is invalid.
     pub rejected: Vec<(String, Rejected)>,
 }
 
-/// The present status of `entry`.
+/// Returns the current status of `entry`.
 pub fn status(entry: &Entry) -> Status {
     let node = &entry.node;
     let configuration = node.book.borrow();
