--- a/src/auth.rs
+++ b/src/auth.rs
@@ -1,27 +1,27 @@
-//! The inner hop: entries prove to agents that a request comes from the system itself.
+//! Authentication of requests from entries to agents.
 //!
-//! A proof is a keyed BLAKE3 hash over the request's routing headers and the time. It shows that
-//! the sender has the key and when it wrote this. It does not hide or protect the body, and within
-//! [`SKEW_MAX_MS`] a listener on the network could send the same headers again; docs/SECURITY.md
-//! says what follows from that.
+//! A signature is a message authentication code: a keyed BLAKE3 hash over the request's routing
+//! headers and the time. It shows that the sender holds the key, and when it signed. The body is
+//! neither encrypted nor authenticated, and an eavesdropper could replay the headers within
+//! [`SKEW_MAX_MS`]; docs/SECURITY.md describes the consequences.
 
 use std::str::FromStr;
 
-/// How far the clocks of two processes may be apart, in milliseconds.
+/// Maximum difference between the signing time and the verifier's clock, in milliseconds.
 pub const SKEW_MAX_MS: u64 = 30_000;
 
-/// Bytes of a key.
+/// Length of a key in bytes.
 const KEY_BYTES: usize = 32;
 
-/// One key.
+/// A named secret key.
 #[derive(Clone, PartialEq, Eq)]
 struct Key {
     name: String,
     bytes: [u8; KEY_BYTES],
 }
 
-/// The keys that are valid now. The first signs, all verify, so that keys can be rotated without a
-/// stop: add the new one last everywhere, then move it first, then drop the old one.
+/// The valid keys. The first one signs and all verify, so that keys can be rotated without
+/// downtime: append the new key everywhere, then move it to the front, then remove the old one.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keyring {
     keys: Vec<Key>,
@@ -34,19 +34,19 @@
     }
 }
 
-/// Text that is no keyring.
+/// Why a text is not a valid keyring.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyringError {
     /// An item is not `name:hex`.
     #[error("item {position} is not of the form name:hex")]
     Form {
-        /// Its place, counted from 1.
+        /// Position of the item, counted from 1.
         position: usize,
     },
     /// A key is not 32 bytes in hexadecimal digits.
     #[error("key `{name}` is not 64 hexadecimal digits")]
     Digits {
-        /// Its name.
+        /// Name of the key.
         name: String,
     },
 }
@@ -78,20 +78,20 @@
     }
 }
 
-/// Why a proof is not accepted.
+/// Why a signature is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// There is none, or it cannot be read.
-    #[error("no proof of the inner hop")]
+    /// It is missing or malformed.
+    #[error("signature is missing or malformed")]
     Missing,
-    /// It names a key that is not valid here.
-    #[error("proof under an unknown key")]
+    /// It names a key that is not in the keyring.
+    #[error("signed with an unknown key")]
     UnknownKey,
-    /// It was written too long ago, or in the future.
-    #[error("proof is out of time; compare the clocks")]
+    /// Its time is too far in the past or in the future.
+    #[error("signing time is more than {SKEW_MAX_MS} ms off; check that the clocks are in sync")]
     OutOfTime,
     /// It does not match the request.
-    #[error("proof does not match the request")]
+    #[error("signature does not match the request")]
     Mismatch,
 }
 
@@ -106,7 +106,8 @@
 }
 
 impl Keyring {
-    /// A proof over `parts`, written at `millis`.
+    /// Signs `parts` at the Unix time `millis`, in milliseconds. Returns an empty text if there is
+    /// no key.
     pub fn sign(&self, millis: u64, parts: &[&str]) -> String {
         match self.keys.first() {
             Some(key) => format!("{}.{millis}.{}", key.name, mac(key, millis, parts).to_hex()),
@@ -114,9 +115,14 @@
         }
     }
 
-    /// Confirms a proof over `parts` at time `now_ms`.
-    pub fn verify(&self, proof: Option<&str>, now_ms: u64, parts: &[&str]) -> Result<(), Error> {
-        let mut fields = proof.ok_or(Error::Missing)?.split('.');
+    /// Verifies a signature over `parts` at the Unix time `now_ms`, in milliseconds.
+    pub fn verify(
+        &self,
+        signature: Option<&str>,
+        now_ms: u64,
+        parts: &[&str],
+    ) -> Result<(), Error> {
+        let mut fields = signature.ok_or(Error::Missing)?.split('.');
         let (Some(name), Some(millis), Some(hex), None) =
             (fields.next(), fields.next(), fields.next(), fields.next())
         else {
