--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,4 +1,5 @@
-//! The audit trail: who carried out which change when, in bounded memory and in the log.
+//! The audit trail: what a process changed, when, and under which configuration revision. It is
+//! kept in bounded memory and written to the log.
 
 use std::collections::VecDeque;
 
@@ -6,23 +7,23 @@
 
 use crate::clock;
 
-/// Entries that a process keeps.
-const ENTRIES_MAX: usize = 1_024;
+/// Maximum number of records that a process keeps.
+const RECORDS_MAX: usize = 1_024;
 
-/// What was done.
+/// An audited change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Event {
-    /// A customer's configuration came into force.
+    /// A customer's configuration became active.
     ConfigAccepted {
         /// The customer.
         customer: String,
     },
-    /// A customer's configuration is invalid; the last good one stays in force.
+    /// A customer's configuration is invalid; the last valid one stays active.
     ConfigRejected {
         /// The customer.
         customer: String,
-        /// What is wrong.
+        /// Why it is invalid.
         reason: String,
     },
     /// A customer was removed.
@@ -30,62 +31,62 @@
         /// The customer.
         customer: String,
     },
-    /// A version began to be received.
+    /// The transfer of a version began.
     ReceiveBegan {
         /// The version.
         version: String,
     },
-    /// A version is complete and verified.
+    /// A version was received completely and verified.
     ReceiveDone {
         /// The version.
         version: String,
     },
-    /// The engine took an order to load a version.
+    /// The engine accepted an order to load a version.
     LoadOrdered {
         /// The version.
         version: String,
     },
-    /// A version may take requests here.
+    /// A version accepts requests here.
     Servable {
         /// The version.
         version: String,
     },
-    /// A version takes no more requests here.
+    /// A version accepts no more requests here.
     NotServable {
         /// The version.
         version: String,
     },
-    /// A version was let go.
+    /// A version was released from the store.
     Released {
         /// The version.
         version: String,
     },
-    /// An engine refused an order under an older fence: another process is in charge.
+    /// The engine has a fence of a newer incarnation: another process controls it.
     Outranked,
-    /// The process takes no new work and finishes what it has.
+    /// The process is draining: it accepts no new work and finishes requests in progress.
     Draining,
 }
 
-/// One entry.
+/// A record of the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, in Unix milliseconds.
+    /// Time of the change, in Unix milliseconds.
     pub time_ms: u64,
-    /// The configuration revision behind it.
+    /// The configuration revision behind the change.
     pub revision: u64,
-    /// What was done.
+    /// The change.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// The trail of one process.
+/// The audit trail of one process.
 #[derive(Debug, Default)]
 pub struct Trail {
     entries: VecDeque<Record>,
 }
 
 impl Trail {
-    /// Adds an entry, and logs it. The oldest is dropped when the trail is full.
+    /// Adds a record and logs it. The oldest record is dropped when the trail is full.
     pub fn add(&mut self, revision: u64, event: Event) {
         let record = Record {
             time_ms: clock::unix_millis(),
@@ -94,13 +95,13 @@
         };
         let text = serde_json::to_string(&record).unwrap_or_default();
         log::info!(target: "pumicelatch::audit", audit = text.as_str(); "change");
-        if self.entries.len() == ENTRIES_MAX {
+        if self.entries.len() == RECORDS_MAX {
             self.entries.pop_front();
         }
         self.entries.push_back(record);
     }
 
-    /// All entries that are kept, oldest first.
+    /// All kept records, oldest first.
     pub fn entries(&self) -> &VecDeque<Record> {
         &self.entries
     }
