--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -1,4 +1,5 @@
-//! What comes from outside: bad requests, forged headers, bytes that are no frames, command lines.
+//! Tests of untrusted input: invalid requests, forged headers, malformed frames and event streams, and
+//! command lines.
 
 mod common;
 
@@ -27,11 +28,11 @@
     (response.status().as_u16(), bytes.to_vec())
 }
 
-/// Headers, body, and the status and code that they get.
+/// Headers, body, and the expected status and error code.
 type BadRequest<'a> = (&'a [(&'static str, &'a str)], &'a str, u16, Code);
 
 #[test]
-fn bad_requests_get_a_clear_4xx_and_reach_no_target() {
+fn invalid_requests_get_a_4xx_and_reach_no_target() {
     run(async {
         let served = Served::start(Shape {
             boxes: 1,
@@ -39,17 +40,17 @@
         })
         .await;
         let completions = format!("{}/v1/completions", served.entry(0));
-        let good = r#"{"model":"fault-summary","prompt":"p"}"#;
+        let valid = r#"{"model":"fault-summary","prompt":"p"}"#;
         let long = format!(
             r#"{{"model":"fault-summary","prompt":"{}"}}"#,
             "x".repeat(1 << 20)
         );
         let customer = ("x-customer", "nordvind");
         let cases: [BadRequest<'_>; 11] = [
-            (&[], good, 400, Code::BadHeader),
+            (&[], valid, 400, Code::BadHeader),
             (
                 &[("x-customer", "nobody")],
-                good,
+                valid,
                 404,
                 Code::UnknownCustomer,
             ),
@@ -63,37 +64,37 @@
             (&[customer], &long, 413, Code::BodyTooLong),
             (
                 &[customer, ("x-priority", "urgent")],
-                good,
+                valid,
                 400,
                 Code::BadHeader,
             ),
             (
                 &[customer, ("x-deadline-ms", "0")],
-                good,
+                valid,
                 400,
                 Code::BadHeader,
             ),
             (
                 &[customer, ("x-repeatable", "maybe")],
-                good,
+                valid,
                 400,
                 Code::BadHeader,
             ),
             (
                 &[customer, ("idempotency-key", "mine")],
-                good,
+                valid,
                 400,
                 Code::BadKey,
             ),
             (
                 &[customer, ("x-proof", "forged")],
-                good,
+                valid,
                 400,
                 Code::InternalHeader,
             ),
             (
                 &[customer, ("x-version", "aa")],
-                good,
+                valid,
                 400,
                 Code::InternalHeader,
             ),
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_door_opens_only_to_a_proof_under_a_valid_key() {
+fn agents_reject_requests_without_a_valid_signature() {
     run(async {
         let served = Served::start(Shape {
             boxes: 1,
@@ -127,13 +128,13 @@
             pumicelatch::clock::unix_millis(),
             "0".repeat(64)
         );
-        for proof in ["", "x", &forged] {
+        for signature in ["", "x", &forged] {
             let headers = [
                 ("x-request-id", "1"),
                 ("x-version", version.as_str()),
                 ("x-customer", "nordvind"),
                 ("x-deadline-ms", "1000"),
-                ("x-proof", proof),
+                ("x-proof", signature),
             ];
             let (status, body) = post(&format!("http://{address}/v1/run"), &headers, "{}").await;
             let turned: Turned = serde_json::from_slice(&body).unwrap();
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn weights_are_given_to_the_engine_of_the_same_box_only() {
+fn weights_are_served_only_to_the_engine_of_the_same_box() {
     run(async {
         let served = Served::start(Shape {
             boxes: 1,
@@ -162,8 +163,8 @@
 }
 
 #[test]
-fn no_bytes_make_a_decoder_panic_or_hoard() {
-    fn holds(parts: Vec<Vec<u8>>) -> bool {
+fn decoder_does_not_panic_and_rejects_oversized_frames() {
+    fn property(parts: Vec<Vec<u8>>) -> bool {
         let mut decoder = Decoder::default();
         for part in parts {
             decoder.push(&part);
@@ -180,7 +181,7 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 11))
         .tests(2_000)
-        .quickcheck(holds as fn(Vec<Vec<u8>>) -> bool);
+        .quickcheck(property as fn(Vec<Vec<u8>>) -> bool);
     let mut decoder = Decoder::default();
     decoder.push(&(FRAME_MAX as u32 + 1).to_be_bytes());
     assert!(matches!(
@@ -189,7 +190,7 @@
     ));
 }
 
-/// A report as a later release may send it.
+/// A report as a later release may send it, with an unknown field.
 #[derive(Serialize)]
 struct LaterReport {
     b: u64,
@@ -198,7 +199,7 @@
 }
 
 #[test]
-fn older_and_newer_processes_understand_each_other() {
+fn reports_with_unknown_or_missing_fields_are_decoded() {
     let later = LaterReport {
         b: 7,
         f: 3,
@@ -218,8 +219,8 @@
 }
 
 #[test]
-fn events_come_once_in_order_however_they_are_cut() {
-    fn holds(cuts: Vec<u8>, repeats: Vec<u8>) -> bool {
+fn events_are_forwarded_once_and_in_order_however_they_are_split() {
+    fn property(splits: Vec<u8>, repeats: Vec<u8>) -> bool {
         let mut bytes = Vec::new();
         for number in 0..20u32 {
             let event = format!("id: {number}\ndata: {{}}\n\n");
@@ -230,8 +231,8 @@
         let mut reader = Reader::default();
         let mut out = Vec::new();
         let mut rest = bytes.as_slice();
-        for cut in cuts.into_iter().chain(std::iter::repeat(255)) {
-            let (part, tail) = rest.split_at(rest.len().min(cut as usize));
+        for length in splits.into_iter().chain(std::iter::repeat(255)) {
+            let (part, tail) = rest.split_at(rest.len().min(length as usize));
             out.extend_from_slice(&reader.push(part).unwrap());
             rest = tail;
             if rest.is_empty() {
@@ -244,11 +245,11 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 13))
         .tests(500)
-        .quickcheck(holds as fn(Vec<u8>, Vec<u8>) -> bool);
+        .quickcheck(property as fn(Vec<u8>, Vec<u8>) -> bool);
     let mut reader = Reader::default();
     assert!(
         reader.push(b"id: 1\ndata: {}\n\n").is_err(),
-        "a gap is no answer"
+        "a skipped token was accepted"
     );
 }
 
@@ -261,7 +262,7 @@
 }
 
 #[test]
-fn command_lines_are_checked_at_start() {
+fn command_lines_are_validated_at_startup() {
     let agent = env!("CARGO_BIN_EXE_pumicelatch-agent");
     let entry = env!("CARGO_BIN_EXE_pumicelatch-entry");
     let bench = env!("CARGO_BIN_EXE_pumicelatch-bench");
@@ -333,7 +334,7 @@
 }
 
 #[test]
-fn the_operators_commands_read_directories_and_box_lists() {
+fn pumicectl_reads_directories_and_box_lists() {
     let ctl = env!("CARGO_BIN_EXE_pumicectl");
     let root = env!("CARGO_MANIFEST_DIR");
     let nordvind = format!("{root}/samples/nordvind");
@@ -365,8 +366,8 @@
     for (arguments, code, expected) in cases {
         let output = program(ctl, arguments);
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
-        let wrong = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {wrong}");
+        let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(code), "{arguments:?}: {errors}");
         assert!(text.contains(expected), "{arguments:?} gave {text:?}");
     }
     let output = program(ctl, &["render", &nordvind, "nobody"]);
