--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -9,7 +9,7 @@
 use super::Entry;
 use super::call::Job;
 use super::caller::{Code, Failure};
-use crate::agent::door::{PROVEN, Reason, Turned};
+use crate::agent::proxy::{self, Reason, SIGNED_HEADERS};
 use crate::clock::{Time, unix_millis};
 use crate::exchange::{self, Response, Reuse};
 use crate::request::Interruption;
@@ -30,7 +30,7 @@
 pub(super) fn sign(entry: &Entry, request: &mut exchange::Request) {
     let signature = {
         let parts: Vec<&str> = std::iter::once(request.path.as_str())
-            .chain(PROVEN.map(|name| request.header(name)))
+            .chain(SIGNED_HEADERS.map(|name| request.header(name)))
             .collect();
         entry.setting.keyring.sign(unix_millis(), &parts)
     };
@@ -108,7 +108,7 @@
 /// Why an attempt got no admitted response.
 pub(super) struct Error {
     pub(super) interruption: Interruption,
-    pub(super) rejection: Option<Turned>,
+    pub(super) rejection: Option<proxy::Error>,
 }
 
 impl Error {
@@ -213,7 +213,7 @@
         | Interruption::MidAnswer => true,
         Interruption::NotAdmitted => matches!(
             error.rejection,
-            Some(Turned {
+            Some(proxy::Error {
                 reason: Reason::TargetDown,
                 ..
             })
--- a/src/entry/call.rs
+++ b/src/entry/call.rs
@@ -16,7 +16,7 @@
 use super::caller::{self, Code, Failure, Head};
 use super::relay::{Relay, interrupted};
 use super::status::increment;
-use crate::agent::door::Reason;
+use crate::agent::proxy::Reason;
 use crate::clock::Time;
 use crate::config::Active;
 use crate::exchange::Response;
@@ -24,7 +24,7 @@
 use crate::limit::Refusal;
 use crate::request::{self, Interruption, Key, Next, Outcome, Situation};
 use crate::route::{ReplicaKey, Resource, hash_of};
-use crate::template::fleet::{Limits, Priority, WHOLE_SHARE};
+use crate::template::fleet::{Limits, Priority, TOTAL_SHARE};
 
 /// Response header with the request's id.
 pub const REQUEST_HEADER: &str = "x-pumicelatch-request";
@@ -132,7 +132,7 @@
 /// and its halls while their shares grow.
 pub(super) fn draw(customer: &str, stable: &str) -> u32 {
     let text = format!("{customer}\n{stable}");
-    (hash_of(text.as_bytes()) % u64::from(WHOLE_SHARE)) as u32
+    (hash_of(text.as_bytes()) % u64::from(TOTAL_SHARE)) as u32
 }
 
 impl Job {
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -20,9 +20,9 @@
 
 use super::{CONNECT_TIMEOUT, Gateway, IDLE_MAX};
 use crate::clock::Time;
-use crate::exchange::{self, Client, Note, Options, Request, Response, Reuse, answer};
+use crate::exchange::{self, Client, Options, Recorder, Request, Response, Reuse, answer};
 use crate::route::notice::{self, Notice};
-use crate::run::{Call, Key, TOLD, Told};
+use crate::run::{Call, DISPOSITION_HEADER, Disposition, Key};
 use crate::timeout::Progress;
 
 /// Time without data after which the response is also requested over a new connection. Events come
@@ -105,13 +105,13 @@
         handle: Handle,
         head: RequestHead,
         body: Option<Bytes>,
-        note: Note,
+        note: Recorder,
     ) -> Result<Self, Error> {
         let mut buffered = Buffered::begin(handle, head, body, note)?;
         let mut response = buffered.head().await?;
         let mut headers = std::mem::take(&mut response.headers);
         // The header is meant for this process only.
-        headers.remove(TOLD);
+        headers.remove(DISPOSITION_HEADER);
         let status = response.status;
         buffered.current = Some(response);
         Ok(Self {
@@ -143,7 +143,7 @@
             let part = reader.next().await?;
             Some((part, reader))
         });
-        answer::gather(&mut pin!(parts), limit, &Progress::default()).await
+        answer::collect(&mut pin!(parts), limit, &Progress::default()).await
     }
 }
 
@@ -209,7 +209,7 @@
         let options = Options {
             idle_max: IDLE_MAX,
             connect_timeout: CONNECT_TIMEOUT,
-            renews_after: Some(END_RENEW_AFTER),
+            hedge_after: Some(END_RENEW_AFTER),
             ..Options::default()
         };
         let client = self.client();
@@ -273,7 +273,7 @@
         handle: Handle,
         mut head: RequestHead,
         body: Option<Bytes>,
-        note: Note,
+        note: Recorder,
     ) -> Result<Self, Error> {
         let target = head.uri.path_and_query().map(ToString::to_string);
         let call = Call::Start {
@@ -288,7 +288,7 @@
         };
         let (client, sidecar) = (handle.client(), handle.sidecar);
         let initial = async move {
-            let exchange = client.exchange_noting(sidecar, head, body, options, &note);
+            let exchange = client.exchange_recorded(sidecar, head, body, options, &note);
             Fetch {
                 from: 0,
                 is_initial: true,
@@ -369,8 +369,8 @@
             }
             Err(error) => return self.fetch_failed(error).map(|()| None),
         };
-        match Told::of(response.header(TOLD)) {
-            Some(Told::Replica) => {
+        match Disposition::parse(response.header(DISPOSITION_HEADER)) {
+            Some(Disposition::Replica) => {
                 self.duplicate_bytes = self.received - fetch.from;
                 self.failures = 0;
                 Ok(Some(response))
--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Output};
 
 use common::{Served, Shape, run};
-use pumicelatch::agent::door::Turned;
+use pumicelatch::agent::proxy;
 use pumicelatch::bench::caller::{Ask, Told};
 use pumicelatch::entry::caller::{Body, Code};
 use pumicelatch::entry::event::Reader;
@@ -137,7 +137,7 @@
                 ("x-proof", signature),
             ];
             let (status, body) = post(&format!("http://{address}/v1/run"), &headers, "{}").await;
-            let turned: Turned = serde_json::from_slice(&body).unwrap();
+            let turned: proxy::Error = serde_json::from_slice(&body).unwrap();
             assert_eq!(status, 403, "{turned:?}");
             let (status, _) = post(&format!("http://{address}/v1/keys"), &headers, "").await;
             assert_eq!(status, 403);
