--- a/tests/edge.rs
+++ b/tests/edge.rs
@@ -137,8 +137,8 @@
                 ("x-proof", signature),
             ];
             let (status, body) = post(&format!("http://{address}/v1/run"), &headers, "{}").await;
-            let turned: proxy::Error = serde_json::from_slice(&body).unwrap();
-            assert_eq!(status, 403, "{turned:?}");
+            let rejection: proxy::Error = serde_json::from_slice(&body).unwrap();
+            assert_eq!(status, 403, "{rejection:?}");
             let (status, _) = post(&format!("http://{address}/v1/keys"), &headers, "").await;
             assert_eq!(status, 403);
         }
