--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,5 @@
-//! An attempt of a request at a target: its choice, what is sent, and how it broke.
+//! A single attempt of a request: choosing the target, sending the request to its agent, and
+//! classifying a failure.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,26 +17,28 @@
 use crate::template::fleet::Priority;
 use crate::wire::header;
 
-/// When a caller without a replica should come back.
+/// Retry delay that callers are given when no replica is available.
 const NO_REPLICA_RETRY: Duration = Duration::from_millis(500);
 
-/// How long a target may take to take up a broken answer.
+/// Time limit for a target to resume an interrupted response.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest refusal of an agent.
-pub(super) const TURNED_MAX: usize = 4 << 10;
+/// Maximum length in bytes of an agent's error body or issued key.
+pub(super) const ERROR_BODY_MAX: usize = 4 << 10;
 
-/// Adds the proof over what the request carries so far.
-pub(super) fn prove(entry: &Entry, request: &mut exchange::Request) {
-    let proof = {
+/// Signs the path and the headers that the request carries so far, and adds the signature.
+pub(super) fn sign(entry: &Entry, request: &mut exchange::Request) {
+    let signature = {
         let parts: Vec<&str> = std::iter::once(request.path.as_str())
             .chain(SIGNED_HEADERS.map(|name| request.header(name)))
             .collect();
         entry.setting.keyring.sign(unix_millis(), &parts)
     };
-    request.headers.push((header::PROOF, proof));
+    request.headers.push((header::PROOF, signature));
 }
 
+/// Chooses a target that has not been tried yet. A request with a key may only go to the box that
+/// issued the key.
 pub(super) fn choose(entry: &Entry, job: &Job, tried: &[ReplicaKey]) -> Option<ReplicaKey> {
     let mut table = entry.table.borrow_mut();
     if let Some(key) = &job.key {
@@ -43,15 +46,15 @@
             .by_name(&key.name)
             .filter(|replica| !tried.contains(replica));
     }
-    let ask = Query {
-        resource: &job.need,
+    let query = Query {
+        resource: &job.resource,
         halls: &job.halls,
         prefix: job.prefix,
         tried,
     };
     let now = entry.node.clock.now();
     let mut rng = entry.rng.borrow_mut();
-    let choice = table.choose(ask, entry.setting.strategy, now, &mut *rng)?;
+    let choice = table.choose(query, entry.setting.strategy, now, &mut *rng)?;
     log::debug!(request = job.id.as_str(), reason:? = choice.reason; "target chosen");
     Some(choice.replica)
 }
@@ -62,12 +65,13 @@
     Failure::not_run(Code::NoReplica, message).retry_after(NO_REPLICA_RETRY)
 }
 
-/// An attempt at a target, counted in the table until it ends.
+/// An attempt at a target. The table counts it as in flight until it is dropped, and is then given
+/// its [`Completion`].
 pub(super) struct Attempt {
     entry: Rc<Entry>,
     pub(super) replica: ReplicaKey,
     began: Time,
-    end: Completion,
+    completion: Completion,
 }
 
 impl Attempt {
@@ -77,17 +81,17 @@
             entry: entry.clone(),
             replica,
             began: entry.node.clock.now(),
-            end: Completion::Neutral,
+            completion: Completion::Neutral,
         }
     }
 
-    pub(super) fn whole(&mut self) {
+    pub(super) fn succeed(&mut self) {
         let took = self.entry.node.clock.now().since(self.began);
-        self.end = Completion::Success(took);
+        self.completion = Completion::Success(took);
     }
 
-    pub(super) fn failed(&mut self) {
-        self.end = Completion::Failed;
+    pub(super) fn fail(&mut self) {
+        self.completion = Completion::Failed;
     }
 }
 
@@ -97,26 +101,27 @@
         self.entry
             .table
             .borrow_mut()
-            .end(self.replica, self.end, now);
+            .end(self.replica, self.completion, now);
     }
 }
 
-/// How an attempt that got no answer broke.
-pub(super) struct Broken {
-    pub(super) found: Interruption,
-    pub(super) reason: Option<proxy::Error>,
+/// Why an attempt got no admitted response.
+pub(super) struct Error {
+    pub(super) interruption: Interruption,
+    pub(super) rejection: Option<proxy::Error>,
 }
 
-impl Broken {
-    pub(super) fn of(found: Interruption) -> Self {
+impl Error {
+    pub(super) fn new(interruption: Interruption) -> Self {
         Self {
-            found,
-            reason: None,
+            interruption,
+            rejection: None,
         }
     }
 }
 
-/// The job as an agent takes it.
+/// Builds the signed request to the agent. A request that is not repeatable is never sent over a
+/// reused connection.
 fn inner_request(entry: &Entry, job: &Job, resume_at: Option<u32>) -> exchange::Request {
     let mut request = exchange::Request::new(Method::POST, "/v1/run");
     let remaining = job.remaining(entry).as_millis().to_string();
@@ -125,8 +130,8 @@
     headers.push((header::CUSTOMER, job.customer.to_string()));
     headers.push((header::DEADLINE, remaining));
     headers.push((header::PRIORITY, priority_name(job.priority).to_owned()));
-    headers.push((header::REPEATABLE, yes_no(job.repeatable).to_owned()));
-    match &job.need {
+    headers.push((header::REPEATABLE, yes_or_no(job.repeatable).to_owned()));
+    match &job.resource {
         Resource::Version(digest) => headers.push((header::VERSION, digest.to_string())),
         Resource::Service(name) => {
             headers.push((header::SERVICE, name.to_string()));
@@ -139,20 +144,20 @@
     if !job.repeatable {
         request.reuse = Reuse::Never;
     }
-    prove(entry, &mut request);
+    sign(entry, &mut request);
     request
 }
 
-/// Sends the job to a target and returns the head of an admitted answer.
+/// Sends the job to a target, and returns the response if the agent admitted the request.
 pub(super) async fn send(
     entry: &Entry,
     job: &Job,
     replica: ReplicaKey,
     resume_at: Option<u32>,
-) -> Result<Response, Broken> {
+) -> Result<Response, Error> {
     let address = match entry.table.borrow().get(replica) {
         Some(known) => known.address,
-        None => return Err(Broken::of(Interruption::NotReached)),
+        None => return Err(Error::new(Interruption::NotReached)),
     };
     let request = inner_request(entry, job, resume_at);
     let remaining = job.remaining(entry);
@@ -163,9 +168,9 @@
     };
     let sent = entry.node.exchange.send(address, &request);
     match actix_rt::time::timeout(limit, sent).await {
-        Ok(Ok(response)) => admitted(response).await,
-        Ok(Err(exchange::Error::NotSent { .. })) => Err(Broken::of(Interruption::NotReached)),
-        Ok(Err(_)) | Err(_) => Err(Broken::of(Interruption::NoAnswer)),
+        Ok(Ok(response)) => check_admission(response).await,
+        Ok(Err(exchange::Error::NotSent { .. })) => Err(Error::new(Interruption::NotReached)),
+        Ok(Err(_)) | Err(_) => Err(Error::new(Interruption::NoAnswer)),
     }
 }
 
@@ -177,34 +182,37 @@
     }
 }
 
-fn yes_no(flag: bool) -> &'static str {
+fn yes_or_no(flag: bool) -> &'static str {
     if flag { "yes" } else { "no" }
 }
 
-/// Tells an admitted answer from a refusal by the agent's own header, never by the status, which
-/// may be the target's.
-async fn admitted(mut response: Response) -> Result<Response, Broken> {
-    let found = match response.header(header::ADMITTED) {
+/// Distinguishes an admitted response from a rejection by the agent's own header, never by the
+/// status, which may be the target's.
+async fn check_admission(mut response: Response) -> Result<Response, Error> {
+    let interruption = match response.header(header::ADMITTED) {
         "yes" => return Ok(response),
         "no" => Interruption::NotAdmitted,
         _ => Interruption::Lost,
     };
-    let bytes = response.read(TURNED_MAX).await;
-    let reason = bytes
+    let bytes = response.read(ERROR_BODY_MAX).await;
+    let rejection = bytes
         .ok()
         .and_then(|bytes| serde_json::from_slice(&bytes).ok());
-    Err(Broken { found, reason })
+    Err(Error {
+        interruption,
+        rejection,
+    })
 }
 
-/// Whether a refusal tells that the target is in a bad way.
-pub(super) fn blames_target(broken: &Broken) -> bool {
-    match broken.found {
+/// Whether the failure counts against the target's health.
+pub(super) fn is_target_fault(error: &Error) -> bool {
+    match error.interruption {
         Interruption::NotReached
         | Interruption::NoAnswer
         | Interruption::Lost
         | Interruption::MidAnswer => true,
         Interruption::NotAdmitted => matches!(
-            broken.reason,
+            error.rejection,
             Some(proxy::Error {
                 reason: Reason::TargetDown,
                 ..
