--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -15,7 +15,7 @@
 use crate::clock::Time;
 use crate::knowledge::poison;
 use crate::member::replica::Instance;
-use crate::request::poison::{CaseReport, MAX_CRASHES, RequestHash, Verdict};
+use crate::request::poison::{CRASHES_MAX, CaseReport, RequestHash, Verdict};
 
 /// Delays between checks whether the list or the sidecar reports the crash of a replica or a
 /// new instance. Connecting once is not enough: a replica that restarts at once accepts
@@ -208,7 +208,7 @@
             .poison
             .borrow()
             .case(request, self.knowledge.now());
-        if let Some(case) = case.filter(|case| case.crashes.len() == MAX_CRASHES) {
+        if let Some(case) = case.filter(|case| case.crashes.len() == CRASHES_MAX) {
             log::warn!(name:% = request; "request blocked: {}", describe(&case));
         }
     }
--- a/src/request.rs
+++ b/src/request.rs
@@ -244,7 +244,7 @@
 const RETRY_COST: u32 = 100;
 
 /// Maximum savings, in hundredths of a retry.
-const MAX_RETRY_SAVINGS: u32 = 2_000;
+const RETRY_SAVINGS_MAX: u32 = 2_000;
 
 /// Retry budget: a tenth of the first attempts, so that retries can't amplify an overload.
 #[derive(Debug)]
@@ -255,7 +255,7 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            savings: MAX_RETRY_SAVINGS / 2,
+            savings: RETRY_SAVINGS_MAX / 2,
         }
     }
 }
@@ -263,7 +263,7 @@
 impl RetryBudget {
     /// Records a first attempt.
     pub fn earn(&mut self) {
-        self.savings = (self.savings + RETRY_EARNINGS).min(MAX_RETRY_SAVINGS);
+        self.savings = (self.savings + RETRY_EARNINGS).min(RETRY_SAVINGS_MAX);
     }
 
     /// Takes one retry from the budget, if available.
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -50,7 +50,7 @@
 }
 
 /// Maximum number of failed connections after which a request is still tried elsewhere.
-const MAX_CONNECT_FAILURES: u32 = 3;
+const CONNECT_FAILURES_MAX: u32 = 3;
 
 /// Returns what the end of an attempt tells about whether the attempt ran.
 pub fn outcome_of(ended: Ended) -> Outcome {
@@ -70,7 +70,7 @@
     };
     let may_run_again = situation.repeatable || outcome == Outcome::NotRun;
     let room =
-        situation.sent < situation.sent_max && situation.connect_failures <= MAX_CONNECT_FAILURES;
+        situation.sent < situation.sent_max && situation.connect_failures <= CONNECT_FAILURES_MAX;
     if may_run_again && room && situation.time_left {
         let charged = situation.sent > 0;
         return Next::Elsewhere { charged };
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -21,7 +21,7 @@
 use crate::member::replica::Instance;
 
 /// Crashes under a request after which it is sent to no further replica.
-pub const MAX_CRASHES: usize = 3;
+pub const CRASHES_MAX: usize = 3;
 
 /// Pauses before a blocked request is tried again: after the last crash, and after each further
 /// trial. The first is short for the sake of a popular request that ran beside a poison one. Each
@@ -49,13 +49,13 @@
 
 /// Maximum number of remembered requests. Crashes are rare; each involves as many requests as ran
 /// on the replica.
-const MAX_CASES: usize = 1_024;
+const CASES_MAX: usize = 1_024;
 
 /// Maximum number of remembered crashes per request.
-const MAX_CRASHES_KEPT: usize = 8;
+const CRASHES_KEPT_MAX: usize = 8;
 
 /// Maximum number of requests per report to another entry; those with the most crashes come first.
-const MAX_REPORTS: usize = 64;
+const REPORTS_MAX: usize = 64;
 
 /// Hash of what stays the same when a request is sent again under another id or to another entry:
 /// host, path, caller and body.
@@ -139,7 +139,7 @@
         let cleared = self
             .last_success
             .is_some_and(|last_success| at <= last_success + REPORT_LATENCY);
-        let is_full = self.crashes.len() >= MAX_CRASHES_KEPT;
+        let is_full = self.crashes.len() >= CRASHES_KEPT_MAX;
         if cleared || is_full || self.crashes.contains_key(&instance) {
             return false;
         }
@@ -192,7 +192,7 @@
         }
         // A trial whose caller disconnected cost nothing and proved nothing. Others may follow, at
         // the interval of the last one.
-        let failed_trials = self.crashes.len() - MAX_CRASHES;
+        let failed_trials = self.crashes.len() - CRASHES_MAX;
         let pause = TRIAL_PAUSES[(self.trials as usize).min(TRIAL_PAUSES.len() - 1)];
         if failed_trials < TRIAL_PAUSES.len() && now.since(self.last()) >= pause {
             Verdict::TrialDue
@@ -202,7 +202,7 @@
     }
 
     fn is_blocked(&self) -> bool {
-        self.crashes.len() >= MAX_CRASHES
+        self.crashes.len() >= CRASHES_MAX
     }
 
     /// Whether its retention has ended.
@@ -351,7 +351,7 @@
         let mut reported: Vec<(&RequestHash, &Case)> =
             cases.filter(|(_, case)| case.is_reported(now)).collect();
         reported.sort_by_key(|(request, case)| (std::cmp::Reverse(case.crashes.len()), **request));
-        let reports = reported.into_iter().take(MAX_REPORTS);
+        let reports = reported.into_iter().take(REPORTS_MAX);
         reports
             .map(|(request, case)| case.report(*request, now))
             .collect()
@@ -369,7 +369,7 @@
             report.success_age_ms.is_some().hash(&mut hasher);
             // Which crashes they are matters only up to this number: two entries may know
             // different ones, too few each.
-            if report.crashes.len() <= MAX_CRASHES {
+            if report.crashes.len() <= CRASHES_MAX {
                 report
                     .crashes
                     .iter()
@@ -394,7 +394,7 @@
     /// Makes room for `request`, if necessary by dropping the oldest of the requests with the
     /// fewest crashes.
     fn make_room(&mut self, request: RequestHash) {
-        if self.cases.len() < MAX_CASES || self.cases.contains_key(&request) {
+        if self.cases.len() < CASES_MAX || self.cases.contains_key(&request) {
             return;
         }
         let fewest = |(_, case): &(&RequestHash, &Case)| (case.crashes.len(), case.last());
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -5,7 +5,7 @@
 
 use pumicelatch::clock::Time;
 use pumicelatch::member::replica::Instance;
-use pumicelatch::request::poison::{MAX_CRASHES, Registry, RequestHash, Verdict};
+use pumicelatch::request::poison::{CRASHES_MAX, Registry, RequestHash, Verdict};
 use quickcheck::quickcheck;
 
 const NOW: Time = Time::from_millis(3_600_000);
@@ -50,16 +50,16 @@
 #[test]
 fn request_is_blocked_after_the_third_crash() {
     assert_eq!(
-        registry_with(MAX_CRASHES - 1).verdict(request(), NOW),
+        registry_with(CRASHES_MAX - 1).verdict(request(), NOW),
         Verdict::Allowed
     );
     assert_eq!(
-        registry_with(MAX_CRASHES).verdict(request(), NOW),
+        registry_with(CRASHES_MAX).verdict(request(), NOW),
         Verdict::Blocked
     );
     let other = RequestHash::of("test.example", "/stream/x", "escola", b"other");
     assert_eq!(
-        registry_with(MAX_CRASHES).verdict(other, NOW),
+        registry_with(CRASHES_MAX).verdict(other, NOW),
         Verdict::Allowed
     );
 }
@@ -81,7 +81,7 @@
 
 #[test]
 fn restarted_replica_with_the_same_id_is_another_instance() {
-    let mut registry = registry_with(MAX_CRASHES - 1);
+    let mut registry = registry_with(CRASHES_MAX - 1);
     let restarted = Instance {
         born: 2,
         ..instance(0)
@@ -92,21 +92,21 @@
 
 #[test]
 fn complete_response_clears_earlier_crashes_at_all_entries() {
-    let (mut first, mut other) = (registry_with(MAX_CRASHES), Registry::default());
+    let (mut first, mut other) = (registry_with(CRASHES_MAX), Registry::default());
     other.merge(&first.reports(NOW), NOW);
     assert!(first.record_success(request(), after(500)));
     let reports = first.take_changes(after(500));
     assert!(!other.merge(&reports, after(520)).is_empty());
     assert_eq!(other.verdict(request(), after(520)), Verdict::Allowed);
     // An entry that has not received it yet reports the crashes again.
-    let late = registry_with(MAX_CRASHES).reports(after(600));
+    let late = registry_with(CRASHES_MAX).reports(after(600));
     assert!(first.merge(&late, after(600)).is_empty());
     assert_eq!(first.verdict(request(), after(600)), Verdict::Allowed);
 }
 
 #[test]
 fn blocked_request_is_tried_by_one_entry_at_a_time_and_less_often() {
-    let mut registry = registry_with(MAX_CRASHES);
+    let mut registry = registry_with(CRASHES_MAX);
     let mut trials = Vec::new();
     for second in 0..120 {
         let now = after(second * 1_000);
@@ -126,7 +126,7 @@
 /// Every failed trial has cost a replica and everything that ran there.
 #[test]
 fn at_most_three_trials_may_fail() {
-    let mut registry = registry_with(MAX_CRASHES);
+    let mut registry = registry_with(CRASHES_MAX);
     let mut trials = Vec::new();
     for second in 0..3_600 {
         let now = after(second * 1_000);
@@ -143,17 +143,17 @@
 /// become harmless.
 #[test]
 fn trials_without_a_result_are_followed_by_others() {
-    let mut registry = registry_with(MAX_CRASHES);
+    let mut registry = registry_with(CRASHES_MAX);
     let trials = (0..2_000).filter(|second| registry.claim_trial(request(), after(second * 1_000)));
     assert_eq!(trials.collect::<Vec<_>>(), [2, 22, 622, 1_222, 1_822]);
 }
 
 #[test]
 fn cases_expire_after_their_retention() {
-    let mut registry = registry_with(MAX_CRASHES - 1);
+    let mut registry = registry_with(CRASHES_MAX - 1);
     registry.remove_expired(after(1_000_000));
     assert!(registry.case(request(), after(1_000_000)).is_none());
-    let mut blocked = registry_with(MAX_CRASHES);
+    let mut blocked = registry_with(CRASHES_MAX);
     blocked.remove_expired(after(3_500_000));
     assert_eq!(
         blocked.verdict(request(), after(3_500_000)),
