--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -22,17 +22,17 @@
 
 /// Backdating a version by less than this is not reported as a change: it is within message
 /// latency.
-const MIN_BACKDATE: Duration = Duration::from_millis(50);
+const BACKDATE_MIN: Duration = Duration::from_millis(50);
 
 /// Versions remembered per model. Each may have a staleness bound that is still running.
-const MAX_VERSIONS: usize = 16;
+const VERSIONS_MAX: usize = 16;
 
 /// Replicas of a service that have to be removed at about the same time for the removals to be
 /// provisional.
 const MASS_REMOVAL_MIN: usize = 3;
 
 /// Removals remembered, so that an old entry does not reappear.
-const MAX_REMOVALS: usize = 8_192;
+const REMOVALS_MAX: usize = 8_192;
 
 /// A fact from the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -365,7 +365,7 @@
             since,
         };
         desired.insert(index, desired_version);
-        if desired.len() > MAX_VERSIONS {
+        if desired.len() > VERSIONS_MAX {
             desired.remove(0);
         }
         Effect::Version
@@ -573,7 +573,7 @@
         let desired = self.versions.get_mut(&model).into_iter().flatten();
         let mut backdated = false;
         for known in desired.filter(|known| known.version == desired_version.version) {
-            backdated |= known.since.since(since) >= MIN_BACKDATE;
+            backdated |= known.since.since(since) >= BACKDATE_MIN;
             known.since = known.since.min(since);
         }
         match effect {
@@ -590,7 +590,7 @@
             None => true,
             Some(removed_at) => listed.provisional && now.since(removed_at) < REMOVAL_GRACE,
         });
-        while self.removals.len() > MAX_REMOVALS {
+        while self.removals.len() > REMOVALS_MAX {
             let oldest = self.removals.iter().min_by_key(|(_, revision)| **revision);
             let Some((id, revision)) = oldest.map(|(id, revision)| (id.clone(), *revision)) else {
                 break;
--- a/src/knowledge/hub.rs
+++ b/src/knowledge/hub.rs
@@ -18,7 +18,7 @@
 
 /// Minimum interval between two frames when replicas start or stop accepting requests: two frames within
 /// the time for which a change of version is announced (250 ms).
-const MIN_INTERVAL: Duration = Duration::from_millis(100);
+const INTERVAL_MIN: Duration = Duration::from_millis(100);
 
 /// Time without a frame after which the entry of the next rank takes over. It allows for two lost frames.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(1_200);
@@ -164,7 +164,7 @@
             return Some(Content::Whole { entries });
         }
         let last = self.last_sent?;
-        if now.since(last) < MIN_INTERVAL || changed.is_none_or(|changed| changed <= last) {
+        if now.since(last) < INTERVAL_MIN || changed.is_none_or(|changed| changed <= last) {
             return None;
         }
         self.last_sent = Some(now);
--- a/src/version/fallback.rs
+++ b/src/version/fallback.rs
@@ -15,7 +15,7 @@
 
 /// Minimum time for which a fallback version has to serve. Switching away from it costs about a
 /// second of service (finishing requests, then 0.3 s to load the next version).
-const MIN_SERVICE_TIME: Duration = Duration::from_millis(2_000);
+const SERVICE_TIME_MIN: Duration = Duration::from_millis(2_000);
 
 /// Time without a new chunk anywhere after which the arrival can't be predicted. An origin that is
 /// being read from delivers a chunk every few hundredths of a second.
@@ -78,7 +78,7 @@
     now: Time,
 ) -> Option<u64> {
     let time_to_load = times.local + ACTIVATION_TIME;
-    let worthwhile = |until: Duration| until >= time_to_load + MIN_SERVICE_TIME;
+    let worthwhile = |until: Duration| until >= time_to_load + SERVICE_TIME_MIN;
     if !availability.time_to_serve(times).is_none_or(worthwhile) {
         return None;
     }
--- a/src/version/rollout.rs
+++ b/src/version/rollout.rs
@@ -15,7 +15,7 @@
 
 /// Minimum time from the publication of a version until it is complete at the boxes: a copy over a
 /// box's link (2.6 s at 7.3 Mbit/s) and [`PROPAGATION_TIME`].
-const MIN_TRANSFER_TIME: Duration = Duration::from_millis(3_400);
+const TRANSFER_TIME_MIN: Duration = Duration::from_millis(3_400);
 
 /// Time until boxes have learned of the version and its manifest, and until the last chunks have
 /// passed from the origin through relays to the boxes.
@@ -45,14 +45,14 @@
     /// `policy` sets the number of waves, replicas switch in as many as there is time for, so that
     /// few of them are away at once, and in no fewer than by default.
     pub fn for_bound(bound: Duration, policy: Policy) -> Self {
-        Self::with_min_transfer(MIN_TRANSFER_TIME, bound, policy)
+        Self::with_min_transfer(TRANSFER_TIME_MIN, bound, policy)
     }
 
     /// Adjusts the settings to the time that a copy takes over the origin's link, if known, so that
     /// no wave is planned before the weights can have arrived.
     pub fn with_transfer_time(self, copy_time: Option<Duration>, policy: Policy) -> Self {
         match copy_time.map(|copy_time| copy_time + PROPAGATION_TIME) {
-            Some(transfer) if transfer > MIN_TRANSFER_TIME => {
+            Some(transfer) if transfer > TRANSFER_TIME_MIN => {
                 Self::with_min_transfer(transfer, self.bound, policy)
             }
             _ => self,
