--- a/src/ctl/inspect.rs
+++ b/src/ctl/inspect.rs
@@ -7,7 +7,7 @@
 use futures_util::future::join_all;
 use serde::Serialize;
 
-use super::inventory::{MAX_RESPONSE_BYTES, SPECS, TIMEOUT};
+use super::inventory::{RESPONSE_BYTES_MAX, SPECS, TIMEOUT};
 use super::{Error, inventory, parse_options, to_json};
 use crate::agent::status::Status;
 use crate::audit;
@@ -48,7 +48,7 @@
     let requests = boxes.iter().map(|descriptor| {
         let url = format!("http://{}/status", descriptor.address);
         let client = &client;
-        async move { http::get(client, &url, MAX_RESPONSE_BYTES, TIMEOUT).await }
+        async move { http::get(client, &url, RESPONSE_BYTES_MAX, TIMEOUT).await }
     });
     for (descriptor, answer) in boxes.iter().zip(join_all(requests).await) {
         let bytes = answer.unwrap_or_default();
@@ -179,7 +179,7 @@
         let url = format!("http://{}/audit", descriptor.address);
         let client = &client;
         async move {
-            http::get_json::<Vec<audit::Record>>(client, &url, MAX_RESPONSE_BYTES, TIMEOUT).await
+            http::get_json::<Vec<audit::Record>>(client, &url, RESPONSE_BYTES_MAX, TIMEOUT).await
         }
     });
     let mut all = Vec::new();
--- a/src/ctl/inventory.rs
+++ b/src/ctl/inventory.rs
@@ -11,7 +11,7 @@
 pub const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Maximum size of a response.
-pub const MAX_RESPONSE_BYTES: usize = 64 << 20;
+pub const RESPONSE_BYTES_MAX: usize = 64 << 20;
 
 /// Options that select the source of the list of boxes.
 pub const SPECS: [Spec; 2] = [
@@ -42,7 +42,7 @@
     let url = format!("{url}/v1/boxes");
     let client = http::client(ClientSetting::default());
     let listing: Result<Listing, http::Error> =
-        http::get_json(&client, &url, MAX_RESPONSE_BYTES, TIMEOUT).await;
+        http::get_json(&client, &url, RESPONSE_BYTES_MAX, TIMEOUT).await;
     match listing {
         Ok(listing) => Ok(listing.boxes),
         Err(source) => Err(Error::Request { url, source }),
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -12,7 +12,7 @@
 use crate::config::{Delta, Revision, Value};
 use crate::http::{self, Answer, Server, Wrap};
 use crate::member::{Descriptor, Listing, State};
-use crate::template::MAX_VALUE_BYTES;
+use crate::template::VALUE_BYTES_MAX;
 
 /// Longest wait of one watch.
 const WAIT_MAX: Duration = Duration::from_secs(30);
@@ -188,7 +188,7 @@
     }
 
     async fn put(&self, name: &str, request: &mut Request) -> Answer {
-        let Ok(bytes) = http::read_request(request, MAX_VALUE_BYTES).await else {
+        let Ok(bytes) = http::read_request(request, VALUE_BYTES_MAX).await else {
             return http::status(StatusCode::PAYLOAD_TOO_LARGE);
         };
         match std::str::from_utf8(&bytes) {
@@ -198,7 +198,7 @@
     }
 
     async fn put_boxes(&self, request: &mut Request) -> Answer {
-        let Ok(bytes) = http::read_request(request, MAX_VALUE_BYTES).await else {
+        let Ok(bytes) = http::read_request(request, VALUE_BYTES_MAX).await else {
             return http::status(StatusCode::PAYLOAD_TOO_LARGE);
         };
         match serde_json::from_slice(&bytes) {
--- a/src/template.rs
+++ b/src/template.rs
@@ -12,7 +12,7 @@
 pub mod render;
 
 /// Maximum size of a value of the configuration service.
-pub const MAX_VALUE_BYTES: usize = 1 << 20;
+pub const VALUE_BYTES_MAX: usize = 1 << 20;
 
 /// A line of a file or of a value of the configuration service.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -56,7 +56,7 @@
     },
     /// The value is too long for the configuration service.
     #[error(
-        "{bytes} bytes is over the limit of {MAX_VALUE_BYTES} bytes; split the fleet over several customers"
+        "{bytes} bytes is over the limit of {VALUE_BYTES_MAX} bytes; split the fleet over several customers"
     )]
     TooLong {
         /// Size of the value.
@@ -133,7 +133,7 @@
 
 /// Rejects text that is too long for the configuration service.
 pub fn check_length(file: &str, text: &str) -> Result<(), Error> {
-    if text.len() <= MAX_VALUE_BYTES {
+    if text.len() <= VALUE_BYTES_MAX {
         return Ok(());
     }
     Err(Error {
