--- a/src/burst/manager.rs
+++ b/src/burst/manager.rs
@@ -58,10 +58,10 @@
     let engine = summary.engine.as_ref();
     let declared = engine.and_then(|engine| engine.models.first().cloned());
     let model = declared.or_else(|| knowledge.catalog.borrow().loaded_model(None))?;
-    let wanted = knowledge.catalog.borrow().wanted(&model);
+    let desired = knowledge.catalog.borrow().desired_version(&model);
     Some(Target {
-        version: wanted.map_or(FIRST_VERSION, |wanted| wanted.version),
-        published: wanted.map_or(Time::default(), |wanted| wanted.since),
+        version: desired.map_or(FIRST_VERSION, |desired| desired.version),
+        published: desired.map_or(Time::default(), |desired| desired.since),
         model,
     })
 }
--- a/src/config/catalog.rs
+++ b/src/config/catalog.rs
@@ -225,7 +225,7 @@
     }
 
     /// Returns the newest desired version of a model.
-    pub fn wanted(&self, model: &str) -> Option<DesiredVersion> {
+    pub fn desired_version(&self, model: &str) -> Option<DesiredVersion> {
         self.versions.get(model)?.last().copied()
     }
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -500,7 +500,7 @@
         }
         let placed = hosts.into_iter().filter_map(|(group, hosts)| {
             let model = self.knowledge.model_of(&group.0)?;
-            let label = manager::label(&model, catalog.wanted(&model)?.version);
+            let label = manager::label(&model, catalog.desired_version(&model)?.version);
             let hosts = hosts.iter().map(String::as_str);
             Some((group, rollout::assign_waves(label, hosts, waves)))
         });
--- a/tests/catalog.rs
+++ b/tests/catalog.rs
@@ -281,13 +281,13 @@
     assert_eq!(peers.added(), 1);
 
     let mut catalog = Catalog::default();
-    let wanted = DesiredVersion {
+    let desired_version = DesiredVersion {
         version: 2,
         revision: 5,
         since: now,
     };
     let age = Duration::from_secs(10);
-    catalog.apply_aged("m".into(), wanted, age, now);
+    catalog.apply_aged("m".into(), desired_version, age, now);
     let bound = Duration::from_secs(8);
     assert_eq!(
         catalog.oldest_allowed("m", bound, now),
--- a/tests/fallback.rs
+++ b/tests/fallback.rs
@@ -26,12 +26,12 @@
 };
 
 fn desired(versions: &[(u64, u64)]) -> Vec<DesiredVersion> {
-    let wanted = |&(version, ago)| DesiredVersion {
+    let desired_version = |&(version, ago)| DesiredVersion {
         version,
         revision: version,
         since: NOW - millis(ago),
     };
-    versions.iter().map(wanted).collect()
+    versions.iter().map(desired_version).collect()
 }
 
 /// The newest version is being fetched: the last new chunk arrived 40 ms ago.
