--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -283,8 +283,8 @@
     ) -> Result<Reader, reader::Error> {
         if let Some(sidecar) = self.sidecar {
             let handle = Handle::new(&self.gateway, sidecar, &job.meta.id);
-            let (body, note) = (job.body.clone(), self.connection.clone());
-            match Reader::begin(handle, head.clone(), body, note).await {
+            let (body, recorder) = (job.body.clone(), self.connection.clone());
+            match Reader::begin(handle, head.clone(), body, recorder).await {
                 Ok(reader) => return Ok(reader),
                 Err(error @ (reader::Error::Unreachable { .. } | reader::Error::NotSent)) => {
                     self.bypass_sidecar(job, &error);
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -20,7 +20,7 @@
 
 /// Timeout for the answer over a new connection after the used one brought none: three times the
 /// longest round trip between two halls.
-const RENEWED_ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
+const HEDGED_ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// The result of the search for a lease.
 pub struct Found {
@@ -165,17 +165,14 @@
         request: &lease::Request,
     ) -> Offer {
         let knowledge = &self.gateway.knowledge;
-        let (within, note) = (
-            (ANSWER_TIMEOUT, RENEWED_ANSWER_TIMEOUT),
-            Recorder::default(),
-        );
+        let (within, recorder) = ((ANSWER_TIMEOUT, HEDGED_ANSWER_TIMEOUT), Recorder::default());
         let answer = gossip::call_within::<_, Response>(
             knowledge,
             sidecar,
             lease::PATH,
             request,
             within,
-            &note,
+            &recorder,
         );
         let answer = answer.await;
         let now = knowledge.now();
@@ -213,12 +210,12 @@
             }
             Err(error) => {
                 log::info!(
-                    request = self.job.meta.id.as_str(), process:% = sidecar, connection:% = note;
+                    request = self.job.meta.id.as_str(), process:% = sidecar, connection:% = recorder;
                     "lease request failed: {error}"
                 );
                 let timed_out = matches!(
                     error,
-                    gossip::Error::Patience(timeout::Error::NoAnswer { .. })
+                    gossip::Error::Timeout(timeout::Error::NoAnswer { .. })
                 );
                 self.gateway
                     .pool
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -36,7 +36,7 @@
 
 /// Time after which the end of a run, unanswered over a used connection, is sent again over a new
 /// one.
-const END_RENEW_AFTER: Duration = Duration::from_millis(60);
+const END_HEDGE_AFTER: Duration = Duration::from_millis(60);
 
 /// Number of pending fetches from which on a suspicion starts no further one: the one that carries
 /// the request, and one more.
@@ -105,9 +105,9 @@
         handle: Handle,
         head: RequestHead,
         body: Option<Bytes>,
-        note: Recorder,
+        recorder: Recorder,
     ) -> Result<Self, Error> {
-        let mut buffered = Buffered::begin(handle, head, body, note)?;
+        let mut buffered = Buffered::begin(handle, head, body, recorder)?;
         let mut response = buffered.head().await?;
         let mut headers = std::mem::take(&mut response.headers);
         // The header is meant for this process only.
@@ -209,7 +209,7 @@
         let options = Options {
             idle_max: IDLE_MAX,
             connect_timeout: CONNECT_TIMEOUT,
-            hedge_after: Some(END_RENEW_AFTER),
+            hedge_after: Some(END_HEDGE_AFTER),
             ..Options::default()
         };
         let client = self.client();
@@ -273,7 +273,7 @@
         handle: Handle,
         mut head: RequestHead,
         body: Option<Bytes>,
-        note: Recorder,
+        recorder: Recorder,
     ) -> Result<Self, Error> {
         let target = head.uri.path_and_query().map(ToString::to_string);
         let call = Call::Start {
@@ -288,7 +288,7 @@
         };
         let (client, sidecar) = (handle.client(), handle.sidecar);
         let initial = async move {
-            let exchange = client.exchange_recorded(sidecar, head, body, options, &note);
+            let exchange = client.exchange_recorded(sidecar, head, body, options, &recorder);
             Fetch {
                 from: 0,
                 is_initial: true,
--- a/src/knowledge/gossip.rs
+++ b/src/knowledge/gossip.rs
@@ -33,7 +33,7 @@
 
 /// Time without an answer on a used connection after which a message is sent again on a new one. A few
 /// chunks of weights on a narrow link delay an answer by less, and a lost packet is retransmitted by then.
-const RENEWS_AFTER: Duration = Duration::from_millis(250);
+const HEDGE_AFTER: Duration = Duration::from_millis(250);
 
 /// Maximum idle time after which a connection to another process is reused. While it is idle, the kernel
 /// probes its other end every 1.5 s, and most exchanges occur either at least once a second or rarely.
@@ -50,7 +50,7 @@
     Exchange(#[from] crate::exchange::Error),
     /// The call timed out or was cancelled.
     #[error(transparent)]
-    Patience(#[from] timeout::Error),
+    Timeout(#[from] timeout::Error),
     /// The process answered with an error status.
     #[error("answered {status}")]
     Status {
@@ -72,19 +72,19 @@
     path: &str,
     message: &T,
 ) -> Result<(), Error> {
-    post_noting(knowledge, peer, path, message, &Recorder::default()).await
+    post_recorded(knowledge, peer, path, message, &Recorder::default()).await
 }
 
-/// Like [`post`], and records in `note` which connection it uses.
-pub async fn post_noting<T: Serialize>(
+/// Like [`post`], and records in `recorder` which connection it uses.
+pub async fn post_recorded<T: Serialize>(
     knowledge: &Rc<Knowledge>,
     peer: SocketAddr,
     path: &str,
     message: &T,
-    note: &Recorder,
+    recorder: &Recorder,
 ) -> Result<(), Error> {
     let call = Call::new(peer, path, encode(message)?);
-    let update = call.exchange(knowledge, note, || true).await?;
+    let update = call.exchange(knowledge, recorder, || true).await?;
     apply_answer(knowledge, peer, update);
     Ok(())
 }
@@ -117,21 +117,21 @@
 
 /// Sends `message` to another process of the system and reads its answer. If a used connection brings
 /// no answer within `timeout`, sends the message again on a new one, which has another `retry_timeout`.
-/// Records in `note` which connection it uses.
+/// Records in `recorder` which connection it uses.
 pub async fn call_within<T: Serialize, A: DeserializeOwned>(
     knowledge: &Knowledge,
     peer: SocketAddr,
     path: &str,
     message: &T,
     (timeout, retry_timeout): (Duration, Duration),
-    note: &Recorder,
+    recorder: &Recorder,
 ) -> Result<A, Error> {
     let call = Call {
-        renews_after: Some(timeout),
+        hedge_after: Some(timeout),
         ..Call::new(peer, path, encode(message)?)
     };
     let after = timeout + retry_timeout;
-    let answer = actix_rt::time::timeout(after, call.exchange(knowledge, note, || true)).await;
+    let answer = actix_rt::time::timeout(after, call.exchange(knowledge, recorder, || true)).await;
     answer.unwrap_or(Err(timeout::Error::NoAnswer { after }.into()))
 }
 
@@ -160,7 +160,7 @@
     path: &'a str,
     body: Bytes,
     /// Time without an answer on a used connection after which the message is sent again on a new one.
-    renews_after: Option<Duration>,
+    hedge_after: Option<Duration>,
 }
 
 impl<'a> Call<'a> {
@@ -169,7 +169,7 @@
             peer,
             path,
             body,
-            renews_after: Some(RENEWS_AFTER),
+            hedge_after: Some(HEDGE_AFTER),
         }
     }
 
@@ -177,7 +177,7 @@
     async fn exchange<A: DeserializeOwned>(
         &self,
         knowledge: &Knowledge,
-        note: &Recorder,
+        recorder: &Recorder,
         needed: impl Fn() -> bool,
     ) -> Result<A, Error> {
         let progress = Progress::default();
@@ -186,11 +186,11 @@
             let options = Options {
                 connect_timeout: CONNECT_TIMEOUT,
                 idle_max: IDLE_MAX,
-                hedge_after: self.renews_after,
+                hedge_after: self.hedge_after,
                 ..Options::default()
             };
             let (client, body) = (&knowledge.client, Some(self.body.clone()));
-            let answer = client.exchange_recorded(self.peer, head, body, options, note);
+            let answer = client.exchange_recorded(self.peer, head, body, options, recorder);
             let mut answer = answer.await?;
             let body = answer.read_tracked(ANSWER_BYTES_MAX, &progress).await?;
             let bytes = self.body.len() + body.len();
@@ -261,7 +261,7 @@
                     fanout::send(&knowledge, &Message::Notice, knowledge.local_peers());
                 }
             }
-            Err(Error::Patience(timeout::Error::Cancelled)) => {}
+            Err(Error::Timeout(timeout::Error::Cancelled)) => {}
             Err(error) => log::warn!(peer:% = peer, ms; "failed to fetch configuration: {error}"),
         }
     });
@@ -277,7 +277,7 @@
     needed: impl Fn() -> bool,
 ) -> Result<Update, Error> {
     let call = Call {
-        renews_after: None,
+        hedge_after: None,
         ..Call::new(peer, SYNC_PATH, encode(heartbeat)?)
     };
     call.exchange(knowledge, &Recorder::default(), needed).await
--- a/src/knowledge/poison.rs
+++ b/src/knowledge/poison.rs
@@ -159,14 +159,14 @@
     let (Some(first), Some(case)) = (first, case) else {
         return false;
     };
-    let (claim, note) = (Claim { case }, Recorder::default());
+    let (claim, recorder) = (Claim { case }, Recorder::default());
     let answer = gossip::call_within::<_, Answer>(
         knowledge,
         first,
         TRIAL_PATH,
         &claim,
         TRIAL_TIMEOUTS,
-        &note,
+        &recorder,
     );
     match answer.await {
         Ok(answer) => answer.given,
--- a/src/sidecar/observe.rs
+++ b/src/sidecar/observe.rs
@@ -15,7 +15,7 @@
 use crate::backoff::Backoff;
 use crate::clock::Time;
 use crate::exchange::{Acquisition, Recorder};
-use crate::knowledge::gossip::post_noting;
+use crate::knowledge::gossip::post_recorded;
 use crate::knowledge::hub;
 use crate::knowledge::readers::Readers;
 use crate::knowledge::traffic::Purpose;
@@ -386,10 +386,10 @@
             ..sidecar.knowledge.heartbeat(wants_peers)
         },
     };
-    let (sent_at, note) = (sidecar.knowledge.now(), Recorder::default());
-    match post_noting(&sidecar.knowledge, entry, REPORT_PATH, &report, &note).await {
+    let (sent_at, recorder) = (sidecar.knowledge.now(), Recorder::default());
+    match post_recorded(&sidecar.knowledge, entry, REPORT_PATH, &report, &recorder).await {
         // The duration of a report that was sent twice is no measure of the link.
-        Ok(()) if note.acquisition() == Some(Acquisition::Renewed) => {}
+        Ok(()) if recorder.acquisition() == Some(Acquisition::Renewed) => {}
         Ok(()) => {
             let now = sidecar.knowledge.now();
             sidecar.rtt.borrow_mut().record(now.since(sent_at), now);
