--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -40,7 +40,7 @@
     /// Try another replica.
     Elsewhere {
         /// Whether a replica has received the request already, so that the attempt counts against
-        /// the budget of repeats.
+        /// the retry budget.
         charged: bool,
     },
     /// Forward the replica's own error to the caller.
--- a/src/request/budget.rs
+++ b/src/request/budget.rs
@@ -1,11 +1,11 @@
-//! Budget of repeated requests, shared by all entries without communication.
+//! Retry budget, shared by all entries without communication.
 //!
 //! In every window of the configured length, the attempts that a service receives beyond the first
 //! of each request must not exceed a ratio of its requests plus a fixed slack. Each entry spends
 //! the ratio of its own requests and its share of the slack, so that the total holds however the
 //! requests are distributed.
 //!
-//! The limit applies to arrivals. A repeat may wait for a slot or be delayed on a link while a
+//! The limit applies to arrivals. A retry may wait for a slot or be delayed on a link while a
 //! window passes and the next budget is spent. It therefore counts from the decision until a window
 //! after it has certainly arrived.
 
@@ -17,7 +17,7 @@
 
 /// Fraction of the ratio that is spent, because the windows in which the limit is checked start at
 /// other times than the ones counted here. A restarted entry spends only the remaining fraction
-/// while repeats of its previous run may still count.
+/// while retries of its previous run may still count.
 const SPENT_FRACTION: f64 = 0.8;
 
 /// Time over which requests are counted together.
@@ -26,9 +26,9 @@
 /// The limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setting {
-    /// Repeats per request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Additional repeats, summed over all entries.
+    /// Additional retries, summed over all entries.
     pub slack: f64,
     /// The length of every window.
     pub window: Duration,
@@ -55,7 +55,7 @@
     requests: u32,
 }
 
-/// Identifies a repeat that was taken from a budget.
+/// Identifies a retry that was taken from a budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Reservation(u64);
 
@@ -63,11 +63,11 @@
 #[derive(Debug)]
 pub struct Budget {
     buckets: VecDeque<Bucket>,
-    /// The repeats that still count, with their time of arrival; `None` while a repeat may be in
+    /// The retries that still count, with their time of arrival; `None` while a retry may be in
     /// transit.
-    repeats: BTreeMap<Reservation, Option<Time>>,
+    retries: BTreeMap<Reservation, Option<Time>>,
     last_reservation: u64,
-    /// Time from which no repeat of a previous run counts any more.
+    /// Time from which no retry of a previous run counts any more.
     previous_run_expired: Time,
 }
 
@@ -81,7 +81,7 @@
         };
         Self {
             buckets: VecDeque::new(),
-            repeats: BTreeMap::new(),
+            retries: BTreeMap::new(),
             last_reservation: 0,
             previous_run_expired: began + previous_run_counts,
         }
@@ -114,11 +114,11 @@
         self.bucket(setting, now).requests += 1;
     }
 
-    /// Reserves a repeat at one of `entries` entries, if the budget allows it. It counts as in
+    /// Reserves a retry at one of `entries` entries, if the budget allows it. It counts as in
     /// transit until [`Self::arrived`] or [`Self::release`] is called.
     pub fn reserve(&mut self, setting: Setting, entries: usize, now: Time) -> Option<Reservation> {
         self.bucket(setting, now);
-        // Requests count for one bucket less than the window, repeats for one bucket more, so that
+        // Requests count for one bucket less than the window, retries for one bucket more, so that
         // rounding to buckets never raises the budget.
         let requests: u32 = self
             .buckets
@@ -127,31 +127,31 @@
             .map(|bucket| bucket.requests)
             .sum();
         let counts = |arrived: Time| now.since(arrived) <= setting.window + BUCKET_LENGTH;
-        self.repeats.retain(|_, arrived| arrived.is_none_or(counts));
+        self.retries.retain(|_, arrived| arrived.is_none_or(counts));
         let (fraction, slack) = if now < self.previous_run_expired {
             (1.0 - SPENT_FRACTION, 0.0)
         } else {
             (SPENT_FRACTION, setting.slack / entries.max(1) as f64)
         };
         let earned = setting.ratio * fraction * f64::from(requests);
-        if (self.repeats.len() + 1) as f64 > earned + slack {
+        if (self.retries.len() + 1) as f64 > earned + slack {
             return None;
         }
         self.last_reservation += 1;
         let reservation = Reservation(self.last_reservation);
-        self.repeats.insert(reservation, None);
+        self.retries.insert(reservation, None);
         Some(reservation)
     }
 
-    /// Records that the repeat has arrived by `at`, which may be in the future.
-    pub fn arrived(&mut self, repeat: Reservation, at: Time) {
-        if let Some(arrived) = self.repeats.get_mut(&repeat) {
+    /// Records that the retry has arrived by `at`, which may be in the future.
+    pub fn arrived(&mut self, retry: Reservation, at: Time) {
+        if let Some(arrived) = self.retries.get_mut(&retry) {
             arrived.get_or_insert(at);
         }
     }
 
-    /// Returns a repeat that was not sent and will not be.
-    pub fn release(&mut self, repeat: Reservation) {
-        self.repeats.remove(&repeat);
+    /// Returns a retry that was not sent and will not be.
+    pub fn release(&mut self, retry: Reservation) {
+        self.retries.remove(&retry);
     }
 }
--- a/tests/repeat_budget.rs
+++ b/tests/retry_budget.rs
@@ -1,6 +1,5 @@
-//! Tests the budget of repeated requests under loads that exhaust it: entries are killed and
-//! restarted while replicas reject half of their requests, hundreds of streams break off, and links
-//! delay repeats.
+//! Tests the retry budget under loads that exhaust it: entries are killed and restarted while
+//! replicas reject half of their requests, hundreds of streams break off, and links delay retries.
 
 use std::time::Duration;
 
@@ -19,17 +18,17 @@
 
 const ENTRIES: usize = 7;
 
-/// Whether the repeats keep the budget in every window that ends with one of them.
-fn keeps_budget(requests: &[Time], repeats: &[Time]) -> bool {
-    repeats.iter().all(|&end| {
+/// Whether the retries keep the budget in every window that ends with one of them.
+fn keeps_budget(requests: &[Time], retries: &[Time]) -> bool {
+    retries.iter().all(|&end| {
         let in_window = |at: &&Time| **at <= end && end.since(**at) < SETTING.window;
         let request_count = requests.iter().filter(in_window).count() as f64;
-        let repeat_count = repeats.iter().filter(in_window).count() as f64;
-        repeat_count <= SETTING.ratio * request_count + SETTING.slack
+        let retry_count = retries.iter().filter(in_window).count() as f64;
+        retry_count <= SETTING.ratio * request_count + SETTING.slack
     })
 }
 
-/// Every entry wants to repeat more than allowed. Six of seven are killed once, at any time, and
+/// Every entry wants to retry more than allowed. Six of seven are killed once, at any time, and
 /// restart without knowing what was spent.
 #[test]
 fn restarted_entries_do_not_spend_the_slack_twice() {
@@ -38,7 +37,7 @@
         let mut budgets: Vec<Budget> = (0..ENTRIES)
             .map(|_| Budget::new(SETTING, Time::default()))
             .collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut restarted = false;
         for step in 0..3_000u64 {
             let now = Time::from_millis(50_000 + step * 10);
@@ -55,16 +54,16 @@
             requests.push(now);
             for _ in 0..2 {
                 if reserve(budget, now, now) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
         }
-        keeps_budget(&requests, &repeats)
+        keeps_budget(&requests, &retries)
     }
     quickcheck(property as fn(u8) -> bool);
 }
 
-/// Two of five streams break off halfway. Resuming a stream counts as a repeat.
+/// Two of five streams break off halfway. Resuming a stream counts as a retry.
 #[test]
 fn hundreds_of_broken_streams_are_resumed_within_the_budget() {
     let broken = Situation {
@@ -85,7 +84,7 @@
         Next::GiveUp(Outcome::Unknown)
     );
     let mut budget = Budget::new(SETTING, Time::default());
-    let (mut requests, mut repeats, mut broken_count) = (Vec::new(), Vec::new(), 0);
+    let (mut requests, mut retries, mut broken_count) = (Vec::new(), Vec::new(), 0);
     for step in 0..1_500u64 {
         let now = Time::from_millis(50_000 + step * 10);
         budget.request(SETTING, now);
@@ -94,25 +93,25 @@
             broken_count += 1;
             if let Some(reservation) = budget.reserve(SETTING, 1, now) {
                 budget.arrived(reservation, now);
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
-    assert!(keeps_budget(&requests, &repeats));
+    assert!(keeps_budget(&requests, &retries));
     assert!(
-        repeats.len() * 2 > broken_count,
+        retries.len() * 2 > broken_count,
         "{} of {broken_count}",
-        repeats.len()
+        retries.len()
     );
 }
 
-/// Guards against delayed repeats exceeding the budget. Repeats used to count when they were
+/// Guards against delayed retries exceeding the budget. Retries used to count when they were
 /// decided, while the limit applies to arrivals, and nothing bounds the time in between. Entries
-/// could spend their whole budget on repeats that were delayed in transit while connections were
+/// could spend their whole budget on retries that were delayed in transit while connections were
 /// silent, and as much again a window later, and all of them arrived at once. Found by reading the
 /// code and with this model; no simulated day that exceeded the limit was found.
 #[test]
-fn delayed_repeats_count_when_they_arrive() {
+fn delayed_retries_count_when_they_arrive() {
     fn property(delay: u8, offset: u8) -> bool {
         let delay = Duration::from_millis(u64::from(delay) * 12);
         let mut budgets: Vec<Budget> = (0..ENTRIES)
@@ -121,7 +120,7 @@
         let first_burst = Time::from_millis(62_000);
         let second_burst =
             first_burst + SETTING.window + Duration::from_millis(300 + u64::from(offset) * 4);
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for step in 0..2_600u64 {
             let now = Time::from_millis(50_000 + step * 10);
             budgets[step as usize % ENTRIES].request(SETTING, now);
@@ -137,17 +136,17 @@
             };
             for budget in &mut budgets {
                 while reserve(budget, now, now + transit_time) {
-                    repeats.push(now + transit_time);
+                    retries.push(now + transit_time);
                 }
             }
         }
-        repeats.sort();
-        keeps_budget(&requests, &repeats)
+        retries.sort();
+        keeps_budget(&requests, &retries)
     }
     quickcheck(property as fn(u8, u8) -> bool);
 }
 
-/// Reserves a repeat that is decided at `now` and arrives at `arrives`, if the budget allows it.
+/// Reserves a retry that is decided at `now` and arrives at `arrives`, if the budget allows it.
 fn reserve(budget: &mut Budget, now: Time, arrives: Time) -> bool {
     let reservation = budget.reserve(SETTING, ENTRIES, now);
     if let Some(reservation) = reservation {
@@ -156,10 +155,10 @@
     reservation.is_some()
 }
 
-/// A released repeat is available again. A repeat that may be in transit stays reserved, however
+/// A released retry is available again. A retry that may be in transit stays reserved, however
 /// long that takes.
 #[test]
-fn repeat_counts_until_its_arrival_or_release() {
+fn retry_counts_until_its_arrival_or_release() {
     let setting = Setting {
         slack: 1.0,
         ..SETTING
@@ -178,7 +177,7 @@
 
 /// Guards against restarted entries exceeding the budget. With replicas rejecting half of their
 /// requests, entries spent what a quiet period had earned, were killed, and started again without
-/// knowing their earlier repeats, which had been earned by requests older than the window.
+/// knowing their earlier retries, which had been earned by requests older than the window.
 /// Observed: 549 arrivals beyond the first of each request in 10 s for 2,244 requests, one more
 /// than allowed. By calculation, entries spent 0.16 of a window's requests and the slack before the
 /// restart, and 0.16 of half a window's requests after it.
@@ -193,7 +192,7 @@
         let mut restarts: Vec<Time> = (0..1 + u32::from(restart_count % 3))
             .map(|index| first_restart + interval * index)
             .collect();
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for step in 0..3_600u64 {
             let now = Time::from_millis(50_000 + step * 10);
             budgets[step as usize % ENTRIES].request(SETTING, now);
@@ -211,11 +210,11 @@
             }
             for budget in &mut budgets {
                 while reserve(budget, now, now) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
         }
-        keeps_budget(&requests, &repeats)
+        keeps_budget(&requests, &retries)
     }
     quickcheck(property as fn(u8, u8) -> bool);
 }
