--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -563,8 +563,8 @@
     }
 
     /// Merges rejections that another process reported.
-    fn merge_rejections(&self, told: &[Rejection], now: Time) {
-        self.rejections.borrow_mut().merge(told, now);
+    fn merge_rejections(&self, reported: &[Rejection], now: Time) {
+        self.rejections.borrow_mut().merge(reported, now);
     }
 
     /// Records a rejected request whose caller first tried at `first`. Only requests to engines are
--- a/src/gateway/dispatch.rs
+++ b/src/gateway/dispatch.rs
@@ -405,13 +405,14 @@
         service.map_or(0.0, |service| service.cold_per_s)
     }
 
-    /// This entry's share of that rate, used where no sidecar rations requests to the replica.
+    /// This entry's share of that rate, used where no sidecar limits the rate of the replica's
+    /// requests.
     fn own_cold_per_s(&self) -> f64 {
         let entries = self.gateway.knowledge.peers.borrow().upper_bound();
         self.cold_per_s() / entries.max(1) as f64
     }
 
-    /// The ration of the replica `key`, if it is cold and its rate is limited.
+    /// The throttle of the replica `key`, if it is cold and its rate is limited.
     pub(super) fn throttle(&self, key: Key) -> Option<Throttle> {
         let per_s = self.cold_per_s();
         let now = self.gateway.knowledge.now();
--- a/src/gateway/reader.rs
+++ b/src/gateway/reader.rs
@@ -213,11 +213,11 @@
             ..Options::default()
         };
         let client = self.client();
-        let told = async {
+        let notification = async {
             let head = Request::new(Method::POST, call.to_string()).head(self.sidecar)?;
             client.exchange(self.sidecar, head, None, options).await
         };
-        if let Err(error) = told.await {
+        if let Err(error) = notification.await {
             log::info!(request = &*self.request, process:% = self.sidecar; "cannot tell the sidecar that the run has no reader: {error}");
         }
     }
@@ -375,7 +375,7 @@
                 self.failures = 0;
                 Ok(Some(response))
             }
-            Some(told) if self.received == 0 && told.not_run(self.handle.age()) => {
+            Some(disposition) if self.received == 0 && disposition.not_run(self.handle.age()) => {
                 let notice = Notice::parse(response.header(notice::HEADER));
                 let error = if notice.is_empty() {
                     Error::NotSent
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -151,7 +151,7 @@
         let now = self.dispatch.gateway.knowledge.now();
         let remaining = self.dispatch.job.remaining(now);
         let can_fail_over = self.dispatch.can_fail_over();
-        let patience = if can_fail_over {
+        let time_limit = if can_fail_over {
             remaining.min(SILENCE_MAX)
         } else {
             remaining
@@ -159,7 +159,7 @@
         // A stream that cannot fail over waits even on a silent connection.
         self.response.set_guarded(can_fail_over);
         let clock = self.dispatch.gateway.knowledge.clock;
-        match timeout::within(|| clock.now(), patience, self.response.next()).await {
+        match timeout::within(|| clock.now(), time_limit, self.response.next()).await {
             Some(Some(Ok(bytes))) => match self.splitter.push(bytes) {
                 Ok(events) if events.is_empty() => Step::Part,
                 Ok(events) => Step::Events(events),
@@ -168,7 +168,7 @@
             Some(Some(Err(error))) => Step::Broken(error.to_string(), attempt::signal(&error)),
             Some(None) if self.splitter.is_partial() => broken("the stream ended inside an event"),
             Some(None) => Step::End,
-            None if patience == remaining => Step::Expired,
+            None if time_limit == remaining => Step::Expired,
             None => Step::Broken("the replica is silent".to_owned(), Signal::TimedOut),
         }
     }
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -669,19 +669,19 @@
         self.requests_begun
     }
 
-    /// Records a request's first event, or with `came` false that it ended without one.
+    /// Records a request's first event, or with `received` false that it ended without one.
     pub fn record_first_event(
         &mut self,
         key: Key,
         number: u64,
         demand: Demand,
-        came: bool,
+        received: bool,
         now: Time,
     ) {
         let Some(replica) = self.replicas.get_mut(key) else {
             return;
         };
-        if let Some((expected, took)) = replica.record_first_event(number, demand, came, now) {
+        if let Some((expected, took)) = replica.record_first_event(number, demand, received, now) {
             let service = replica.record.service.clone();
             self.corrections
                 .entry(service)
--- a/src/route/replica.rs
+++ b/src/route/replica.rs
@@ -465,13 +465,13 @@
         self.pending.tokens += u64::from(demand.prompt);
     }
 
-    /// Records a request's first event, or with `came` false that it ended without one. Returns how
-    /// long the first event was expected to take, and how long it took.
+    /// Records a request's first event, or with `received` false that it ended without one.
+    /// Returns how long the first event was expected to take, and how long it took.
     pub(super) fn record_first_event(
         &mut self,
         number: u64,
         demand: Demand,
-        came: bool,
+        received: bool,
         now: Time,
     ) -> Option<(Duration, Duration)> {
         let pending = &mut self.pending;
@@ -480,7 +480,7 @@
         let request = pending.requests.swap_remove(index);
         pending.tokens = pending.tokens.saturating_sub(u64::from(demand.prompt));
         self.pending_at_report = self.pending_at_report.min(pending.count());
-        if !came {
+        if !received {
             return None;
         }
         self.lag.record(now.since(request.due), now);
--- a/src/sidecar/executor.rs
+++ b/src/sidecar/executor.rs
@@ -122,7 +122,7 @@
             }
         };
         match head {
-            Head::Missing(told) => error_response(told),
+            Head::Missing(disposition) => error_response(disposition),
             Head::Answer(status, headers) => {
                 let body = BodyStream::new(Box::pin(self.into_stream()));
                 let mut answer = Answer::with_body(status, body.boxed());
@@ -171,8 +171,8 @@
     }
 }
 
-fn set_header(answer: &mut Answer, name: &'static str, told: impl Display) {
-    let value = HeaderValue::from_str(&told.to_string());
+fn set_header(answer: &mut Answer, name: &'static str, content: impl Display) {
+    let value = HeaderValue::from_str(&content.to_string());
     let value = value.unwrap_or(HeaderValue::from_static(""));
     answer
         .headers_mut()
@@ -180,9 +180,9 @@
 }
 
 /// Response of this process in place of the replica's.
-fn error_response(told: Disposition) -> Answer {
+fn error_response(disposition: Disposition) -> Answer {
     let mut answer = http::status(StatusCode::BAD_GATEWAY);
-    set_header(&mut answer, DISPOSITION_HEADER, told);
+    set_header(&mut answer, DISPOSITION_HEADER, disposition);
     answer
 }
 
@@ -307,11 +307,11 @@
             buffer_body(&run, &mut response).await
         }
         Err(error) => {
-            let told = match error {
+            let disposition = match error {
                 exchange::Error::NotSent { .. } => Disposition::NotSent,
                 _ => Disposition::Broken,
             };
-            run.set_head(Head::Missing(told));
+            run.set_head(Head::Missing(disposition));
             Err(error)
         }
     };
