--- a/src/agent/serve.rs
+++ b/src/agent/serve.rs
@@ -43,7 +43,7 @@
         ("GET", ["health", "live"]) => http::status(StatusCode::OK),
         ("GET", ["health", "ready"]) => ready(&agent),
         ("GET", ["status"]) => http::json(StatusCode::OK, &status::status(&agent)),
-        ("GET", ["audit"]) => http::json(StatusCode::OK, agent.node.trail.borrow().entries()),
+        ("GET", ["audit"]) => http::json(StatusCode::OK, agent.node.trail.borrow().records()),
         ("GET", ["metrics"]) => agent.node.metrics_answer(),
         _ => http::status(StatusCode::NOT_FOUND),
     }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -82,7 +82,7 @@
 /// The audit trail of one process.
 #[derive(Debug, Default)]
 pub struct Trail {
-    entries: VecDeque<Record>,
+    records: VecDeque<Record>,
 }
 
 impl Trail {
@@ -95,14 +95,14 @@
         };
         let text = serde_json::to_string(&record).unwrap_or_default();
         log::info!(target: "pumicelatch::audit", audit = text.as_str(); "change");
-        if self.entries.len() == RECORDS_MAX {
-            self.entries.pop_front();
+        if self.records.len() == RECORDS_MAX {
+            self.records.pop_front();
         }
-        self.entries.push_back(record);
+        self.records.push_back(record);
     }
 
     /// All kept records, oldest first.
-    pub fn entries(&self) -> &VecDeque<Record> {
-        &self.entries
+    pub fn records(&self) -> &VecDeque<Record> {
+        &self.records
     }
 }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -30,7 +30,7 @@
         ("GET", ["health", "live"]) => http::status(StatusCode::OK),
         ("GET", ["health", "ready"]) => ready(&entry),
         ("GET", ["status"]) => http::json(StatusCode::OK, &status::status(&entry)),
-        ("GET", ["audit"]) => http::json(StatusCode::OK, entry.node.trail.borrow().entries()),
+        ("GET", ["audit"]) => http::json(StatusCode::OK, entry.node.trail.borrow().records()),
         ("GET", ["metrics"]) => entry.node.metrics_answer(),
         _ => no_such_path(),
     }
