--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -34,15 +34,18 @@
 /// Response time assumed for a plain service before the first measurement.
 const DEFAULT_LATENCY: Duration = Duration::from_millis(50);
 
-/// A replica whose first events lag behind their estimates by more than this may be behind a link
-/// that delays everything, the end of a request included.
+/// Delay of a replica above which it needs a margin before its version's cutoff. The delay is the
+/// lag of its first events behind their estimates, or that of its link, whichever is longer. Above
+/// this, the replica may be behind a link that delays everything, the end of a request included.
 const LAG_MAX: Duration = Duration::from_millis(100);
 
-/// Such a replica gets no request that would start less than this before its version's cutoff.
+/// Minimum margin of a replica that is delayed by more than [`LAG_MAX`]: it gets no request whose
+/// start is expected less than this before its version's cutoff, since a late start would be on a
+/// version that is no longer allowed.
 const LAG_MARGIN: Duration = Duration::from_millis(1_600);
 
-/// Nor one that would start less than this many times its delay before: the request arrives that
-/// much later, and so does its end.
+/// The margin of such a replica as a multiple of its delay, where that exceeds [`LAG_MARGIN`]: a
+/// request arrives later by the delay, and so does its end.
 const LAG_MARGIN_FACTOR: u32 = 2;
 
 /// Largest link delay that enters an estimate, since it is derived from exchanges other than
