--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -124,7 +124,7 @@
     }
 
     /// Builds the request for a lease at the replica `key`. `at` is the limit on the first event
-    /// for this lease, `whole` that of the caller\'s request itself.
+    /// for this lease, `whole` that of the caller's request itself.
     fn build_lease_request(
         &self,
         key: Key,
@@ -232,7 +232,7 @@
     }
 
     /// The choice of the replica `key` with the estimate from the sidecar's `answer`, which is
-    /// based on the engine's actual passes, corrected by what this entry knows of the link.
+    /// based on the engine's actual iterations, corrected by what this entry knows of the link.
     fn expected_by_sidecar(&self, key: Key, answer: &Response, now: Time) -> Option<Choice> {
         let choice = self.expected_at(key, now)?;
         let reported = answer.expected_ms.map(Duration::from_millis);
