--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -76,7 +76,8 @@
 use dialect::Dialect;
 use job::Job;
 
-/// Interval of periodic maintenance: expiry of beliefs, idle connections, gauges.
+/// Interval of periodic maintenance: removes expired records from the catalog and the poison
+/// registry, closes idle connections, and updates gauges.
 const TICK: Duration = Duration::from_millis(200);
 
 /// Longest idle time after which a connection to a replica is reused.
