--- a/src/burst/fetch.rs
+++ b/src/burst/fetch.rs
@@ -36,7 +36,8 @@
 /// Rounds after which a box that is not a sponsor also asks the origin for the manifest.
 const ORIGIN_FALLBACK_ROUNDS: u32 = 40;
 
-/// Every this many rounds any peer is asked for the manifest; in the others, a relay of the hall.
+/// One round in this many asks any peer for the manifest. The others ask a relay of the own hall,
+/// if there is one, since relays are the first to have the manifest.
 const ANY_PEER_INTERVAL: u32 = 4;
 
 /// Maximum size of an encoded manifest.
