--- a/src/lease.rs
+++ b/src/lease.rs
@@ -102,7 +102,7 @@
     pub from: Option<SocketAddr>,
     /// Prompt tokens.
     pub prompt: u32,
-    /// Output tokens, as far as they can be told beforehand.
+    /// Output tokens, as far as known in advance.
     pub output: u32,
     /// Limit on the expected time until the first event, in milliseconds.
     pub limit_ms: u64,
--- a/src/route/estimate.rs
+++ b/src/route/estimate.rs
@@ -12,7 +12,7 @@
 pub struct Demand {
     /// Prompt tokens.
     pub prompt: u32,
-    /// Output tokens, as far as they can be told beforehand.
+    /// Output tokens, as far as known in advance.
     pub output: u32,
 }
 
