--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -105,7 +105,7 @@
     demand: Demand,
     number: u64,
     start_deadline: Option<Time>,
-    /// Whether the pool was told that the first event came, or that there will be none.
+    /// Whether the pool has recorded that the first event arrived, or that there will be none.
     start_recorded: Cell<bool>,
     /// Whether the replica is known to have survived the request, or is already being checked.
     outcome_known: Cell<bool>,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -60,7 +60,7 @@
     pub shared_limit: bool,
     /// Share of the limit for a retry, in percent. It is lower, so that first tries go first.
     pub retry_admit_percent: u32,
-    /// Whether a refusal because of missing weights tells when they are expected.
+    /// Whether a refusal because of missing weights states when they are expected.
     pub retry_after_eta: bool,
 }
 
--- a/src/request/poison.rs
+++ b/src/request/poison.rs
@@ -278,9 +278,9 @@
         changed
     }
 
-    /// Records a complete response to `request`. Returns whether others have to be told. They don't
-    /// for the many requests that ran beside a poison one and completed at the next replica, which
-    /// have a single crash.
+    /// Records a complete response to `request`. Returns whether other entries have to be notified.
+    /// That is not needed for the many requests that ran beside a poison one and completed at the
+    /// next replica, which have a single crash.
     pub fn record_success(&mut self, request: RequestHash, now: Time) -> bool {
         let Some(case) = self.cases.get_mut(&request) else {
             return false;
--- a/src/route/notice.rs
+++ b/src/route/notice.rs
@@ -19,7 +19,7 @@
 /// may expire and come back.
 const RETENTION: Duration = Duration::from_secs(900);
 
-/// Header by which a sidecar tells why it did not forward a request, as [`Notice`].
+/// Header in which a sidecar states why it did not forward a request, as a [`Notice`].
 pub const HEADER: &str = "pumicelatch-run-notice";
 
 /// Notice in the head of a replica's response.
