--- a/src/run.rs
+++ b/src/run.rs
@@ -1,13 +1,13 @@
-//! A replica's run of a request, buffered by the process beside the replica, so that its reader can
-//! change the connection.
+//! A replica's run of a request, buffered by the replica's sidecar, so that its reader can change
+//! the connection.
 //!
 //! Without this, a connection that is lost or goes silent in the middle would take its run with it:
 //! the replica generates the rest for nobody, in a slot that others wait for, while another replica
-//! reads the same prompt again. When all connections of 12 fully loaded replicas went silent at
-//! once, the work of 1.3 s was lost that way. So an entry sends a stream's request to the process
+//! prefills the same prompt again. When all connections of 12 fully loaded replicas went silent at
+//! once, the work of 1.3 s was lost that way. So an entry sends a stream's request to the sidecar
 //! on the replica's machine, which forwards it once, buffers the response, and hands it over from
 //! the offset that the entry names. [`Buffer`] holds the body of one run, [`Registry`] the runs of
-//! a process. Time is passed in.
+//! a sidecar. Time is passed in.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 /// [`TOMBSTONE_RETENTION`].
 const RUNS_MAX: usize = 4_096;
 
-/// The header in which the process beside a replica states the [`Disposition`] of a response.
+/// The header in which a sidecar states the [`Disposition`] of a response.
 pub const DISPOSITION_HEADER: &str = "pumicelatch-run";
 
 const START: &str = "/v1/run/";
@@ -59,7 +59,7 @@
     }
 }
 
-/// A call to the process beside a replica, encoded in the path of the request.
+/// A call to a sidecar, encoded in the path of the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
     /// Runs this request once.
@@ -126,9 +126,9 @@
     NotSent,
     /// The replica's response broke off, or the requested part is not kept any more.
     Broken,
-    /// The run is unknown to a process that started `up` ago, and will not start there any more.
+    /// The run is unknown to a sidecar that started `up` ago, and will not start there any more.
     Unknown {
-        /// How long the process has been running.
+        /// How long the sidecar has been running.
         up: Duration,
     },
 }
@@ -151,7 +151,7 @@
 
 impl Disposition {
     /// Whether a request that was sent `age` ago has not run and will not run. An unknown run
-    /// proves that if the process has been running all that time and would still remember the run.
+    /// proves that if the sidecar has been running all that time and would still remember the run.
     pub fn not_run(self, age: Duration) -> bool {
         match self {
             Self::NotSent => true,
@@ -327,7 +327,7 @@
     Unknown,
 }
 
-/// The runs of one process, each with the handle of what executes it. A key is valid for one run
+/// The runs of one sidecar, each with the handle of what executes it. A key is valid for one run
 /// only.
 #[derive(Debug)]
 pub struct Registry<T> {
