--- a/src/config/routing.rs
+++ b/src/config/routing.rs
@@ -32,8 +32,8 @@
     pub weight: u32,
 }
 
-/// Timeout of a route that sets none, in milliseconds: five times the longest caller deadline seen
-/// at any deployment.
+/// Timeout of a route that sets none, in milliseconds: five times the longest usual deadline of a
+/// caller.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 
 /// Latency objective of a route that sets none, in milliseconds: the usual one of routes to
@@ -175,8 +175,8 @@
 }
 
 impl Default for Engine {
-    /// Values for an engine that does not publish its own: round figures near the middle of the
-    /// engines seen. Observation corrects them.
+    /// Values for an engine that does not publish its own: round figures in the middle of the usual
+    /// range. Observation corrects them.
     fn default() -> Self {
         Self {
             slots: 8,
@@ -197,7 +197,7 @@
     }
 }
 
-/// Connection limit per replica for a service that sets none: the lowest limit seen.
+/// Connection limit per replica for a service that sets none: the lowest usual limit.
 pub const CONNECTIONS_DEFAULT: u32 = 48;
 
 fn connections_default() -> u32 {
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -28,7 +28,7 @@
     OriginBytes,
 }
 
-/// Settings of a burst. The defaults follow from the measurements in docs/DESIGN.md.
+/// Settings of a burst. docs/DESIGN.md explains the defaults.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setting {
     /// Number of neighbours in the box's own hall.
