--- a/src/agent/proxy.rs
+++ b/src/agent/proxy.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The sender has no valid proof.
+    /// The sender has no valid signature.
     Forbidden,
     /// A header is missing or invalid, or the body can't be read.
     Malformed,
@@ -101,7 +101,7 @@
     resume_at: Option<u32>,
 }
 
-/// The headers that a proof covers, in this order.
+/// The headers that a signature covers, in this order.
 pub const SIGNED_HEADERS: [&str; 9] = [
     header::REQUEST,
     header::VERSION,
@@ -118,7 +118,7 @@
     request.headers().get(name)?.to_str().ok()
 }
 
-/// Whether a request has a valid proof.
+/// Whether a request has a valid signature.
 fn is_authentic(agent: &Agent, request: &Request) -> bool {
     let parts: Vec<&str> = std::iter::once(request.path())
         .chain(SIGNED_HEADERS.map(|name| header_text(request, name).unwrap_or_default()))
@@ -127,7 +127,7 @@
         .keyring
         .verify(header_text(request, header::PROOF), unix_millis(), &parts);
     if let Err(refusal) = result {
-        log::warn!("request without a valid proof refused: {refusal}");
+        log::warn!("request without a valid signature refused: {refusal}");
         return false;
     }
     true
