--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -76,7 +76,8 @@
 use dialect::Dialect;
 use job::Job;
 
-/// Interval of periodic maintenance: expiry of beliefs, idle connections, gauges.
+/// Interval of periodic maintenance: removes expired records from the catalog and the poison
+/// registry, closes idle connections, and updates gauges.
 const TICK: Duration = Duration::from_millis(200);
 
 /// Longest idle time after which a connection to a replica is reused.
@@ -500,7 +501,7 @@
         }
         let placed = hosts.into_iter().filter_map(|(group, hosts)| {
             let model = self.knowledge.model_of(&group.0)?;
-            let label = manager::label(&model, catalog.wanted(&model)?.version);
+            let label = manager::label(&model, catalog.desired_version(&model)?.version);
             let hosts = hosts.iter().map(String::as_str);
             Some((group, rollout::assign_waves(label, hosts, waves)))
         });
@@ -563,8 +564,8 @@
     }
 
     /// Merges rejections that another process reported.
-    fn merge_rejections(&self, told: &[Rejection], now: Time) {
-        self.rejections.borrow_mut().merge(told, now);
+    fn merge_rejections(&self, reported: &[Rejection], now: Time) {
+        self.rejections.borrow_mut().merge(reported, now);
     }
 
     /// Records a rejected request whose caller first tried at `first`. Only requests to engines are
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -105,7 +105,7 @@
     demand: Demand,
     number: u64,
     start_deadline: Option<Time>,
-    /// Whether the pool was told that the first event came, or that there will be none.
+    /// Whether the pool has recorded that the first event arrived, or that there will be none.
     start_recorded: Cell<bool>,
     /// Whether the replica is known to have survived the request, or is already being checked.
     outcome_known: Cell<bool>,
@@ -283,8 +283,8 @@
     ) -> Result<Reader, reader::Error> {
         if let Some(sidecar) = self.sidecar {
             let handle = Handle::new(&self.gateway, sidecar, &job.meta.id);
-            let (body, note) = (job.body.clone(), self.connection.clone());
-            match Reader::begin(handle, head.clone(), body, note).await {
+            let (body, recorder) = (job.body.clone(), self.connection.clone());
+            match Reader::begin(handle, head.clone(), body, recorder).await {
                 Ok(reader) => return Ok(reader),
                 Err(error @ (reader::Error::Unreachable { .. } | reader::Error::NotSent)) => {
                     self.bypass_sidecar(job, &error);
